--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -39,7 +39,7 @@
 }
 
 // retryPause is the backoff between failed calls to accept.
-var retryPause = backoff.Backoff{First: 5 * time.Millisecond, Most: 100 * time.Millisecond}
+var retryPause = backoff.Backoff{Initial: 5 * time.Millisecond, Max: 100 * time.Millisecond}
 
 // Accept waits for the next connection and returns only errors that are not resource shortages.
 func (ln *Listener) Accept() (net.Conn, error) {
@@ -62,7 +62,7 @@
 		case failures == 0:
 			ln.log.Info("Connection could not be accepted, retrying.", "address", ln.Addr().String(), "reason", err.Error())
 		}
-		ln.sleep(retryPause.After(failures))
+		ln.sleep(retryPause.Delay(failures))
 	}
 }
 
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -61,8 +61,8 @@
 			conn, err := ln.Accept()
 			is.Equal(err, tc.want)
 			is.Equal(conn != nil, tc.want == nil)
-			is.True(longest <= retryPause.Most)
-			is.True(len(tc.errs) < 2 || slept >= retryPause.First)
+			is.True(longest <= retryPause.Max)
+			is.True(len(tc.errs) < 2 || slept >= retryPause.Initial)
 		})
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -9,13 +9,13 @@
 	"github.com/pkg/errors"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 )
 
 // Target is one life of a worker.
 type Target struct {
 	Address string
-	Life    life.Life
+	Life    incarnation.ID
 }
 
 // Hold renews the lease of what runs on a worker and asks what runs there.
--- a/internal/cellnode/cellnode.go
+++ b/internal/cellnode/cellnode.go
@@ -11,8 +11,8 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/rcrowley/go-metrics"
 
+	"tackbeam.example/policy/admission"
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/door"
 
 	"tackbeam.example/tackbeam/internal/advisor"
 	"tackbeam.example/tackbeam/internal/agent"
@@ -74,7 +74,7 @@
 	relay   *relay.Relay
 	began   time.Time
 	doorMu  sync.Mutex
-	door    door.Door
+	door    admission.Controller
 
 	stopping chan struct{}
 }
--- a/internal/cellnode/cellnode_test.go
+++ b/internal/cellnode/cellnode_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 
@@ -70,7 +70,7 @@
 		WorkersPrefix: workersPrefix, ConfigKey: configKey,
 		DecodeWorker: func(item kv.Item) (planner.Entry, error) {
 			return planner.Entry{Worker: cell.Worker{
-				ID: life.Life(strings.TrimPrefix(item.Key, workersPrefix)), Service: "svc", Capacity: size.New(8000, 8000, 0),
+				ID: incarnation.ID(strings.TrimPrefix(item.Key, workersPrefix)), Service: "svc", Capacity: size.New(8000, 8000, 0),
 			}}, nil
 		},
 		DecodeConfig: func(item kv.Item) (*routes.Config, error) {
--- a/internal/cellnode/door.go
+++ b/internal/cellnode/door.go
@@ -13,7 +13,7 @@
 func (nd *Node) noteBacklog(behind joblog.Behind) {
 	nd.doorMu.Lock()
 	defer nd.doorMu.Unlock()
-	nd.door.Note(nd.clock.Since(nd.began), behind.Urgent, behind.All)
+	nd.door.Update(nd.clock.Since(nd.began), behind.Urgent, behind.All)
 }
 
 // admits returns the answer to a job that is refused, or nil for one that is taken.
--- a/internal/cli/watch.go
+++ b/internal/cli/watch.go
@@ -87,7 +87,7 @@
 		gr.line(nd.Name, nd.State, marked("%.2f", us.cpu, limitCPU), marked("%.1f", float64(us.memory)/(1<<20), limitMemory>>20),
 			marked("%.0f", us.bytes, limitBytes), fmt.Sprintf("%.1f", us.reads), fmt.Sprintf("%.1f", us.writes),
 			fmt.Sprintf("%.0f", 100*nd.Control.StoreSpent),
-			fmt.Sprintf("%.0f", 100*nd.Room.Capacity.Sub(nd.Room.Free).Share(nd.Room.Capacity)),
+			fmt.Sprintf("%.0f", 100*nd.Room.Capacity.Sub(nd.Room.Free).DominantShare(nd.Room.Capacity)),
 			fmt.Sprint(nd.WaitingJobs), fmt.Sprint(nd.Waiting), freshness(nd, newest), fmt.Sprint(nd.MapEpoch))
 	}
 	gr.flush()
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -84,7 +84,7 @@
 
 // firstByteTimeout is how long the store may take to begin an answer. It doubles with each
 // counted timeout from the second on, so that a store slower than firstByte can still be read.
-var firstByteTimeout = backoff.Backoff{First: firstByte, Most: maxFirstByte}
+var firstByteTimeout = backoff.Backoff{Initial: firstByte, Max: maxFirstByte}
 
 // Feed is one node's copy.
 type Feed struct {
@@ -247,7 +247,7 @@
 	if down {
 		wait = lookWait
 	}
-	call, cancel := context.WithTimeout(ctx, wait+firstByteTimeout.After(fd.timeouts-1))
+	call, cancel := context.WithTimeout(ctx, wait+firstByteTimeout.Delay(fd.timeouts-1))
 	defer cancel()
 	sent := fd.clock.Now()
 	events, err := fd.store.WatchKey(call, fd.opts.Key, after, wait, fd.mostOfWatch())
@@ -275,7 +275,7 @@
 
 // read reads the key, unless its value takes more than most bytes.
 func (fd *Feed) read(ctx context.Context, most int) error {
-	call, cancel := context.WithTimeout(ctx, firstByteTimeout.After(fd.timeouts-1))
+	call, cancel := context.WithTimeout(ctx, firstByteTimeout.Delay(fd.timeouts-1))
 	defer cancel()
 	sent := fd.clock.Now()
 	item, at, err := fd.store.Get(call, fd.opts.Key, most)
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -52,7 +52,7 @@
 type Local struct {
 	// VMs returns the number of workers that the platform lists.
 	VMs     func() int
-	Room    func() (ledger.Room, int)
+	Room    func() (ledger.Summary, int)
 	Hold    func(nodemsg.Hold) nodemsg.Held
 	Commit  func(context.Context, nodemsg.Commit) nodemsg.Fates
 	Release func(nodemsg.Release)
@@ -206,8 +206,8 @@
 		switch {
 		case act.Try != nil:
 			hm.startTry(act.Try)
-		case act.Late != nil:
-			hm.late(act.Late.Job)
+		case act.Expired != nil:
+			hm.late(act.Expired.Job)
 		}
 	}
 }
@@ -224,12 +224,12 @@
 // is told by the largest ever seen, since workers may be away for a while.
 func (hm *Home) measure() {
 	room, _ := hm.Local.Room()
-	total, free, largest, count := room.Capacity, room.Free, room.Biggest, room.Workers
+	total, free, largest, count := room.Capacity, room.Free, room.LargestCapacity, room.Workers
 	for _, vw := range hm.Member.Peers() {
 		rm := vw.Room()
 		total = total.Add(rm.Capacity)
 		free = free.Add(rm.Free)
-		largest = largest.Max(rm.Biggest)
+		largest = largest.Max(rm.LargestCapacity)
 		count += rm.Workers
 	}
 	hm.mu.Lock()
--- a/internal/home/place.go
+++ b/internal/home/place.go
@@ -7,8 +7,8 @@
 	"github.com/samber/lo"
 
 	"tackbeam.example/policy/backoff"
-	"tackbeam.example/policy/gather"
 	policy "tackbeam.example/policy/home"
+	"tackbeam.example/policy/ranking"
 	"tackbeam.example/tackbeam/internal/column"
 	"tackbeam.example/tackbeam/internal/fault"
 	"tackbeam.example/tackbeam/internal/ids"
@@ -28,7 +28,7 @@
 )
 
 // startPause is the pause before a job is placed again.
-var startPause = backoff.Backoff{First: 25 * time.Millisecond, Most: time.Second}
+var startPause = backoff.Backoff{Initial: 25 * time.Millisecond, Max: time.Second}
 
 // startTry lets a job try for room. The caller holds the lock.
 func (hm *Home) startTry(tr *policy.Try) {
@@ -75,8 +75,8 @@
 	have := hm.byOwner(sk.reserved)
 	left := without(rec.TaskIDs(rec.Attempt), sk.reserved)
 	var places []nodemsg.Place
-	want := gather.Want{Size: rec.Size, Tasks: rec.Tasks, Reserve: reserve}
-	for _, ask := range gather.Order(hm.owners(have), want) {
+	want := ranking.Request{Size: rec.Size, Tasks: rec.Tasks, Reserve: reserve}
+	for _, ask := range ranking.Order(hm.owners(have), want) {
 		tasks := left[:min(len(left), ask.Tasks)]
 		mine := have[ask.Owner]
 		if len(tasks)+len(mine) == 0 {
@@ -111,13 +111,13 @@
 
 // owners lists the owners of workers that a job may ask: this node, and the others
 // that are heard and stay.
-func (hm *Home) owners(have map[string][]nodemsg.Place) []gather.Owner {
+func (hm *Home) owners(have map[string][]nodemsg.Place) []ranking.Owner {
 	own := hm.Member.Node().Name
 	room, _ := hm.Local.Room()
-	list := []gather.Owner{{Name: own, Room: room, Have: len(have[own]), Near: true}}
+	list := []ranking.Owner{{Name: own, Summary: room, Placed: len(have[own]), Local: true}}
 	for _, vw := range hm.Member.Peers() {
 		if name := vw.Node().Name; vw.Heard() && !vw.Node().Leaving {
-			list = append(list, gather.Owner{Name: name, Room: vw.Room(), Have: len(have[name])})
+			list = append(list, ranking.Owner{Name: name, Summary: vw.Room(), Placed: len(have[name])})
 		}
 	}
 	return list
@@ -180,11 +180,11 @@
 		go hm.releaseAll(rec, places)
 		hm.settleWaiting(en, "cancelled")
 	case places == nil:
-		again := policy.Again(hm.now(), rec.Attempt)
+		again := policy.RetryAt(hm.now(), rec.Attempt)
 		if en.reserving {
 			again = hm.now() + reservePause
 		}
-		hm.step(policy.Event{NotPlaced: &policy.NotPlaced{Job: rec.ID, Again: again}})
+		hm.step(policy.Event{NotPlaced: &policy.NotPlaced{Job: rec.ID, RetryAt: again}})
 	default:
 		hm.intend(en, places)
 	}
@@ -241,7 +241,7 @@
 			return
 		}
 		again := hm.now() + startPause.Jittered(rec.Attempt) // there was room, but no store
-		hm.step(policy.Event{NotPlaced: &policy.NotPlaced{Job: rec.ID, Again: again}})
+		hm.step(policy.Event{NotPlaced: &policy.NotPlaced{Job: rec.ID, RetryAt: again}})
 		return
 	}
 	rec.Cancelled = en.rec.Cancelled
--- a/internal/home/see.go
+++ b/internal/home/see.go
@@ -45,9 +45,9 @@
 	for {
 		step, places, number := hm.next(en)
 		switch step {
-		case attempt.Ask:
+		case attempt.Query:
 			hm.learn(en, number, hm.order(nodemsg.VerbFate, places))
-		case attempt.Go:
+		case attempt.Start:
 			hm.learn(en, number, hm.order(nodemsg.VerbGo, places))
 		case attempt.Stop:
 			hm.learn(en, number, hm.order(nodemsg.VerbStop, places))
@@ -109,7 +109,7 @@
 // next decides the next step of a job's attempt and carries the ones out that
 // end it. For the others it returns the places concerned, and the job counts as
 // busy until release.
-func (hm *Home) next(en *entry) (attempt.Step, []nodemsg.Place, int) {
+func (hm *Home) next(en *entry) (attempt.Action, []nodemsg.Place, int) {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	if en.frozen || en.rec.State != job.Placed {
@@ -117,10 +117,10 @@
 	}
 	step := attempt.Next(en.statuses, en.rec.Rules())
 	switch step {
-	case attempt.Ask:
+	case attempt.Query:
 		en.busy++
 		return step, en.in(attempt.Unknown), en.rec.Attempt
-	case attempt.Go:
+	case attempt.Start:
 		en.busy++
 		return step, en.in(attempt.Prepared), en.rec.Attempt
 	case attempt.Stop:
@@ -132,7 +132,7 @@
 		hm.settle(en, job.NotRun, "", "cancelled")
 	case attempt.Ran:
 		hm.settle(en, job.Ran, result(en.statuses), "")
-	case attempt.Doubt:
+	case attempt.Indeterminate:
 		hm.settle(en, job.Unknown, "", "a worker was lost while the job ran")
 	}
 	return step, nil, en.rec.Attempt
@@ -171,7 +171,7 @@
 // retry lets a job try for room again, unless too many attempts failed. The
 // caller holds the lock.
 func (hm *Home) retry(en *entry) {
-	if attempt.Began(en.statuses) {
+	if attempt.AnyStarted(en.statuses) {
 		en.rec.Begun++
 	}
 	if failed(en.statuses) {
@@ -239,20 +239,20 @@
 // setStatus notes what is known of one task. What is final stays. The caller
 // holds the lock.
 func (hm *Home) setStatus(en *entry, index int, st attempt.Status) {
-	if index < 0 || index >= len(en.statuses) || en.statuses[index] >= attempt.Unbegun || st == attempt.Unknown {
+	if index < 0 || index >= len(en.statuses) || en.statuses[index] >= attempt.NotStarted || st == attempt.Unknown {
 		return
 	}
 	if st == attempt.Prepared && en.statuses[index] == attempt.Running {
 		return // an older answer
 	}
-	if st == attempt.Unbegun && en.statuses[index] == attempt.Running {
+	if st == attempt.NotStarted && en.statuses[index] == attempt.Running {
 		st = attempt.Lost // it began, whatever a worker remembers
 	}
 	if st == en.statuses[index] {
 		return
 	}
 	en.statuses[index] = st
-	if st >= attempt.Unbegun && !en.frozen {
+	if st >= attempt.NotStarted && !en.frozen {
 		hm.step(policy.Event{TaskEnded: &policy.TaskEnded{Job: en.rec.ID, OK: st == attempt.OK}})
 	}
 	en.kick.Give()
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -117,7 +117,7 @@
 	if !hm.complete {
 		return nil // a larger worker may yet be seen
 	}
-	why := hm.machine.Forbids(policy.Submit{Workspace: req.Workspace, Tasks: req.Tasks, Size: req.Size})
+	why := hm.machine.Infeasible(policy.Submit{Workspace: req.Workspace, Tasks: req.Tasks, Size: req.Size})
 	if why != "" {
 		return fault.New(fault.NeverFits, "workload/%s %s; not run", req.Workload, why)
 	}
@@ -169,7 +169,7 @@
 func (hm *Home) submitEvent(en *entry, again time.Duration) *policy.Submit {
 	sb := &policy.Submit{
 		Job: en.rec.ID, Workspace: en.rec.Workspace, Tasks: en.rec.Tasks, Size: en.rec.Size,
-		Priority: en.rec.Priority, Again: again, Workload: en.rec.Workload,
+		Priority: en.rec.Priority, RetryAt: again, Workload: en.rec.Workload,
 		Urgent: en.rec.Priority >= column.MaxPriority,
 		Waited: max(0, hm.Clock.Since(en.rec.Submitted)),
 	}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -116,8 +116,8 @@
 // Rules returns what the next step of an attempt depends on.
 func (rc Record) Rules() attempt.Rules {
 	return attempt.Rules{
-		Together: rc.Class == "gang", Repeatable: rc.Repeatable, Cancelled: rc.Cancelled,
-		Begun: rc.Begun > 0,
+		Gang: rc.Class == "gang", Repeatable: rc.Repeatable, Cancelled: rc.Cancelled,
+		Started: rc.Begun > 0,
 	}
 }
 
@@ -136,15 +136,15 @@
 		if begun {
 			return attempt.Lost // it began, and its end was forgotten
 		}
-		return attempt.Unbegun
+		return attempt.NotStarted
 	case workermsg.Stopped:
 		if !begun {
-			return attempt.Unbegun
+			return attempt.NotStarted
 		}
 		return attempt.Stopped
 	case workermsg.Lapsed:
 		if !begun {
-			return attempt.Unbegun
+			return attempt.NotStarted
 		}
 		return attempt.Lost
 	}
@@ -171,6 +171,6 @@
 
 var statusNames = map[attempt.Status]string{
 	attempt.Unknown: "unknown", attempt.Prepared: "prepared", attempt.Running: "running",
-	attempt.Unbegun: "not begun", attempt.OK: "ok", attempt.Failed: "failed",
+	attempt.NotStarted: "not begun", attempt.OK: "ok", attempt.Failed: "failed",
 	attempt.Stopped: "stopped", attempt.Lost: "lost",
 }
--- a/internal/job/model_test.go
+++ b/internal/job/model_test.go
@@ -42,7 +42,7 @@
 	workers  map[place]workermsg.State
 	begun    map[place]bool
 	begins   map[int]int
-	final    attempt.Step
+	final    attempt.Action
 }
 
 func newWorld(tasks int, rl attempt.Rules) *world {
@@ -68,17 +68,17 @@
 		return
 	}
 	switch step := attempt.Next(wo.statuses, wo.rules); step {
-	case attempt.Ask:
+	case attempt.Query:
 		wo.send("fence", attempt.Unknown)
-	case attempt.Go:
+	case attempt.Start:
 		wo.send("go", attempt.Prepared)
 	case attempt.Stop:
 		wo.send("stop", attempt.Prepared)
 		wo.send("stop", attempt.Running)
 	case attempt.Retry:
-		wo.rules.Begun = wo.rules.Begun || attempt.Began(wo.statuses)
+		wo.rules.Started = wo.rules.Started || attempt.AnyStarted(wo.statuses)
 		wo.start()
-	case attempt.NotRun, attempt.Ran, attempt.Doubt:
+	case attempt.NotRun, attempt.Ran, attempt.Indeterminate:
 		wo.final = step
 	}
 }
@@ -122,7 +122,7 @@
 }
 
 func (wo *world) learn(od order) {
-	if od.attempt != wo.number || !wo.kept || wo.statuses[od.index] >= attempt.Unbegun {
+	if od.attempt != wo.number || !wo.kept || wo.statuses[od.index] >= attempt.NotStarted {
 		return
 	}
 	st := job.StatusOf(od.state, od.begun)
@@ -187,7 +187,7 @@
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wo := newWorld(rapid.IntRange(1, 3).Draw(rt, "tasks"), attempt.Rules{
-			Together: rapid.Bool().Draw(rt, "gang"), Repeatable: rapid.Bool().Draw(rt, "repeatable"),
+			Gang: rapid.Bool().Draw(rt, "gang"), Repeatable: rapid.Bool().Draw(rt, "repeatable"),
 		})
 		wo.start()
 		for range rapid.IntRange(0, 60).Draw(rt, "events") {
@@ -255,7 +255,7 @@
 }
 
 func ExampleStatusOf() {
-	fmt.Println(job.StatusOf(workermsg.Stopped, false) == attempt.Unbegun)
+	fmt.Println(job.StatusOf(workermsg.Stopped, false) == attempt.NotStarted)
 	fmt.Println(job.StatusOf(workermsg.Never, true) == attempt.Lost)
 	// Output:
 	// true
--- a/internal/kv/retry.go
+++ b/internal/kv/retry.go
@@ -15,9 +15,9 @@
 
 var (
 	// awayPause is the pause while the service is away.
-	awayPause = backoff.Backoff{First: 80 * time.Millisecond, Most: 80 * time.Millisecond}
+	awayPause = backoff.Backoff{Initial: 80 * time.Millisecond, Max: 80 * time.Millisecond}
 	// limitedPause is the pause while calls are over its rate.
-	limitedPause = backoff.Backoff{First: 160 * time.Millisecond, Most: 5 * time.Second}
+	limitedPause = backoff.Backoff{Initial: 160 * time.Millisecond, Max: 5 * time.Second}
 )
 
 // After returns the pause after a try that ended with an error.
--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -27,7 +27,7 @@
 func (vw View) Heard() bool { return vw.heard }
 
 // Room returns the digest of the node's ledger.
-func (vw View) Room() ledger.Room { return vw.beat.Room }
+func (vw View) Room() ledger.Summary { return vw.beat.Room }
 
 // Beat returns the node's last heartbeat.
 func (vw View) Beat() nodemsg.Beat { return vw.beat }
--- a/internal/nodemsg/nodemsg.go
+++ b/internal/nodemsg/nodemsg.go
@@ -41,15 +41,15 @@
 
 // Beat is a node's heartbeat; the answer is the other node's.
 type Beat struct {
-	Node        string      `cbor:"1,keyasint"`
-	Incarnation string      `cbor:"2,keyasint"`
-	MapEpoch    uint64      `cbor:"3,keyasint"`
-	Digest      uint64      `cbor:"4,keyasint"`
-	Room        ledger.Room `cbor:"5,keyasint"`
-	Waiting     int         `cbor:"6,keyasint"`
-	Hears       []string    `cbor:"7,keyasint,omitempty"`
-	StoreDown   bool        `cbor:"8,keyasint,omitempty"`
-	Draining    bool        `cbor:"9,keyasint,omitempty"`
+	Node        string         `cbor:"1,keyasint"`
+	Incarnation string         `cbor:"2,keyasint"`
+	MapEpoch    uint64         `cbor:"3,keyasint"`
+	Digest      uint64         `cbor:"4,keyasint"`
+	Room        ledger.Summary `cbor:"5,keyasint"`
+	Waiting     int            `cbor:"6,keyasint"`
+	Hears       []string       `cbor:"7,keyasint,omitempty"`
+	StoreDown   bool           `cbor:"8,keyasint,omitempty"`
+	Draining    bool           `cbor:"9,keyasint,omitempty"`
 }
 
 // Row is one row of the table as nodes push it, with the store's version.
@@ -307,22 +307,22 @@
 
 // NodeInfo is what operators see of a node.
 type NodeInfo struct {
-	Name        string      `cbor:"1,keyasint" json:"name"`
-	Incarnation string      `cbor:"2,keyasint" json:"incarnation"`
-	Region      string      `cbor:"3,keyasint" json:"region"`
-	Hall        string      `cbor:"4,keyasint" json:"hall"`
-	State       string      `cbor:"5,keyasint" json:"state"`
-	MapEpoch    uint64      `cbor:"6,keyasint" json:"map_epoch"`
-	TableRev    uint64      `cbor:"7,keyasint" json:"table_version"`
-	Stale       bool        `cbor:"8,keyasint" json:"stale"`
-	StoreDown   bool        `cbor:"9,keyasint" json:"store_down"`
-	Racks       int         `cbor:"10,keyasint" json:"racks"`
-	Partitions  int         `cbor:"11,keyasint" json:"partitions"`
-	Room        ledger.Room `cbor:"12,keyasint" json:"room"`
-	WaitingJobs int         `cbor:"13,keyasint" json:"waiting_jobs"`
-	Waiting     int         `cbor:"14,keyasint" json:"waiting_lookups"`
-	Control     Control     `cbor:"15,keyasint" json:"control"`
-	HTTP        string      `cbor:"16,keyasint" json:"http"`
+	Name        string         `cbor:"1,keyasint" json:"name"`
+	Incarnation string         `cbor:"2,keyasint" json:"incarnation"`
+	Region      string         `cbor:"3,keyasint" json:"region"`
+	Hall        string         `cbor:"4,keyasint" json:"hall"`
+	State       string         `cbor:"5,keyasint" json:"state"`
+	MapEpoch    uint64         `cbor:"6,keyasint" json:"map_epoch"`
+	TableRev    uint64         `cbor:"7,keyasint" json:"table_version"`
+	Stale       bool           `cbor:"8,keyasint" json:"stale"`
+	StoreDown   bool           `cbor:"9,keyasint" json:"store_down"`
+	Racks       int            `cbor:"10,keyasint" json:"racks"`
+	Partitions  int            `cbor:"11,keyasint" json:"partitions"`
+	Room        ledger.Summary `cbor:"12,keyasint" json:"room"`
+	WaitingJobs int            `cbor:"13,keyasint" json:"waiting_jobs"`
+	Waiting     int            `cbor:"14,keyasint" json:"waiting_lookups"`
+	Control     Control        `cbor:"15,keyasint" json:"control"`
+	HTTP        string         `cbor:"16,keyasint" json:"http"`
 }
 
 // Control is what a node has spent on control since it started.
--- a/internal/owner/lookup.go
+++ b/internal/owner/lookup.go
@@ -96,7 +96,7 @@
 	ow.mu.Lock()
 	ow.gainRetry(req.Workspace)
 	ow.lookups[lk.id] = lk
-	ow.step(policy.Event{Arrive: &policy.Arrive{
+	ow.step(policy.Event{Lookup: &policy.Lookup{
 		ID: lk.name(), Workspace: req.Workspace, Workload: req.Workload, Weight: req.Weight,
 		Size: req.Size, Deadline: ow.now() + deadline.Sub(ow.Clock.Now()),
 	}})
@@ -126,7 +126,7 @@
 	lk.left = true
 	if lk.worker == "" {
 		delete(ow.lookups, lk.id)
-		ow.step(policy.Event{Done: &policy.Done{ID: lk.name()}})
+		ow.step(policy.Event{LookupDone: &policy.LookupDone{ID: lk.name()}})
 		return end{err: fault.New(fault.Full, "no slot came free before the deadline; not run")}
 	}
 	return end{err: fault.New(fault.Timeout, "worker %s did not answer in time", lk.worker).AfterStart()}
@@ -141,7 +141,7 @@
 }
 
 // sendLookup carries out the machine's decision. The caller holds the lock.
-func (ow *Owner) sendLookup(sd *policy.Send) {
+func (ow *Owner) sendLookup(sd *policy.Dispatch) {
 	id, _ := lookupID(sd.ID)
 	lk, ok := ow.lookups[id]
 	kp := ow.keepers[sd.Worker]
@@ -204,7 +204,7 @@
 		ow.Meter.Count(CounterLate, 1)
 	}
 	lk.done <- en
-	ow.step(policy.Event{Done: &policy.Done{ID: lk.name(), Latency: latency, Failed: en.failed}})
+	ow.step(policy.Event{LookupDone: &policy.LookupDone{ID: lk.name(), Latency: latency, Failed: en.failed}})
 }
 
 // onAnswer takes a worker's answer. One that belongs to no lookup on its way is
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -120,7 +120,7 @@
 func (wo *world) hold(t *rapid.T) {
 	hd := owner.Hold{
 		ID: fmt.Sprint("h", wo.count), Size: size.New(1000*rapid.Int64Range(1, 4).Draw(t, "cores"), rapid.Int64Range(0, 60).Draw(t, "memory"), 0),
-		Priority: rapid.IntRange(4, 9).Draw(t, "priority"), Age: int64(wo.count), Reserve: rapid.Bool().Draw(t, "reserve"),
+		Priority: rapid.IntRange(4, 9).Draw(t, "priority"), SubmittedAt: int64(wo.count), Reserve: rapid.Bool().Draw(t, "reserve"),
 		Repeatable: rapid.Bool().Draw(t, "repeatable"), Run: time.Duration(rapid.IntRange(0, 20).Draw(t, "run")) * time.Second,
 	}
 	wo.count++
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -177,13 +177,13 @@
 	ev.At = ow.now()
 	acts := ow.machine.Step(ev)
 	ow.Recorder.Owner(ev, acts)
-	if ev.Tick == nil && ow.machine.AwaitsTime() {
+	if ev.Tick == nil && ow.machine.NeedsTick() {
 		ow.pacer.Kick()
 	}
 	for _, act := range acts {
 		switch {
-		case act.Send != nil:
-			ow.sendLookup(act.Send)
+		case act.Dispatch != nil:
+			ow.sendLookup(act.Dispatch)
 		case act.Refuse != nil:
 			ow.refuseLookup(act.Refuse)
 		case act.Preempt != nil:
@@ -198,14 +198,14 @@
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.step(policy.Event{Tick: &policy.Tick{}})
-	return ow.machine.AwaitsTime()
+	return ow.machine.NeedsTick()
 }
 
 // Room returns the digest of the ledger and the number of waiting lookups.
-func (ow *Owner) Room() (ledger.Room, int) {
+func (ow *Owner) Room() (ledger.Summary, int) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	return ow.machine.Ledger().Room(), ow.machine.Waiting()
+	return ow.machine.Ledger().Summary(), ow.machine.Waiting()
 }
 
 // Load returns the load of the ledger and the number of waiting lookups.
--- a/internal/owner/task.go
+++ b/internal/owner/task.go
@@ -30,7 +30,7 @@
 	defer ow.mu.Unlock()
 	acts := ow.step(policy.Event{Hold: &policy.Hold{
 		ID: hd.ID, Tasks: hd.Tasks, Size: hd.Size, Expires: ow.now() + hd.Expires,
-		Priority: hd.Priority, Age: hd.Age, Reserve: hd.Reserve, Urgent: hd.Urgent,
+		Priority: hd.Priority, SubmittedAt: hd.Age, Reserve: hd.Reserve, Urgent: hd.Urgent,
 		Repeatable: hd.Repeatable, Run: hd.Run,
 	}})
 	for _, act := range acts {
--- a/internal/owner/view.go
+++ b/internal/owner/view.go
@@ -44,7 +44,7 @@
 		case vw.State != StateReady:
 		case ac.Leaving:
 			vw.State = StateLeaving
-		case ac.Resting:
+		case ac.Quarantined:
 			vw.State = StateResting
 		}
 	}
--- a/internal/planner/bed_test.go
+++ b/internal/planner/bed_test.go
@@ -15,7 +15,7 @@
 	"github.com/rcrowley/go-metrics"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 
@@ -191,7 +191,7 @@
 
 // decodeEntry reads a worker's entry: words, some of which have another after them.
 func decodeEntry(id, value string) planner.Entry {
-	en := planner.Entry{Worker: cell.Worker{ID: life.Of(id, 0), Service: "svc"}}
+	en := planner.Entry{Worker: cell.Worker{ID: incarnation.New(id, 0), Service: "svc"}}
 	capacity := int64(usualRoom)
 	words := strings.Fields(value)
 	for at, word := range words {
@@ -202,7 +202,7 @@
 			capacity, _ = strconv.ParseInt(words[at+1], 10, 64) // tests write it well
 		case "born":
 			born, _ := strconv.ParseInt(words[at+1], 10, 64)
-			en.ID = life.Of(id, born)
+			en.ID = incarnation.New(id, born)
 		case "draining":
 			en.Draining = true
 		}
--- a/internal/planner/lead.go
+++ b/internal/planner/lead.go
@@ -10,7 +10,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/bootclock"
 	"tackbeam.example/tackbeam/internal/joblog"
@@ -84,16 +84,16 @@
 	journaled chan struct{}
 	// committed is closed, and replaced, with each write of records.
 	committed chan struct{}
-	sessions  map[life.Life]*session
+	sessions  map[incarnation.ID]*session
 	// present are the sessions of the lives that are there by now, by the workers' ids.
 	present map[string]*session
 	// fences counts the sessions with each worker, by its id.
 	fences map[string]uint64
 	// old are the workers of earlier planners that have neither answered nor lapsed;
 	// true where they may hold any task, so that all old tasks wait for them.
-	old map[life.Life]bool
+	old map[incarnation.ID]bool
 	// earlier are all lives that earlier planners recorded, by the workers' ids.
-	earlier  map[string][]life.Life
+	earlier  map[string][]incarnation.ID
 	records  recorder
 	patience patience
 	losses   losses
@@ -122,8 +122,8 @@
 	const runsAReign = 64
 	ld := &lead{
 		parts: pt, clock: pt.Clock, log: log, reign: reign, began: pt.Clock.Now(),
-		lease: usualLease, sessions: map[life.Life]*session{}, present: map[string]*session{}, fences: map[string]uint64{},
-		old: map[life.Life]bool{}, earlier: map[string][]life.Life{},
+		lease: usualLease, sessions: map[incarnation.ID]*session{}, present: map[string]*session{}, fences: map[string]uint64{},
+		old: map[incarnation.ID]bool{}, earlier: map[string][]incarnation.ID{},
 		holdLimiter: newHoldLimiter(pt.Clock), wake: wake.New(), journaled: make(chan struct{}), committed: make(chan struct{}),
 		cell: cell.New(cell.Options{
 			Keep:     pt.Site.Bounds.KeepEnded,
--- a/internal/planner/lives.go
+++ b/internal/planner/lives.go
@@ -5,7 +5,7 @@
 
 	"github.com/pkg/errors"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 )
@@ -41,7 +41,7 @@
 
 // matches reports whether an entry is of the session's life, as far as both say.
 func (se *session) matches(en Entry) bool {
-	born := en.ID.Born()
+	born := en.ID.StartedAt()
 	return born == 0 || born == se.born || se.born == 0 && !se.answered
 }
 
@@ -49,7 +49,7 @@
 // no runs until it has answered as either.
 func (se *session) expect(en Entry) {
 	ld := se.lead
-	if en.ID.Born() < se.born {
+	if en.ID.StartedAt() < se.born {
 		ld.log.Info("Entry of an earlier life of a worker is passed over.", "worker", se.life, "entry", en.ID)
 		return
 	}
@@ -77,7 +77,7 @@
 		ld.log.Info("Report of an earlier life of a worker is passed over.", "worker", se.life, "born", report.Born)
 		return false
 	}
-	next := life.Of(se.life.ID(), report.Born)
+	next := incarnation.New(se.life.WorkerID(), report.Born)
 	ld.log.Info("Worker has begun again under its id.", "worker", next, "before", se.life,
 		"clock", report.Clock.String(), "clock_before", se.clock.String())
 	se.replace(next)
@@ -85,7 +85,7 @@
 }
 
 // replace ends the session for another life of the worker, of which the entry may be yet to come.
-func (se *session) replace(next life.Life) {
+func (se *session) replace(next incarnation.ID) {
 	ld, now := se.lead, se.lead.now()
 	en := se.entry
 	listed := se.other != nil && se.other.ID == next
@@ -105,7 +105,7 @@
 
 // passOn has old tasks wait for the next life where they waited for the earlier one: a start that the
 // earlier planner had an answer to may have been carried out in either.
-func (ld *lead) passOn(earlier, next life.Life) {
+func (ld *lead) passOn(earlier, next incarnation.ID) {
 	if open, old := ld.old[earlier]; old {
 		ld.old[next] = open
 	}
@@ -123,7 +123,7 @@
 // id are over.
 func (se *session) firstAnswer(now time.Duration) {
 	ld := se.lead
-	for _, lf := range ld.earlier[se.life.ID()] {
+	for _, lf := range ld.earlier[se.life.WorkerID()] {
 		if _, old := ld.old[lf]; old && lf != se.life {
 			ld.log.Info("Worker's life is over.", "worker", lf)
 			ld.cell.Over(now, lf)
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/joblog"
 	"tackbeam.example/tackbeam/internal/kv"
@@ -98,8 +98,8 @@
 // restore takes in what earlier planners recorded.
 func (ld *lead) restore(now time.Duration, items []kv.Item) {
 	var all []cell.Record
-	workers := map[life.Life]cell.Record{}
-	stops := map[life.Life][]cell.Run{}
+	workers := map[incarnation.ID]cell.Record{}
+	stops := map[incarnation.ID][]cell.Run{}
 	for at, item := range items {
 		recs, err := joblog.Decode[[]cell.Record](item.Value)
 		if err != nil {
@@ -128,7 +128,7 @@
 			ld.cell.InheritLeft(now, id)
 		}
 		ld.old[id] = !rec.Closed
-		ld.earlier[id.ID()] = append(ld.earlier[id.ID()], id)
+		ld.earlier[id.WorkerID()] = append(ld.earlier[id.WorkerID()], id)
 	}
 }
 
@@ -163,7 +163,7 @@
 	return unproven + time.Duration(float64(ld.lease)*(1+drift)) + time.Second
 }
 
-func (ld *lead) lapseOld(now time.Duration, id life.Life) {
+func (ld *lead) lapseOld(now time.Duration, id incarnation.ID) {
 	delete(ld.old, id)
 	ld.cell.Lapsed(now, id)
 	ld.log.Info("Worker of an earlier planner has lapsed.", "worker", id)
--- a/internal/planner/look.go
+++ b/internal/planner/look.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 )
 
 // ask has a worker report at once.
-func (ld *lead) ask(id life.Life) {
+func (ld *lead) ask(id incarnation.ID) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	if se, ok := ld.sessions[id]; ok {
--- a/internal/planner/manyworkers_test.go
+++ b/internal/planner/manyworkers_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 	"tackbeam.example/tackbeam/internal/kv"
@@ -22,11 +22,11 @@
 
 	mu sync.Mutex
 	// connected holds the workers that have been called before.
-	connected map[life.Life]bool
+	connected map[incarnation.ID]bool
 }
 
 func newProcessor() *processor {
-	return &processor{busy: make(chan struct{}, 1), connected: map[life.Life]bool{}}
+	return &processor{busy: make(chan struct{}, 1), connected: map[incarnation.ID]bool{}}
 }
 
 // use waits for the processor and occupies it for span.
--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -8,7 +8,7 @@
 
 	"tackbeam.example/policy/backoff"
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 	"tackbeam.example/tackbeam/internal/fault"
@@ -27,7 +27,7 @@
 
 // stopPause is the pause before a stop that was not answered is sent again: a worker that crashed answers
 // none until another one is in its place.
-var stopPause = backoff.Backoff{First: 50 * time.Millisecond, Most: 800 * time.Millisecond}
+var stopPause = backoff.Backoff{Initial: 50 * time.Millisecond, Max: 800 * time.Millisecond}
 
 // start carries out one start.
 func (ld *lead) start(sr cell.Start) {
@@ -124,7 +124,7 @@
 
 // send carries an order other than a start to a worker. It reports false where the worker
 // is gone, or the reign over.
-func (ld *lead) send(id life.Life, order func(ctx context.Context, to agent.Target, token uint64) error) (se *session, sent bool, err error) {
+func (ld *lead) send(id incarnation.ID, order func(ctx context.Context, to agent.Target, token uint64) error) (se *session, sent bool, err error) {
 	ld.mu.Lock()
 	se, ok := ld.sessions[id]
 	ld.mu.Unlock()
@@ -156,7 +156,7 @@
 		return
 	}
 	ld.orderFailed(se, err)
-	if loop.Pause(ld.ctx, ld.clock, stopPause.After(sp.Tries)) {
+	if loop.Pause(ld.ctx, ld.clock, stopPause.Delay(sp.Tries)) {
 		ld.after(func(time.Duration) { ld.cell.StopLost(sp) })
 	}
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -259,12 +259,12 @@
 		bd.submit(nd, "b", 1)
 		time.Sleep(300 * time.Millisecond)
 		bd.fleet.SetFault(func(worker, _ string) memworkers.Fault {
-			if worker == began.Worker.ID() {
+			if worker == began.Worker.WorkerID() {
 				return memworkers.Silent
 			}
 			return memworkers.None
 		})
-		bd.store.Remove(workersPrefix + began.Worker.ID())
+		bd.store.Remove(workersPrefix + began.Worker.WorkerID())
 		bd.await("a", cell.Succeeded, time.Second)
 		bd.await("b", cell.Succeeded, 12*time.Second)
 	})
--- a/internal/planner/roster.go
+++ b/internal/planner/roster.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/kv"
 )
@@ -71,7 +71,7 @@
 
 // enter lists a worker if it is known, or if tasks may have to run on workers of its service.
 func (ld *lead) enter(key string, en Entry) {
-	if ld.present[en.ID.ID()] != nil || ld.inherited(en.ID) || ld.serves(en.Service) {
+	if ld.present[en.ID.WorkerID()] != nil || ld.inherited(en.ID) || ld.serves(en.Service) {
 		ld.list(en)
 		return
 	}
@@ -98,8 +98,8 @@
 }
 
 // inherited reports whether an earlier planner recorded a life of the worker that may hold runs.
-func (ld *lead) inherited(lf life.Life) bool {
-	return slices.ContainsFunc(ld.earlier[lf.ID()], func(one life.Life) bool {
+func (ld *lead) inherited(lf incarnation.ID) bool {
+	return slices.ContainsFunc(ld.earlier[lf.WorkerID()], func(one incarnation.ID) bool {
 		_, old := ld.old[one]
 		return old
 	})
@@ -107,7 +107,7 @@
 
 // list takes in an entry of a worker to use.
 func (ld *lead) list(en Entry) {
-	se, ok := ld.present[en.ID.ID()]
+	se, ok := ld.present[en.ID.WorkerID()]
 	switch {
 	case !ok:
 		ld.begin(en)
@@ -137,7 +137,7 @@
 // hold begins a session with a life of a worker.
 func (ld *lead) hold(en Entry) {
 	se := newSession(ld, en)
-	ld.sessions[se.life], ld.present[se.life.ID()] = se, se
+	ld.sessions[se.life], ld.present[se.life.WorkerID()] = se, se
 	ld.spawn(func() { se.run(ld.ctx) })
 }
 
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 	"tackbeam.example/tackbeam/internal/loop"
@@ -37,7 +37,7 @@
 // session is the planner's link to one life of a worker.
 type session struct {
 	lead  *lead
-	life  life.Life
+	life  incarnation.ID
 	entry Entry
 	// token is that of all orders of the session.
 	token uint64
@@ -64,7 +64,7 @@
 }
 
 func newSession(ld *lead, en Entry) *session {
-	return &session{lead: ld, life: en.ID, born: en.ID.Born(), entry: en, token: ld.fence(en.ID.ID())}
+	return &session{lead: ld, life: en.ID, born: en.ID.StartedAt(), entry: en, token: ld.fence(en.ID.WorkerID())}
 }
 
 // target is where the worker is called by its present entry. The caller does not hold the lock.
@@ -294,5 +294,5 @@
 func (se *session) end() {
 	se.ended = true
 	delete(se.lead.sessions, se.life)
-	delete(se.lead.present, se.life.ID())
+	delete(se.lead.present, se.life.WorkerID())
 }
--- a/internal/planner/waits.go
+++ b/internal/planner/waits.go
@@ -37,7 +37,7 @@
 		if _, exceeds := use.Workspace.Exceeds(use.Running); exceeds {
 			over++
 		}
-		if use.Running.Share(use.Workspace.Limit) >= nearly {
+		if use.Running.DominantShare(use.Workspace.Limit) >= nearly {
 			near++
 		}
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -27,7 +27,7 @@
 	mc := owner.New(owner.DefaultLimits())
 	for _, ev := range []owner.Event{
 		{WorkerUp: &owner.WorkerUp{Worker: ledger.Worker{Name: "w1", Capacity: size.New(1000, 64, 0), Slots: 1}}},
-		{At: time.Second, Arrive: &owner.Arrive{ID: "lookup-1", Weight: 1, Deadline: time.Minute}},
+		{At: time.Second, Lookup: &owner.Lookup{ID: "lookup-1", Weight: 1, Deadline: time.Minute}},
 	} {
 		rc.Owner(ev, mc.Step(ev))
 	}
--- a/internal/standin/memworkers/memworkers.go
+++ b/internal/standin/memworkers/memworkers.go
@@ -197,7 +197,7 @@
 		var report agent.Report
 		var changed chan struct{}
 		waits := false
-		err := fl.deliver(ctx, to.Life.ID(), "hold", func(wk *worker) error {
+		err := fl.deliver(ctx, to.Life.WorkerID(), "hold", func(wk *worker) error {
 			if asked == nil {
 				asked = wk
 			}
@@ -260,7 +260,7 @@
 	ctx context.Context, to agent.Target, token uint64, deadline time.Duration, sr cell.Start,
 ) (cell.Refusal, error) {
 	var refusal cell.Refusal
-	err := fl.deliver(ctx, to.Life.ID(), "start", func(wk *worker) error {
+	err := fl.deliver(ctx, to.Life.WorkerID(), "start", func(wk *worker) error {
 		if err := wk.admit(token); err != nil {
 			return err
 		}
@@ -287,7 +287,7 @@
 		})
 		fl.starts = append(fl.starts, sr)
 		if fl.crash.by(sr) {
-			fl.clock.AfterFunc(crashAfter, func() { fl.Crash(to.Life.ID()) })
+			fl.clock.AfterFunc(crashAfter, func() { fl.Crash(to.Life.WorkerID()) })
 		}
 		return nil
 	})
@@ -318,7 +318,7 @@
 }
 
 func (fl *Fleet) stop(ctx context.Context, to agent.Target, token uint64, sp cell.Stop) error {
-	return fl.deliver(ctx, to.Life.ID(), "stop", func(wk *worker) error {
+	return fl.deliver(ctx, to.Life.WorkerID(), "stop", func(wk *worker) error {
 		if err := wk.admit(token); err != nil {
 			return err
 		}
@@ -331,5 +331,5 @@
 }
 
 func (fl *Fleet) pace(ctx context.Context, to agent.Target, token uint64, _ cell.Pace) error {
-	return fl.deliver(ctx, to.Life.ID(), "pace", func(wk *worker) error { return wk.admit(token) })
+	return fl.deliver(ctx, to.Life.WorkerID(), "pace", func(wk *worker) error { return wk.admit(token) })
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -242,7 +242,7 @@
 	return res, oc, err
 }
 
-var pauses = backoff.Backoff{First: 20 * time.Millisecond, Most: 2 * time.Second}
+var pauses = backoff.Backoff{Initial: 20 * time.Millisecond, Max: 2 * time.Second}
 
 // Backoff returns the pause before try n, doubled each time up to two seconds,
 // with jitter.
--- a/internal/trial/clock.go
+++ b/internal/trial/clock.go
@@ -22,9 +22,9 @@
 
 // next takes the next plan and its time, or reports false where there is none.
 func (ck *clock) next() (at time.Duration, act func(), ok bool) {
-	if at, ok = ck.plans.First(); !ok {
+	if at, ok = ck.plans.NextDue(); !ok {
 		return 0, nil, false
 	}
-	act, ok = ck.plans.Next(math.MaxInt64)
+	act, ok = ck.plans.PopDue(math.MaxInt64)
 	return at, act, ok
 }
--- a/internal/trial/machines.go
+++ b/internal/trial/machines.go
@@ -21,7 +21,7 @@
 	atOnce       = 64
 )
 
-var startPause = backoff.Backoff{First: 25 * time.Millisecond, Most: time.Second}
+var startPause = backoff.Backoff{Initial: 25 * time.Millisecond, Max: time.Second}
 
 // variant is what one policy changes of the decisions.
 type variant struct {
@@ -39,7 +39,7 @@
 	variant variant
 	home    *home.Machine
 	owners  []*owner.Machine
-	rooms   []ledger.Room
+	rooms   []ledger.Summary
 	of      map[string]int // the owner of each worker
 	held    map[string]map[int][]owner.Place
 	keeps   map[string]bool
@@ -57,7 +57,7 @@
 	for range max(1, wo.trace.Header().Owners) {
 		ma.owners = append(ma.owners, owner.New(vr.limits))
 	}
-	ma.rooms = make([]ledger.Room, len(ma.owners))
+	ma.rooms = make([]ledger.Summary, len(ma.owners))
 	return decider{
 		workerUp: ma.workerUp, workerGone: ma.workerGone, limits: ma.limits, submit: ma.submit,
 		cancel: ma.gone, again: ma.again, ended: ma.ended, gone: ma.gone, ask: ma.ask, done: ma.done, tick: ma.tick,
@@ -86,8 +86,8 @@
 	ma.wo.measure.decided(time.Since(began), ev.Tick == nil)
 	for _, act := range acts {
 		switch {
-		case act.Send != nil:
-			ma.wo.send(ma.wo.lookups[act.Send.ID], act.Send.Worker)
+		case act.Dispatch != nil:
+			ma.wo.send(ma.wo.lookups[act.Dispatch.ID], act.Dispatch.Worker)
 		case act.Refuse != nil:
 			ma.wo.shed(ma.wo.lookups[act.Refuse.ID])
 		case act.Preempt != nil:
@@ -122,7 +122,7 @@
 	if ma.wo.now-ma.beaten >= beatTime {
 		ma.beaten = ma.wo.now
 		for at, mc := range ma.owners {
-			ma.rooms[at] = mc.Ledger().Room()
+			ma.rooms[at] = mc.Ledger().Summary()
 		}
 	}
 	if ma.wo.now-ma.told >= measureTime {
@@ -135,14 +135,14 @@
 func (ma *machines) tell() {
 	for at, rm := range ma.rooms {
 		if at == 0 || rm.Workers == 0 {
-			ma.rooms[at] = ma.owners[at].Ledger().Room()
+			ma.rooms[at] = ma.owners[at].Ledger().Summary()
 		}
 	}
 	now := home.Capacity{}
 	for _, rm := range ma.rooms {
 		now.Total = now.Total.Add(rm.Capacity)
 		now.Free = now.Free.Add(rm.Free)
-		now.Largest = now.Largest.Max(rm.Biggest)
+		now.Largest = now.Largest.Max(rm.LargestCapacity)
 	}
 	ma.largest.Total, ma.largest.Largest = ma.largest.Total.Max(now.Total), ma.largest.Largest.Max(now.Largest)
 	now.Total, now.Largest = ma.largest.Total, ma.largest.Largest
@@ -155,7 +155,7 @@
 		ma.tell()
 	}
 	sb := ma.event(jb)
-	if why := ma.home.Forbids(*sb); why != "" {
+	if why := ma.home.Infeasible(*sb); why != "" {
 		return why
 	}
 	ma.homeStep(home.Event{Submit: sb})
@@ -177,7 +177,7 @@
 func (ma *machines) again(jb *job) {
 	ma.homeStep(home.Event{Remove: &home.Remove{Job: jb.ID}})
 	sb := ma.event(jb)
-	sb.Again = ma.wo.now + startPause.After(jb.attempt)
+	sb.RetryAt = ma.wo.now + startPause.Delay(jb.attempt)
 	ma.homeStep(home.Event{Submit: sb})
 }
 
@@ -200,11 +200,11 @@
 			best, most = at, free
 		}
 	}
-	ma.ownerStep(best, owner.Event{Arrive: &owner.Arrive{
+	ma.ownerStep(best, owner.Event{Lookup: &owner.Lookup{
 		ID: lk.id, Workspace: lk.workspace, Weight: 1, Deadline: lk.deadline,
 	}})
 }
 
 func (ma *machines) done(lk *lookup, fails bool) {
-	ma.ownerStep(ma.of[lk.worker], owner.Event{Done: &owner.Done{ID: lk.id, Latency: lk.run, Failed: fails}})
+	ma.ownerStep(ma.of[lk.worker], owner.Event{LookupDone: &owner.LookupDone{ID: lk.id, Latency: lk.run, Failed: fails}})
 }
--- a/internal/trial/measure.go
+++ b/internal/trial/measure.go
@@ -157,7 +157,7 @@
 		if weight == 0 {
 			weight = 1
 		}
-		share := me.usedBy[name].Share(me.capacity) / weight
+		share := me.usedBy[name].DominantShare(me.capacity) / weight
 		if count == 0 || share < least {
 			least = share
 		}
--- a/internal/trial/seek.go
+++ b/internal/trial/seek.go
@@ -8,10 +8,10 @@
 
 	"github.com/samber/lo"
 
-	"tackbeam.example/policy/gather"
 	"tackbeam.example/policy/home"
 	"tackbeam.example/policy/ledger"
 	"tackbeam.example/policy/owner"
+	"tackbeam.example/policy/ranking"
 	"tackbeam.example/tackbeam/internal/column"
 )
 
@@ -25,15 +25,15 @@
 	have := ma.held[jb.ID]
 	var got []owner.Place
 	left := lo.Without(taskIDs(jb), lo.Map(flat(have), taskOf)...)
-	ma.rooms[0] = ma.owners[0].Ledger().Room()
+	ma.rooms[0] = ma.owners[0].Ledger().Summary()
 	index := map[string]int{}
-	owners := lo.Map(ma.rooms, func(rm ledger.Room, at int) gather.Owner {
+	owners := lo.Map(ma.rooms, func(rm ledger.Summary, at int) ranking.Owner {
 		name := fmt.Sprint(at)
 		index[name] = at
-		return gather.Owner{Name: name, Room: rm, Have: len(have[at])}
+		return ranking.Owner{Name: name, Summary: rm, Placed: len(have[at])}
 	})
 	places := map[int][]owner.Place{}
-	for _, ask := range gather.Order(owners, gather.Want{Size: jb.Size, Tasks: jb.Tasks, Reserve: reserve}) {
+	for _, ask := range ranking.Order(owners, ranking.Request{Size: jb.Size, Tasks: jb.Tasks, Reserve: reserve}) {
 		at := index[ask.Owner]
 		mine := lo.Map(have[at], taskOf)
 		tasks := append(mine, left[:min(len(left), ask.Tasks)]...)
@@ -59,9 +59,9 @@
 		ma.notPlaced(jb, ma.wo.now+reservePause)
 	default:
 		ma.release(jb)
-		again := home.Again(ma.wo.now, jb.attempt)
+		again := home.RetryAt(ma.wo.now, jb.attempt)
 		if ma.variant.backoff {
-			again = ma.wo.now + startPause.After(jb.attempt)
+			again = ma.wo.now + startPause.Delay(jb.attempt)
 		}
 		ma.notPlaced(jb, again)
 	}
@@ -70,14 +70,14 @@
 func (ma *machines) notPlaced(jb *job, again time.Duration) {
 	// The home hears of it after the step that asked for the try.
 	ma.wo.after(0, func() {
-		ma.homeStep(home.Event{NotPlaced: &home.NotPlaced{Job: jb.ID, Again: again}})
+		ma.homeStep(home.Event{NotPlaced: &home.NotPlaced{Job: jb.ID, RetryAt: again}})
 	})
 }
 
 func (ma *machines) hold(at int, jb *job, tr *home.Try, tasks []string, reserve bool) []owner.Place {
 	acts := ma.ownerStep(at, owner.Event{Hold: &owner.Hold{
 		ID: holdID(jb), Tasks: tasks, Size: jb.Size, Expires: ma.wo.now + holdTime, Priority: jb.Priority,
-		Age: int64(jb.submitted), Reserve: reserve, Urgent: jb.Priority >= column.MaxPriority,
+		SubmittedAt: int64(jb.submitted), Reserve: reserve, Urgent: jb.Priority >= column.MaxPriority,
 		Repeatable: jb.Repeatable, Run: tr.Run,
 	}})
 	for _, act := range acts {
@@ -113,7 +113,7 @@
 		for _, pl := range kept {
 			ma.ownerStep(ma.of[pl.Worker], owner.Event{Ended: &owner.Ended{Task: pl.Task}})
 		}
-		ma.notPlaced(jb, ma.wo.now+startPause.After(jb.attempt))
+		ma.notPlaced(jb, ma.wo.now+startPause.Delay(jb.attempt))
 		return
 	}
 	for _, pl := range kept {
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -36,9 +36,9 @@
 	list := []Policy{
 		ours(Now, "as nodes decide", whole, func(*variant) {}),
 		ours("no-backfill", "short tasks stay off workers kept for gangs", whole, func(vr *variant) { vr.limits.Backfill = false }),
-		ours("no-plan", "gangs reserve after two seconds, whatever their deadline", whole, func(vr *variant) { vr.home.Plan = false }),
+		ours("no-plan", "gangs reserve after two seconds, whatever their deadline", whole, func(vr *variant) { vr.home.DeferReservations = false }),
 		ours("backoff", "as before: tries after a pause, no plan, no backfill", whole, func(vr *variant) {
-			vr.backoff, vr.home.Plan, vr.limits.Backfill = true, false, false
+			vr.backoff, vr.home.DeferReservations, vr.limits.Backfill = true, false, false
 		}),
 	}
 	return append(list, Policy{name: "first-fit", about: "first come first fit, the baseline", make: newFirstFit})
--- a/policy/door/door.go
+++ b/policy/admission/admission.go
@@ -1,5 +1,5 @@
-// Package door decides which new jobs a cell refuses because more waits than it can start soon.
-package door
+// Package admission decides which new jobs a cell refuses because more waits than it can start soon.
+package admission
 
 import "time"
 
@@ -21,25 +21,25 @@
 	oldest = 3 * time.Second
 )
 
-// Door is what a node knows of the planner's backlog.
-type Door struct {
+// Controller is what a node knows of the planner's backlog.
+type Controller struct {
 	// urgent is how long the planner needs to start the urgent work that waits, all for all of it, as it
 	// said at a time.
 	urgent, all, at time.Duration
 }
 
-// Note takes in how long the planner needs to start the urgent work that waits, and all of it.
-func (dr *Door) Note(now, urgent, all time.Duration) { dr.urgent, dr.all, dr.at = urgent, all, now }
+// Update takes in how long the planner needs to start the urgent work that waits, and all of it.
+func (c *Controller) Update(now, urgent, all time.Duration) { c.urgent, c.all, c.at = urgent, all, now }
 
 // Refuse reports whether a new job is refused, and when its caller should come back: when as much
 // as is too much now has been started. A node that has not heard of the planner for a while takes
 // the job.
-func (dr *Door) Refuse(now time.Duration, urgent bool) (comeBack time.Duration, refuse bool) {
-	wait, most := dr.all, mostPatient
+func (c *Controller) Refuse(now time.Duration, urgent bool) (comeBack time.Duration, refuse bool) {
+	wait, most := c.all, mostPatient
 	if urgent {
-		wait, most = dr.urgent, mostUrgent
+		wait, most = c.urgent, mostUrgent
 	}
-	if wait <= most || now-dr.at > oldest {
+	if wait <= most || now-c.at > oldest {
 		return 0, false
 	}
 	return max(wait-most, leastComeBack), true
--- a/policy/door/door_test.go
+++ b/policy/admission/admission_test.go
@@ -1,4 +1,4 @@
-package door_test
+package admission_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"tackbeam.example/policy/door"
+	"tackbeam.example/policy/admission"
 )
 
 func TestRefuse(t *testing.T) {
@@ -28,8 +28,8 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var dr door.Door
-			dr.Note(time.Minute, tt.first, tt.all)
+			var dr admission.Controller
+			dr.Update(time.Minute, tt.first, tt.all)
 			comeBack, refuse := dr.Refuse(time.Minute+tt.age, tt.urgent)
 			is.Equal(comeBack, tt.comeBack)
 			is.Equal(refuse, tt.refuse)
@@ -37,9 +37,9 @@
 	}
 }
 
-func ExampleDoor() {
-	var dr door.Door
-	dr.Note(0, time.Second/2, 6*time.Second)
+func ExampleController() {
+	var dr admission.Controller
+	dr.Update(0, time.Second/2, 6*time.Second)
 	fmt.Println(dr.Refuse(time.Second, false))
 	fmt.Println(dr.Refuse(time.Second, true))
 	// Output:
--- a/policy/attempt/attempt.go
+++ b/policy/attempt/attempt.go
@@ -17,8 +17,8 @@
 	Prepared
 	// Running tasks have begun and not ended.
 	Running
-	// Unbegun tasks have not begun and cannot begin any more.
-	Unbegun
+	// NotStarted tasks have not begun and cannot begin any more.
+	NotStarted
 	// OK tasks have begun and succeeded.
 	OK
 	// Failed tasks have begun and failed.
@@ -32,28 +32,28 @@
 
 // Rules are what the decision depends on besides the statuses.
 type Rules struct {
-	// Together is set for gangs: one lost task ends the others.
-	Together bool
+	// Gang is set for gangs: one lost task ends the others.
+	Gang bool
 	// Repeatable allows a next attempt after one that began.
 	Repeatable bool
 	// Cancelled is set once the job is to end.
 	Cancelled bool
-	// Begun is set once an earlier attempt has begun: the job cannot be said not
+	// Started is set once an earlier attempt has begun: the job cannot be said not
 	// to have run any more.
-	Begun bool
+	Started bool
 }
 
-// Step is what to do next.
-type Step int
+// Action is what to do next.
+type Action int
 
 // The steps.
 const (
 	// Wait for a task to end.
-	Wait Step = iota
-	// Ask for the fate of the unknown tasks.
-	Ask
-	// Go tells the prepared tasks to begin.
-	Go
+	Wait Action = iota
+	// Query for the fate of the unknown tasks.
+	Query
+	// Start tells the prepared tasks to begin.
+	Start
 	// Stop the prepared and the running tasks.
 	Stop
 	// Retry with a next attempt.
@@ -62,8 +62,8 @@
 	NotRun
 	// Ran ends the job: every task began, and how each ended is known.
 	Ran
-	// Doubt ends the job: whether or how far it ran is unknown.
-	Doubt
+	// Indeterminate ends the job: whether or how far it ran is unknown.
+	Indeterminate
 )
 
 // counts is the number of tasks in each status.
@@ -84,49 +84,49 @@
 func (ct counts) broken() int { return ct[Failed] + ct[Stopped] + ct[Lost] }
 
 // Next returns the next step of an attempt with the tasks in these statuses.
-func Next(tasks []Status, rl Rules) Step {
+func Next(tasks []Status, rl Rules) Action {
 	ct := count(tasks)
 	switch {
 	case ct[Unknown] > 0:
-		return Ask
+		return Query
 	case rl.Cancelled && ct.open() > 0:
 		return Stop
-	case ct[Unbegun] == len(tasks):
+	case ct[NotStarted] == len(tasks):
 		return unbegun(rl)
-	case ct[Unbegun] > 0 && ct.open() > 0:
+	case ct[NotStarted] > 0 && ct.open() > 0:
 		return Stop
-	case ct[Unbegun] > 0:
-		return again(rl, Doubt)
+	case ct[NotStarted] > 0:
+		return again(rl, Indeterminate)
 	case ct[Prepared] > 0:
-		return Go
-	case rl.Together && ct.broken() > 0 && ct[Running] > 0:
+		return Start
+	case rl.Gang && ct.broken() > 0 && ct[Running] > 0:
 		return Stop
 	case ct[Running] > 0:
 		return Wait
 	case ct[OK] == len(tasks):
 		return Ran
 	case ct[Lost] > 0:
-		return again(rl, Doubt)
+		return again(rl, Indeterminate)
 	}
 	return again(rl, Ran)
 }
 
 // unbegun is the step after an attempt in which nothing began.
-func unbegun(rl Rules) Step {
+func unbegun(rl Rules) Action {
 	switch {
 	case !rl.Cancelled:
 		return Retry
-	case rl.Begun:
-		return Doubt
+	case rl.Started:
+		return Indeterminate
 	}
 	return NotRun
 }
 
-// Began reports whether any task of an ended attempt began, or may have.
-func Began(tasks []Status) bool { return count(tasks)[Unbegun] < len(tasks) }
+// AnyStarted reports whether any task of an ended attempt began, or may have.
+func AnyStarted(tasks []Status) bool { return count(tasks)[NotStarted] < len(tasks) }
 
 // again is the step after an attempt that began and did not succeed.
-func again(rl Rules, otherwise Step) Step {
+func again(rl Rules, otherwise Action) Action {
 	if rl.Repeatable && !rl.Cancelled {
 		return Retry
 	}
--- a/policy/cell/advice.go
+++ b/policy/cell/advice.go
@@ -4,14 +4,14 @@
 	"slices"
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
 // advice is what the advisor said of the workers for one step.
 type advice struct {
 	// verdicts hold for good: the leave of a worker that may run the step, nil for one that may not.
-	verdicts map[life.Life]*leave
+	verdicts map[incarnation.ID]*leave
 	// good are those that may.
 	good []*leave
 	// until is when the last of the tickets ends.
@@ -26,7 +26,7 @@
 
 // leave is the advisor's word that a worker may run the step.
 type leave struct {
-	id life.Life
+	id incarnation.ID
 	// worker is the one that had the id when it was last looked for.
 	worker *worker
 	// ticket proves the leave to the worker until a time.
@@ -36,12 +36,12 @@
 
 // Ticket is one row of an answer: the worker may run the step.
 type Ticket struct {
-	Worker life.Life
+	Worker incarnation.ID
 	Text   string
 }
 
 func newAdvice() advice {
-	return advice{verdicts: map[life.Life]*leave{}}
+	return advice{verdicts: map[incarnation.ID]*leave{}}
 }
 
 // advised reports whether the step runs only on workers that the advisor allows.
@@ -79,7 +79,7 @@
 }
 
 // lapse takes in that a worker did not take its ticket.
-func (ad *advice) lapse(id life.Life) {
+func (ad *advice) lapse(id incarnation.ID) {
 	if lv := ad.verdicts[id]; lv != nil {
 		lv.until = 0
 	}
--- a/policy/cell/advice_test.go
+++ b/policy/cell/advice_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -24,7 +24,7 @@
 	cl.Plan(0)
 	questions := cl.Take().Questions
 	is.Equal(len(questions), 1)
-	asked := map[life.Life]bool{}
+	asked := map[incarnation.ID]bool{}
 	var rows []cell.Ticket
 	for _, id := range questions[0].Workers {
 		asked[id] = true
@@ -32,7 +32,7 @@
 	}
 	cl.Advised(0, questions[0], rows, 0) // allowed, but the tickets are over
 	for n := range workers {
-		if id := life.Life(fmt.Sprintf("w%03d", n)); asked[id] {
+		if id := incarnation.ID(fmt.Sprintf("w%03d", n)); asked[id] {
 			// a run of another job that the worker had already
 			submit(cl, "job"+string(id), work.Step{Count: 1, Need: whole, Estimate: time.Minute}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 			cl.Report(0, id, 0, []cell.Run{{Task: work.Task{Job: "job" + string(id)}, Number: 1}}, nil)
--- a/policy/cell/asking.go
+++ b/policy/cell/asking.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
@@ -93,7 +93,7 @@
 // topUp adds workers never asked about, full ones too, to a question until it names as many
 // as are worth its time: a verdict holds for good, and the advisor's time goes by questions.
 // Asked only about workers with room, tasks that need whole ones put question after question.
-func (cl *Cell) topUp(st *step, names []life.Life) []life.Life {
+func (cl *Cell) topUp(st *step, names []incarnation.ID) []incarnation.ID {
 	least := leastAsked(st)
 	for cand := range st.advice.unasked(cl.wide(st)) {
 		if len(names) >= least {
@@ -147,7 +147,7 @@
 
 // ticketless names the workers of the openings whose tickets end by a time, and reports
 // whether the first ones, as many as the gang has tasks, are among them.
-func (st *step) ticketless(list []opening, need time.Duration) (names []life.Life, lacks bool) {
+func (st *step) ticketless(list []opening, need time.Duration) (names []incarnation.ID, lacks bool) {
 	seen := map[*worker]bool{}
 	for at, op := range list {
 		if !seen[op.worker] && !st.advice.goodUntil(op.worker, need) {
@@ -168,7 +168,7 @@
 	}
 	share := cl.queue(st.round.job.spec.Queue.Name).good
 	holds := total(slices.Collect(cl.holding(st, cl.allowed(st, nil), capacity)))
-	var names []life.Life
+	var names []incarnation.ID
 	if want := gangSpare*len(st.tasks) - holds; want > 0 {
 		names = pick(st.advice.unasked(cl.wide(st)), float64(want), share, leastAsked(st), mostAsked)
 	} else if len(st.claims) > 0 && st.expected-now > longGather {
@@ -191,8 +191,8 @@
 }
 
 // pick names workers until the room expected of the allowed ones suffices, a number at most.
-func pick(cands iter.Seq[candidate], want, share float64, least, most int) []life.Life {
-	var names []life.Life
+func pick(cands iter.Seq[candidate], want, share float64, least, most int) []incarnation.ID {
+	var names []incarnation.ID
 	for cand := range cands {
 		names = append(names, cand.worker.ID)
 		want -= float64(cand.room) * share
@@ -204,7 +204,7 @@
 }
 
 // question asks about workers, in as many questions of one size as it takes.
-func (cl *Cell) question(st *step, names []life.Life) {
+func (cl *Cell) question(st *step, names []incarnation.ID) {
 	if len(names) == 0 {
 		return
 	}
@@ -227,7 +227,7 @@
 }
 
 // put puts one question.
-func (cl *Cell) put(st *step, names []life.Life) {
+func (cl *Cell) put(st *step, names []incarnation.ID) {
 	st.advice.open++
 	st.advice.questions++
 	if !st.urgent() {
--- a/policy/cell/bed_test.go
+++ b/policy/cell/bed_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -22,7 +22,7 @@
 	now     time.Duration
 	cell    *cell.Cell
 	reign   int
-	workers map[life.Life]*fakeWorker
+	workers map[incarnation.ID]*fakeWorker
 	jobs    []*work.Job
 	cancels []string
 	records []cell.Record
@@ -49,7 +49,7 @@
 	// slowElect is how long some workers do not answer the next planner.
 	slowElect time.Duration
 	// unheard are the workers that have to report before the planner settles.
-	unheard map[life.Life]bool
+	unheard map[incarnation.ID]bool
 	// workspaces are the present settings, allowed the highest limits that may be in force.
 	workspaces map[string]work.Workspace
 	allowed    map[string]size.Size
@@ -89,19 +89,19 @@
 
 func newBed(t *testing.T, seed uint64, workers int) *bed {
 	bd := &bed{
-		t: t, rd: rand.New(rand.NewPCG(seed, 1)), workers: map[life.Life]*fakeWorker{},
+		t: t, rd: rand.New(rand.NewPCG(seed, 1)), workers: map[incarnation.ID]*fakeWorker{},
 		done: map[work.Task]bool{}, failed: map[work.Task]int{}, bad: map[string]bool{}, crashed: map[work.Task]int{}, away: awayFor,
-		unheard: map[life.Life]bool{}, workspaces: map[string]work.Workspace{}, allowed: map[string]size.Size{},
+		unheard: map[incarnation.ID]bool{}, workspaces: map[string]work.Workspace{}, allowed: map[string]size.Size{},
 	}
 	for n := range workers {
-		bd.addWorker(life.Life(fmt.Sprintf("w%02d", n)))
+		bd.addWorker(incarnation.ID(fmt.Sprintf("w%02d", n)))
 	}
 	bd.elect()
 	bd.carryOut()
 	return bd
 }
 
-func (bd *bed) addWorker(id life.Life) {
+func (bd *bed) addWorker(id incarnation.ID) {
 	bd.workers[id] = &fakeWorker{
 		Worker: cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0), Rack: "r" + string(id[len(id)-1:])},
 		runs:   map[work.Task]*fakeRun{}, stopping: map[work.Task]*fakeRun{}, fenced: map[work.Task]int{},
@@ -125,8 +125,8 @@
 		bd.cell.Cancel(bd.now, id, "")
 	}
 	bd.cell.Restore(bd.now, bd.records)
-	known := map[life.Life]cell.Record{}
-	stops := map[life.Life][]cell.Run{}
+	known := map[incarnation.ID]cell.Record{}
+	stops := map[incarnation.ID][]cell.Run{}
 	for at, rec := range bd.records {
 		switch {
 		case rec.Stop && at > len(bd.records)-100:
@@ -192,7 +192,7 @@
 	if name == "" {
 		return
 	}
-	sum := step.Room()
+	sum := step.Allocation()
 	for _, wk := range bd.workers {
 		if wk.dead {
 			continue
@@ -214,13 +214,13 @@
 func (bd *bed) quiet(wk *fakeWorker) bool { return wk.dead || wk.crashed || wk.silent > bd.now }
 
 // silence lets a worker fall silent for a while.
-func (bd *bed) silence(id life.Life, span time.Duration) {
+func (bd *bed) silence(id incarnation.ID, span time.Duration) {
 	bd.workers[id].silent = bd.now + span
 	bd.cell.Silent(bd.now, id)
 }
 
-func (bd *bed) ids() []life.Life {
-	var ids []life.Life
+func (bd *bed) ids() []incarnation.ID {
+	var ids []incarnation.ID
 	for id := range bd.workers {
 		ids = append(ids, id)
 	}
@@ -249,7 +249,7 @@
 }
 
 // report lets a worker report, as a hold does.
-func (bd *bed) report(id life.Life) {
+func (bd *bed) report(id incarnation.ID) {
 	wk := bd.workers[id]
 	wk.token = bd.reign
 	noted, _ := bd.cell.Noted(id)
@@ -325,7 +325,7 @@
 func (bd *bed) answer(qn cell.Question) {
 	var rows []cell.Ticket
 	for _, id := range qn.Workers {
-		if name := id.ID(); int(name[len(name)-1])%2 == 0 {
+		if name := id.WorkerID(); int(name[len(name)-1])%2 == 0 {
 			rows = append(rows, cell.Ticket{Worker: id, Text: qn.Step.StepName() + "/" + string(id)})
 		}
 	}
@@ -529,7 +529,7 @@
 const quarters = 4
 
 // resize lets a worker have a number of quarters of its room from now on.
-func (bd *bed) resize(id life.Life, parts int64) {
+func (bd *bed) resize(id incarnation.ID, parts int64) {
 	wk := bd.workers[id]
 	wk.before, wk.resized = wk.Capacity, bd.now
 	wk.Capacity = size.New(64000*parts/quarters, 128000, 0)
@@ -539,7 +539,7 @@
 }
 
 // crash takes a worker away with all that it runs.
-func (bd *bed) crash(id life.Life) {
+func (bd *bed) crash(id incarnation.ID) {
 	wk := bd.workers[id]
 	wk.dead = true
 	wk.runs, wk.stopping = map[work.Task]*fakeRun{}, map[work.Task]*fakeRun{}
@@ -555,7 +555,7 @@
 const mostStarts = 5
 
 // crashForNow has a worker crash, and another one begin in its place, or the same one again under its id.
-func (bd *bed) crashForNow(id life.Life) {
+func (bd *bed) crashForNow(id incarnation.ID) {
 	wk := bd.workers[id]
 	if wk.dead || wk.crashed {
 		return
@@ -567,9 +567,9 @@
 	}
 	bd.later = append(bd.later, timed{bd.now + bd.away, func() {
 		wk.dead = true
-		next := life.Life(fmt.Sprintf("%s.%d%c", id[:3], len(bd.workers), id[len(id)-1]))
+		next := incarnation.ID(fmt.Sprintf("%s.%d%c", id[:3], len(bd.workers), id[len(id)-1]))
 		if bd.again {
-			next = life.Of(id.ID(), id.Born()+1)
+			next = incarnation.New(id.WorkerID(), id.StartedAt()+1)
 			bd.cell.Follow(bd.now, id, next)
 		} else {
 			bd.cell.Over(bd.now, id)
--- a/policy/cell/busyday_test.go
+++ b/policy/cell/busyday_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -47,7 +47,7 @@
 	now     time.Duration
 	cell    *cell.Cell
 	reign   int
-	workers []life.Life
+	workers []incarnation.ID
 	// capacity is what each worker has.
 	capacity size.Size
 	streams  []stream
@@ -55,16 +55,16 @@
 	jobs     map[string]*arrival
 	order    []*arrival
 	runs     map[work.Task]*dayRun
-	ends     map[life.Life]int
+	ends     map[incarnation.ID]int
 	// dark is set while there is no planner; kept are the ends that workers keep meanwhile.
 	dark    bool
-	kept    map[life.Life][]cell.End
+	kept    map[incarnation.ID][]cell.End
 	queue   events
 	records []cell.Record
 	// asks is when each node that asks the advisor is free again.
 	asks []time.Duration
 	// used are the thousandths of a core in use on each worker.
-	used map[life.Life]int64
+	used map[incarnation.ID]int64
 	// questions counts those asked, misses those that found all nodes busy.
 	questions, misses int
 	// took is the advisor's time that each stream used, count its questions.
@@ -89,7 +89,7 @@
 
 type dayRun struct {
 	number  int
-	worker  life.Life
+	worker  incarnation.ID
 	started time.Duration
 	over    time.Duration
 	// from is the work that was done before, which the run goes on from once it is restored.
@@ -154,11 +154,11 @@
 	bd := &busyDay{
 		capacity: size.New(workerCores, workerMemory, accelerators),
 		rd:       rand.New(rand.NewPCG(seed, 7)), streams: streams, next: make([]time.Duration, len(streams)),
-		jobs: map[string]*arrival{}, runs: map[work.Task]*dayRun{}, ends: map[life.Life]int{}, kept: map[life.Life][]cell.End{},
-		asks: make([]time.Duration, nodes), used: map[life.Life]int64{},
+		jobs: map[string]*arrival{}, runs: map[work.Task]*dayRun{}, ends: map[incarnation.ID]int{}, kept: map[incarnation.ID][]cell.End{},
+		asks: make([]time.Duration, nodes), used: map[incarnation.ID]int64{},
 	}
 	for n := range workers {
-		bd.workers = append(bd.workers, life.Life(fmt.Sprintf("w%03d", n)))
+		bd.workers = append(bd.workers, incarnation.ID(fmt.Sprintf("w%03d", n)))
 	}
 	bd.elect()
 	return bd
@@ -322,7 +322,7 @@
 	bd.report(rn.worker, []cell.End{end})
 }
 
-func (bd *busyDay) report(id life.Life, ends []cell.End) {
+func (bd *busyDay) report(id incarnation.ID, ends []cell.End) {
 	var runs []cell.Run
 	for name, rn := range bd.runs {
 		if rn.worker == id {
@@ -382,7 +382,7 @@
 }
 
 // allows draws, always the same for a step and a worker, whether the advisor allows it.
-func allows(step string, worker life.Life, good float64) bool {
+func allows(step string, worker incarnation.ID, good float64) bool {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(step + "/" + string(worker)))
 	return float64(hash.Sum32()%1000) < 1000*good
--- a/policy/cell/cell.go
+++ b/policy/cell/cell.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"tackbeam.example/policy/forecast"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/quota"
 )
 
@@ -45,14 +45,14 @@
 	busy    time.Duration
 	asked   int
 	jobs    map[string]*job
-	workers map[life.Life]*worker
+	workers map[incarnation.ID]*worker
 	// open are the steps with tasks that wait.
 	open    map[*step]bool
 	pools   map[string]*pool
 	queues  map[string]*queue
 	cancels map[string]cancel
 	// quota bounds what the workspaces have running.
-	quota *quota.Book
+	quota *quota.Tracker
 	// doubted is when it was last counted what may be running unknown.
 	doubted time.Duration
 	// services are those that a job's tasks run on.
@@ -73,7 +73,7 @@
 	// silences are when workers fell silent of late, excuses what was attributed to the tasks of each
 	// worker that has lapsed.
 	silences []time.Duration
-	excuses  map[life.Life]excuse
+	excuses  map[incarnation.ID]excuse
 	// predecessors are earlier lives of workers, by their ids.
 	predecessors map[string][]predecessor
 }
@@ -90,10 +90,10 @@
 // started wait.
 func New(opts Options) *Cell {
 	return &Cell{
-		opts: opts, jobs: map[string]*job{}, workers: map[life.Life]*worker{},
+		opts: opts, jobs: map[string]*job{}, workers: map[incarnation.ID]*worker{},
 		window: window{limit: opts.FirstWindow},
 		open:   map[*step]bool{}, pools: map[string]*pool{}, queues: map[string]*queue{}, cancels: map[string]cancel{}, quota: quota.New(),
-		services: map[string]bool{}, excuses: map[life.Life]excuse{}, predecessors: map[string][]predecessor{},
+		services: map[string]bool{}, excuses: map[incarnation.ID]excuse{}, predecessors: map[string][]predecessor{},
 	}
 }
 
--- a/policy/cell/cell_test.go
+++ b/policy/cell/cell_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -80,7 +80,7 @@
 						bd.carryOut()
 					}
 					if tc.silence && n%4 == 3 {
-						bd.silence(life.Life(fmt.Sprintf("w%02d", n%10)), 700*time.Millisecond)
+						bd.silence(incarnation.ID(fmt.Sprintf("w%02d", n%10)), 700*time.Millisecond)
 						bd.carryOut()
 					}
 					if tc.crash && n == 12 {
@@ -89,7 +89,7 @@
 						bd.cell.PutWorker(bd.now, bd.workers["w13"].Worker)
 					}
 					if tc.shrink {
-						bd.resize(life.Life(fmt.Sprintf("w%02d", n*7%10)), []int64{1, 4, 0, 2}[n%4])
+						bd.resize(incarnation.ID(fmt.Sprintf("w%02d", n*7%10)), []int64{1, 4, 0, 2}[n%4])
 					}
 					if tc.cancel && n%6 == 5 {
 						bd.cancel(bd.jobs[n-2].ID)
@@ -97,7 +97,7 @@
 					}
 				}
 				for n := range 10 {
-					bd.resize(life.Life(fmt.Sprintf("w%02d", n)), quarters)
+					bd.resize(incarnation.ID(fmt.Sprintf("w%02d", n)), quarters)
 				}
 				for range 2000 {
 					bd.pass(40 * time.Millisecond)
@@ -285,7 +285,7 @@
 		t.Run(name, func(t *testing.T) {
 			cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
 			cl.Add(0, batch("a", 1), false)
-			for _, id := range []life.Life{"w1", "w2"} {
+			for _, id := range []incarnation.ID{"w1", "w2"} {
 				cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 				cl.Report(1, id, 1, nil, nil)
 			}
@@ -311,7 +311,7 @@
 			}
 			cl.Stopped(at, out.Stops[0])
 			cl.Report(at+1, first.Worker, at+1, nil, []cell.End{{Seq: 1, Run: cell.Run{Task: first.Task, Number: first.Run}, Result: cell.ResultStopped}})
-			for _, id := range []life.Life{"w1", "w2"} {
+			for _, id := range []incarnation.ID{"w1", "w2"} {
 				cl.Report(at+2, id, at+2, nil, nil)
 			}
 			cl.Plan(at + 3)
--- a/policy/cell/claim.go
+++ b/policy/cell/claim.go
@@ -84,14 +84,14 @@
 
 // idleFor is the part of a worker that stands idle while room on it is kept free.
 func (wk *worker) idleFor(kept size.Size) float64 {
-	return max(min(kept.Share(wk.Capacity), 1-wk.used.Share(wk.Capacity)), 0) // one that shrank may be over its room
+	return max(min(kept.DominantShare(wk.Capacity), 1-wk.used.DominantShare(wk.Capacity)), 0) // one that shrank may be over its room
 }
 
 // bulky reports whether a task of the step takes so much of a worker that room for it hardly
 // comes free by itself.
 func (cl *Cell) bulky(st *step) bool {
 	stock := cl.stock(st)
-	return len(stock) > 0 && st.need().Share(stock[len(stock)-1].Capacity) >= bulkyShare
+	return len(stock) > 0 && st.need().DominantShare(stock[len(stock)-1].Capacity) >= bulkyShare
 }
 
 // chooseRoom keeps the room free that comes free soonest, and has tickets there in time.
@@ -178,7 +178,7 @@
 	}
 	ends := make([]ending, 0, len(wk.places))
 	for _, pl := range wk.places {
-		if pl.task.step.def.Lasting && pl.state != stopping {
+		if pl.task.step.def.LongRunning && pl.state != stopping {
 			continue
 		}
 		ends = append(ends, ending{now + cl.remains(now, pl), pl})
@@ -190,12 +190,12 @@
 		most = max(st.def.PerWorker-st.on(wk), 0)
 	}
 	var list []opening
-	for range free.Holds(st.need()) {
+	for range free.FitCount(st.need()) {
 		list = append(list, opening{wk, now})
 	}
 	for _, end := range ends {
 		free = free.Add(end.place.need)
-		for range free.Holds(st.need()) - len(list) {
+		for range free.FitCount(st.need()) - len(list) {
 			list = append(list, opening{wk, end.at})
 		}
 	}
--- a/policy/cell/crash.go
+++ b/policy/cell/crash.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
@@ -106,14 +106,14 @@
 }
 
 // keepExcuse remembers what was attributed to a run, should its worker answer again.
-func (cl *Cell) keepExcuse(now time.Duration, id life.Life, run Run) {
+func (cl *Cell) keepExcuse(now time.Duration, id incarnation.ID, run Run) {
 	cl.excuses[id] = excuse{now, append(cl.excuses[id].runs, run)}
 }
 
 // proven reports whether a run shows that its task does not crash workers, and clears the task.
 func (cl *Cell) proven(wk *worker, pl *placement) bool {
 	tk := pl.task
-	if !tk.step.def.Lasting || pl.since == 0 || wk.reported-pl.since < provenAtWork {
+	if !tk.step.def.LongRunning || pl.since == 0 || wk.reported-pl.since < provenAtWork {
 		return false
 	}
 	for run := range tk.crashes {
@@ -155,7 +155,7 @@
 
 // excuse takes the loss of a worker off the tasks that ran on it: it answers again, so that it was
 // cut off and did not crash.
-func (cl *Cell) excuse(id life.Life) {
+func (cl *Cell) excuse(id incarnation.ID) {
 	for _, rn := range cl.excuses[id].runs {
 		if tk := cl.find(rn.Task); tk != nil {
 			cl.clear(tk, rn.Number)
--- a/policy/cell/crash_test.go
+++ b/policy/cell/crash_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -134,11 +134,11 @@
 	// journal is what a next planner reads.
 	journal []cell.Record
 	// lost are the workers that answer no more.
-	lost map[life.Life]bool
+	lost map[incarnation.ID]bool
 }
 
 func newWard(t *testing.T, step work.Step) *ward {
-	wd := &ward{I: is.New(t), t: t, cell: crowd(40), step: step, lost: map[life.Life]bool{}}
+	wd := &ward{I: is.New(t), t: t, cell: crowd(40), step: step, lost: map[incarnation.ID]bool{}}
 	wd.cell.Take()
 	submit(wd.cell, "j", step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
 	return wd
@@ -155,7 +155,7 @@
 func (wd *ward) start() (cell.Start, bool) {
 	wd.now += time.Second
 	for n := range 40 {
-		if id := life.Life(fmt.Sprintf("w%03d", n)); !wd.lost[id] {
+		if id := incarnation.ID(fmt.Sprintf("w%03d", n)); !wd.lost[id] {
 			wd.cell.Report(wd.now, id, wd.now, nil, nil)
 		}
 	}
@@ -174,7 +174,7 @@
 	const unbounded = 12
 	once := work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second}
 	lasting := once
-	lasting.Lasting = true
+	lasting.LongRunning = true
 	over := func(wd *ward, sr cell.Start) {
 		wd.cell.Silent(wd.now, sr.Worker)
 		wd.now += 3 * time.Second
@@ -205,7 +205,7 @@
 		"falls silent with two others": {once, func(wd *ward, sr cell.Start) {
 			wd.now += time.Second
 			for n := range 3 {
-				wd.cell.Silent(wd.now, life.Life(fmt.Sprintf("w%03d", 39-n)))
+				wd.cell.Silent(wd.now, incarnation.ID(fmt.Sprintf("w%03d", 39-n)))
 			}
 			over(wd, sr)
 		}, 4},
--- a/policy/cell/effort_test.go
+++ b/policy/cell/effort_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -17,7 +17,7 @@
 func crowd(workers int) *cell.Cell {
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
 	for n := range workers {
-		id := life.Life(fmt.Sprintf("w%03d", n))
+		id := incarnation.ID(fmt.Sprintf("w%03d", n))
 		cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 		cl.Report(0, id, 0, nil, nil)
 	}
--- a/policy/cell/evacuate.go
+++ b/policy/cell/evacuate.go
@@ -34,8 +34,8 @@
 	def := pl.task.step.def
 	left := wk.leaves - now
 	switch {
-	case def.Lasting:
-		return pl.task.step.away() < def.MayMiss
+	case def.LongRunning:
+		return pl.task.step.away() < def.MaxUnavailable
 	case pl.percent >= whole:
 		return false
 	case cl.remains(now, pl) <= left:
--- a/policy/cell/follow.go
+++ b/policy/cell/follow.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 )
 
 // A worker may begin again under its id. A start of its earlier life may then have been carried out in the
@@ -24,7 +24,7 @@
 
 // Follow takes in that another life of a worker has begun, which ends the earlier one. The other one is not
 // listed by that.
-func (cl *Cell) Follow(now time.Duration, earlier, next life.Life) {
+func (cl *Cell) Follow(now time.Duration, earlier, next incarnation.ID) {
 	wk, ok := cl.workers[earlier]
 	if !ok {
 		return
@@ -46,13 +46,13 @@
 		cl.forget(wk)
 		return
 	}
-	cl.predecessors[next.ID()] = append(cl.predecessors[next.ID()], predecessor{wk, now + mostDelay})
+	cl.predecessors[next.WorkerID()] = append(cl.predecessors[next.WorkerID()], predecessor{wk, now + mostDelay})
 	cl.mayHold(now, next)
 }
 
 // mayHold records that a life may hold any run before it is listed: another planner would not wait for what
 // it says of the earlier life's runs.
-func (cl *Cell) mayHold(now time.Duration, id life.Life) {
+func (cl *Cell) mayHold(now time.Duration, id incarnation.ID) {
 	cl.Inherit(now, id, nil)
 	cl.record(Record{Worker: id})
 	cl.workers[id].proof = cl.recorded
@@ -63,12 +63,12 @@
 func (pl *placement) mayBeDelayed() bool { return !pl.reported || pl.delayed }
 
 // settlePredecessors takes in what a life's first report says of runs of earlier lives.
-func (cl *Cell) settlePredecessors(id life.Life, runs []Run, ends []End) {
-	predecessors := cl.predecessors[id.ID()]
+func (cl *Cell) settlePredecessors(id incarnation.ID, runs []Run, ends []End) {
+	predecessors := cl.predecessors[id.WorkerID()]
 	if len(predecessors) == 0 {
 		return
 	}
-	delete(cl.predecessors, id.ID())
+	delete(cl.predecessors, id.WorkerID())
 	began := make(map[key]bool, len(runs)+len(ends))
 	for _, rn := range runs {
 		began[key{rn.Task, rn.Number}] = true
--- a/policy/cell/gather_test.go
+++ b/policy/cell/gather_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -106,7 +106,7 @@
 func TestUrgentSparesGatheredRoom(t *testing.T) {
 	tests := map[string]struct {
 		workers int
-		want    life.Life
+		want    incarnation.ID
 	}{
 		"room elsewhere":    {workers: 2, want: "w001"},
 		"no room elsewhere": {workers: 1, want: "w000"},
--- a/policy/cell/job.go
+++ b/policy/cell/job.go
@@ -45,7 +45,7 @@
 	cl.services[spec.Queue.Service] = true
 	cl.queue(spec.Queue.Name).pending++
 	cl.quota.Set(spec.Workspace)
-	jb.excess = !inherited && !cl.quota.Owes(spec.Workspace.Name, arrived)
+	jb.excess = !inherited && !cl.quota.WithinRate(spec.Workspace.Name, arrived)
 	if cn, cancelled := cl.cancels[spec.ID]; cancelled && jb.isOf(cn.workspace) {
 		cl.finish(now, jb, Cancelled)
 		return
--- a/policy/cell/lasting_test.go
+++ b/policy/cell/lasting_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -20,7 +20,7 @@
 	cl := crowd(1)
 	whole := size.New(64000, 100, 0)
 	lasting := work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2.2, Target: 2500 * time.Millisecond}
-	submit(cl, "lasting", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, lasting)
+	submit(cl, "lasting", work.Step{Count: 1, Need: whole, LongRunning: true, Estimate: time.Second}, lasting)
 	cl.Plan(0)
 	first := cl.Take().Starts
 	is.Equal(len(first), 1)
@@ -48,7 +48,7 @@
 	patient := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 1, Stretch: 1, Target: time.Second}
 	urgent := work.Queue{Name: "u", Service: "svc", Attempts: 3, Priority: 0, Stretch: 1, Target: time.Minute}
 	submit(cl, "patient", work.Step{Count: 1, Need: whole, Estimate: time.Second}, patient)
-	submit(cl, "urgent", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, urgent)
+	submit(cl, "urgent", work.Step{Count: 1, Need: whole, LongRunning: true, Estimate: time.Second}, urgent)
 	cl.Plan(0)
 	starts := cl.Take().Starts
 	is.Equal(len(starts), 1)
@@ -62,10 +62,10 @@
 	cl := crowd(workers)
 	quick := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2, Target: time.Second}
 	submit(cl, "odd", odd, qu)
-	seen := map[life.Life]int{}
+	seen := map[incarnation.ID]int{}
 	for now := time.Duration(0); now < span; now += step {
 		for n := range workers {
-			cl.Report(now, life.Life(fmt.Sprintf("w%03d", n)), now, nil, nil)
+			cl.Report(now, incarnation.ID(fmt.Sprintf("w%03d", n)), now, nil, nil)
 		}
 		cl.Add(now, &work.Job{ID: now.String(), Spec: "s", Queue: quick, Steps: []work.Step{{Count: 1, Need: odd.Need, Estimate: step}}}, false)
 		cl.Committed(cl.Recorded())
@@ -95,7 +95,7 @@
 func TestLastingThatFailsAtOnce(t *testing.T) {
 	is := is.New(t)
 	qu := work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2.2, Target: 2500 * time.Millisecond}
-	odd := work.Step{Count: 1, Need: size.New(4000, 100, 0), Lasting: true, Estimate: time.Second}
+	odd := work.Step{Count: 1, Need: size.New(4000, 100, 0), LongRunning: true, Estimate: time.Second}
 	starts, last, longest := 0, time.Duration(0), time.Duration(0)
 	late := beside(odd, qu, func(_ *cell.Cell, now time.Duration, _ cell.Start, end func(cell.Result)) {
 		starts, last, longest = starts+1, now, max(longest, now-last)
--- a/policy/cell/limits.go
+++ b/policy/cell/limits.go
@@ -20,10 +20,10 @@
 }
 
 // Workspaces returns what each workspace has running.
-func (cl *Cell) Workspaces() []quota.Use { return cl.quota.Uses() }
+func (cl *Cell) Workspaces() []quota.Usage { return cl.quota.Usages() }
 
 // allowance is how many more tasks of the step its workspace may have running.
-func (cl *Cell) allowance(st *step) int { return cl.quota.Room(st.workspace(), st.need()) }
+func (cl *Cell) allowance(st *step) int { return cl.quota.Headroom(st.workspace(), st.need()) }
 
 // wants is how many of the step's tasks wait, as far as its workspace may have them running.
 func (cl *Cell) wants(st *step) int { return min(st.waits, cl.allowance(st)) }
@@ -62,7 +62,7 @@
 			doubts[name] = doubt.Min(most)
 		}
 	}
-	cl.quota.SetDoubts(doubts)
+	cl.quota.SetUnreported(doubts)
 }
 
 // unplaced is the room of the job's tasks that are neither done nor known to be on a worker.
--- a/policy/cell/limits_test.go
+++ b/policy/cell/limits_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -38,7 +38,7 @@
 
 // crashAfterReport has a worker crash that has told of all of its ends: those that nobody heard of are lost
 // with it, and their tasks may begin again.
-func (bd *bed) crashAfterReport(id life.Life) {
+func (bd *bed) crashAfterReport(id incarnation.ID) {
 	if !bd.quiet(bd.workers[id]) {
 		bd.report(id)
 		bd.crashForNow(id)
--- a/policy/cell/messages.go
+++ b/policy/cell/messages.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -25,7 +25,7 @@
 
 // Worker is what a worker says of itself.
 type Worker struct {
-	ID       life.Life
+	ID       incarnation.ID
 	Service  string
 	Capacity size.Size
 	// Rack is its rack's label, Labels are all of its labels.
@@ -89,7 +89,7 @@
 
 // Start is an order to start a run on a worker.
 type Start struct {
-	Worker     life.Life
+	Worker     incarnation.ID
 	Task       work.Task
 	Run        int
 	Spec       string
@@ -103,7 +103,7 @@
 
 // Stop is an order to end a run on a worker, and to keep it from starting later.
 type Stop struct {
-	Worker life.Life
+	Worker incarnation.ID
 	Task   work.Task
 	Run    int
 	// Reason is for the log.
@@ -117,7 +117,7 @@
 // Question asks the advisor which workers may run a step.
 type Question struct {
 	Step    work.Task
-	Workers []life.Life
+	Workers []incarnation.ID
 	// Takes is how long the advisor is expected to need.
 	Takes time.Duration
 	// Urgent questions go before others.
@@ -134,10 +134,10 @@
 	Run    int        `cbor:"5,keyasint,omitempty"`
 	// Worker is one that may hold any run from now on; with Closed it gets no more
 	// runs and holds at most Held, with Gone it holds none.
-	Worker life.Life `cbor:"6,keyasint,omitempty"`
-	Gone   bool      `cbor:"7,keyasint,omitempty"`
-	Closed bool      `cbor:"8,keyasint,omitempty"`
-	Held   []Run     `cbor:"9,keyasint,omitempty"`
+	Worker incarnation.ID `cbor:"6,keyasint,omitempty"`
+	Gone   bool           `cbor:"7,keyasint,omitempty"`
+	Closed bool           `cbor:"8,keyasint,omitempty"`
+	Held   []Run          `cbor:"9,keyasint,omitempty"`
 	// Stop says instead that the worker is told to stop the runs in Held.
 	Stop bool `cbor:"10,keyasint,omitempty"`
 	// Excused says of a run that crashed that something else explains it, Left of a worker that
@@ -145,7 +145,7 @@
 	Excused bool `cbor:"11,keyasint,omitempty"`
 	Left    bool `cbor:"12,keyasint,omitempty"`
 	// On is the worker that was lost with a run that crashed.
-	On life.Life `cbor:"13,keyasint,omitempty"`
+	On incarnation.ID `cbor:"13,keyasint,omitempty"`
 }
 
 // Output is what a cell wants done.
@@ -154,7 +154,7 @@
 	Stops  []Stop
 	Paces  []Pace
 	// Asks are workers whose next report is wanted at once.
-	Asks      []life.Life
+	Asks      []incarnation.ID
 	Questions []Question
 	Records   []Record
 }
--- a/policy/cell/patience.go
+++ b/policy/cell/patience.go
@@ -17,7 +17,7 @@
 // that lack room.
 func (rd ranked) patient(now time.Duration) bool {
 	def := rd.step.def
-	return rd.rank.group != groupUrgent && !rd.rank.late && rd.rank.latest-now > ample && !def.Lasting && !def.Filler
+	return rd.rank.group != groupUrgent && !rd.rank.late && rd.rank.latest-now > ample && !def.LongRunning && !def.BestEffort
 }
 
 // holdsUp reports whether patient steps should wait for a gang that lacks room: it can
--- a/policy/cell/patience_test.go
+++ b/policy/cell/patience_test.go
@@ -25,7 +25,7 @@
 	}{
 		"with time to spare":               {stretch: 30, def: work.Step{Count: 1, Need: whole}, starts: 0},
 		"with little time":                 {stretch: 3, def: work.Step{Count: 1, Need: whole}, starts: 1},
-		"lasting":                          {stretch: 30, def: work.Step{Count: 1, Need: whole, Lasting: true}, starts: 1},
+		"lasting":                          {stretch: 30, def: work.Step{Count: 1, Need: whole, LongRunning: true}, starts: 1},
 		"with time to spare, idle workers": {stretch: 30, def: work.Step{Count: 1, Need: whole}, idle: true, starts: 1},
 	}
 	for name, tt := range tests {
--- a/policy/cell/pauses.go
+++ b/policy/cell/pauses.go
@@ -19,7 +19,7 @@
 
 // vainPause is the pause before the next start then. Users count lasting tasks at work each 2 s, and miss
 // one after 6 s.
-var vainPause = backoff.Backoff{First: 250 * time.Millisecond, Most: 2 * time.Second}
+var vainPause = backoff.Backoff{Initial: 250 * time.Millisecond, Max: 2 * time.Second}
 
 // tries is what came of a task's starts of late.
 type tries struct {
@@ -32,7 +32,7 @@
 func (ts *tries) failed(now time.Duration) {
 	ts.vain++
 	if over := ts.vain - freeTries; over > 0 {
-		ts.until = now + vainPause.After(over-1)
+		ts.until = now + vainPause.Delay(over-1)
 	}
 }
 
--- a/policy/cell/placement.go
+++ b/policy/cell/placement.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -59,7 +59,7 @@
 // has answered or lapsed.
 func (cl *Cell) Settle() {
 	cl.settled = true
-	cl.quota.SetDoubts(nil)
+	cl.quota.SetUnreported(nil)
 	for st := range cl.open {
 		if st.def.Gang && st.waits > 0 && st.waits < len(st.tasks) {
 			cl.breakGang(st, "gang is not complete")
@@ -140,7 +140,7 @@
 	}
 }
 
-func (cl *Cell) placement(id life.Life, task work.Task, run int) *placement {
+func (cl *Cell) placement(id incarnation.ID, task work.Task, run int) *placement {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return nil
@@ -163,7 +163,7 @@
 	}
 	pl.state = running
 	pl.since, pl.moved, pl.begun = now, now, now
-	if !pl.task.step.def.Lasting {
+	if !pl.task.step.def.LongRunning {
 		pl.task.tries = tries{}
 	}
 	cl.begin(pl.task.step.round.job)
--- a/policy/cell/placing_test.go
+++ b/policy/cell/placing_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -23,22 +23,22 @@
 	tests := map[string]struct {
 		def  work.Step
 		qu   work.Queue
-		want map[life.Life]int
+		want map[incarnation.ID]int
 	}{
-		"anywhere":                           {work.Step{Count: 8}, plain, map[life.Life]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
-		"required label":                     {work.Step{Count: 8, Label: "gpu"}, plain, map[life.Life]int{"w2": 2, "w4": 2}},
-		"label that nobody has":              {work.Step{Count: 1, Label: "tpu"}, plain, map[life.Life]int{}},
-		"other service":                      {work.Step{Count: 1}, work.Queue{Name: "o", Service: "other", Attempts: 3}, map[life.Life]int{}},
-		"near its data":                      {work.Step{Count: 3, Rack: "r2"}, plain, map[life.Life]int{"w3": 2, "w4": 1}},
-		"near its data, then elsewhere":      {work.Step{Count: 5, Rack: "r2"}, plain, map[life.Life]int{"w1": 1, "w3": 2, "w4": 2}},
-		"at most one a worker":               {work.Step{Count: 8, PerWorker: 1}, plain, map[life.Life]int{"w1": 1, "w2": 1, "w3": 1, "w4": 1}},
-		"gang":                               {work.Step{Count: 8, Gang: true}, plain, map[life.Life]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
-		"gang that is too large":             {work.Step{Count: 9, Gang: true}, plain, map[life.Life]int{}},
-		"gang on one rack":                   {work.Step{Count: 4, Gang: true, SameRack: true}, plain, map[life.Life]int{"w1": 2, "w2": 2}},
-		"gang on one rack, too large for it": {work.Step{Count: 5, Gang: true, SameRack: true}, plain, map[life.Life]int{"w1": 2, "w2": 2, "w3": 1}},
-		"gang with a label":                  {work.Step{Count: 4, Gang: true, Label: "gpu"}, plain, map[life.Life]int{"w2": 2, "w4": 2}},
-		"no leave yet":                       {work.Step{Count: 1}, advised, map[life.Life]int{}},
-		"filler needs no processors":         {work.Step{Count: 9, Filler: true, PerWorker: 3}, plain, map[life.Life]int{"w2": 3, "w3": 3, "w4": 3}},
+		"anywhere":                           {work.Step{Count: 8}, plain, map[incarnation.ID]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
+		"required label":                     {work.Step{Count: 8, Label: "gpu"}, plain, map[incarnation.ID]int{"w2": 2, "w4": 2}},
+		"label that nobody has":              {work.Step{Count: 1, Label: "tpu"}, plain, map[incarnation.ID]int{}},
+		"other service":                      {work.Step{Count: 1}, work.Queue{Name: "o", Service: "other", Attempts: 3}, map[incarnation.ID]int{}},
+		"near its data":                      {work.Step{Count: 3, Rack: "r2"}, plain, map[incarnation.ID]int{"w3": 2, "w4": 1}},
+		"near its data, then elsewhere":      {work.Step{Count: 5, Rack: "r2"}, plain, map[incarnation.ID]int{"w1": 1, "w3": 2, "w4": 2}},
+		"at most one a worker":               {work.Step{Count: 8, PerWorker: 1}, plain, map[incarnation.ID]int{"w1": 1, "w2": 1, "w3": 1, "w4": 1}},
+		"gang":                               {work.Step{Count: 8, Gang: true}, plain, map[incarnation.ID]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
+		"gang that is too large":             {work.Step{Count: 9, Gang: true}, plain, map[incarnation.ID]int{}},
+		"gang on one rack":                   {work.Step{Count: 4, Gang: true, SameRack: true}, plain, map[incarnation.ID]int{"w1": 2, "w2": 2}},
+		"gang on one rack, too large for it": {work.Step{Count: 5, Gang: true, SameRack: true}, plain, map[incarnation.ID]int{"w1": 2, "w2": 2, "w3": 1}},
+		"gang with a label":                  {work.Step{Count: 4, Gang: true, Label: "gpu"}, plain, map[incarnation.ID]int{"w2": 2, "w4": 2}},
+		"no leave yet":                       {work.Step{Count: 1}, advised, map[incarnation.ID]int{}},
+		"filler needs no processors":         {work.Step{Count: 9, BestEffort: true, PerWorker: 3}, plain, map[incarnation.ID]int{"w2": 3, "w3": 3, "w4": 3}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 			tt.def.Need = task
 			submit(cl, "job", tt.def, tt.qu)
 			cl.Plan(0)
-			got := map[life.Life]int{}
+			got := map[incarnation.ID]int{}
 			for _, sr := range cl.Take().Starts {
 				got[sr.Worker]++
 			}
@@ -60,7 +60,7 @@
 // racks is a cell of two racks with two workers each.
 func racks() *cell.Cell {
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
-	for id, wk := range map[life.Life]cell.Worker{
+	for id, wk := range map[incarnation.ID]cell.Worker{
 		"w1": {Rack: "r1"}, "w2": {Rack: "r1", Labels: []string{"gpu"}},
 		"w3": {Rack: "r2"}, "w4": {Rack: "r2", Labels: []string{"gpu"}},
 	} {
@@ -92,7 +92,7 @@
 			is.Equal(sr.Task.Job, order[len(order)-1])
 			cl.Started(0, sr)
 		}
-		seqs := map[life.Life]int{}
+		seqs := map[incarnation.ID]int{}
 		for _, sr := range starts {
 			seqs[sr.Worker]++
 		}
--- a/policy/cell/plan.go
+++ b/policy/cell/plan.go
@@ -65,7 +65,7 @@
 }
 
 // need is the room that one task takes.
-func (st *step) need() size.Size { return st.def.Room() }
+func (st *step) need() size.Size { return st.def.Allocation() }
 
 // labelled reports whether a worker has the label that the step requires.
 func (st *step) labelled(wk *worker) bool {
@@ -91,7 +91,7 @@
 	if wk.claim != nil && wk.claim != st && !cl.lends(wk, st) {
 		free = free.Sub(wk.kept)
 	}
-	count := free.Holds(need)
+	count := free.FitCount(need)
 	if st.def.PerWorker > 0 {
 		count = min(count, st.def.PerWorker-st.on(wk))
 	}
@@ -225,7 +225,7 @@
 // left of the processors.
 func (cl *Cell) sortTight(st *step, cands []candidate) {
 	tight := 1
-	if st.def.Filler {
+	if st.def.BestEffort {
 		tight = -1
 	}
 	slices.SortFunc(cands, func(a, b candidate) int {
--- a/policy/cell/plan_bench_test.go
+++ b/policy/cell/plan_bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -39,7 +39,7 @@
 			name := order[(n*changed+at*97)%len(order)]
 			worker, task, _ := strings.Cut(name, "/")
 			seqs[worker]++
-			cl.Report(now, life.Life(worker), 0, nil, []cell.End{{Seq: seqs[worker], Run: runs[task], Result: cell.ResultStopped}})
+			cl.Report(now, incarnation.ID(worker), 0, nil, []cell.End{{Seq: seqs[worker], Run: runs[task], Result: cell.ResultStopped}})
 		}
 		b.StartTimer()
 		plan()
@@ -82,7 +82,7 @@
 				now += gap
 				for n := range workers { // or they count as silent
 					if now%time.Second < gap {
-						cl.Report(now, life.Life(fmt.Sprintf("w%03d", n)), 0, nil, nil)
+						cl.Report(now, incarnation.ID(fmt.Sprintf("w%03d", n)), 0, nil, nil)
 					}
 				}
 				cl.Plan(now)
@@ -112,7 +112,7 @@
 			cl := crowd(350)
 			submit(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 			cl.Plan(0)
-			by := map[life.Life][]cell.Run{}
+			by := map[incarnation.ID][]cell.Run{}
 			for _, sr := range cl.Take().Starts {
 				cl.Started(0, sr)
 				by[sr.Worker] = append(by[sr.Worker], cell.Run{Task: sr.Task, Number: sr.Run, Percent: 5})
@@ -174,7 +174,7 @@
 				submit(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 				cl.Plan(0)
 				starts := cl.Take().Starts
-				by := map[life.Life][]cell.Run{}
+				by := map[incarnation.ID][]cell.Run{}
 				for _, sr := range starts {
 					cl.Started(0, sr)
 					by[sr.Worker] = append(by[sr.Worker], cell.Run{Task: sr.Task, Number: sr.Run, Percent: 5})
--- a/policy/cell/pool.go
+++ b/policy/cell/pool.go
@@ -42,7 +42,7 @@
 	for _, po := range cl.pools {
 		po.sort()
 		for _, wk := range po.workers {
-			po.used += min(wk.used.Share(wk.Capacity), 1) // one that shrank may be over its room
+			po.used += min(wk.used.DominantShare(wk.Capacity), 1) // one that shrank may be over its room
 		}
 	}
 }
@@ -165,7 +165,7 @@
 func (cl *Cell) tight(st *step) iter.Seq[candidate] {
 	fits := cl.fits(st)
 	order := slices.Values(fits)
-	if st.def.Filler {
+	if st.def.BestEffort {
 		order = backward(fits)
 	}
 	if st.def.Rack == "" {
@@ -194,7 +194,7 @@
 }
 
 // capacity returns how many tasks of the step a worker would hold if it were empty.
-func capacity(st *step, wk *worker) int { return wk.Capacity.Holds(st.need()) }
+func capacity(st *step, wk *worker) int { return wk.Capacity.FitCount(st.need()) }
 
 // roomy yields the workers that could start a task of the step now, those with most
 // left first.
--- a/policy/cell/progress.go
+++ b/policy/cell/progress.go
@@ -46,13 +46,13 @@
 // hungAfter is how long a task may show no progress; the workers' longest tasks of
 // 16 s move by a percent in 0.16 s, on a worker six times as slow in 1 s. One that stands still
 // wherever it is moved is given more time each time, so that it does not go round for ever.
-var hungAfter = backoff.Backoff{First: 2500 * time.Millisecond, Most: 20 * time.Second}
+var hungAfter = backoff.Backoff{Initial: 2500 * time.Millisecond, Max: 20 * time.Second}
 
 // hungWorkers is how many workers a task may stand still on before the fault is its own.
 const hungWorkers = 2
 
 // hungTime is how long the task may show no progress now.
-func (tk *task) hungTime() time.Duration { return hungAfter.After(tk.hangs - hungWorkers + 1) }
+func (tk *task) hungTime() time.Duration { return hungAfter.Delay(tk.hangs - hungWorkers + 1) }
 
 // fresh is the age up to which a report tells how a task is doing.
 const fresh = 1500 * time.Millisecond
@@ -69,7 +69,7 @@
 		}
 		for _, pl := range wk.places {
 			def := pl.task.step.def
-			if pl.state != running || pl.percent >= whole || def.Lasting || def.Filler || now-pl.moved < pl.task.hungTime() {
+			if pl.state != running || pl.percent >= whole || def.LongRunning || def.BestEffort || now-pl.moved < pl.task.hungTime() {
 				continue
 			}
 			if pl.task.hangs++; pl.task.hangs <= hungWorkers {
--- a/policy/cell/rank.go
+++ b/policy/cell/rank.go
@@ -75,7 +75,7 @@
 	case qu.Priority == 0:
 		rk.group = groupUrgent
 	}
-	if st.def.Lasting {
+	if st.def.LongRunning {
 		rk.latest = st.lacks + qu.Target
 		return rk
 	}
@@ -124,5 +124,5 @@
 // expect estimates how long a task of the step runs, by its own estimate as far as those of
 // the queue tell: by the queue's mean alone short jobs are taken to be late.
 func (cl *Cell) expect(st *step) time.Duration {
-	return cl.queue(st.round.job.spec.Queue.Name).runs.Expect(st.def.Estimate)
+	return cl.queue(st.round.job.spec.Queue.Name).runs.Predict(st.def.Estimate)
 }
--- a/policy/cell/recovery_test.go
+++ b/policy/cell/recovery_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
+	"tackbeam.example/policy/admission"
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/door"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
@@ -111,7 +111,7 @@
 }
 
 // hold has a worker report once a second.
-func (ld *loadedDay) hold(id life.Life) {
+func (ld *loadedDay) hold(id incarnation.ID) {
 	ld.turn(reportCost, func() { ld.report(id, nil) })
 	ld.after(time.Second, func() { ld.hold(id) })
 }
@@ -353,7 +353,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			ld := newLoadedDay(tt.share, 1100, 147)
-			var dr door.Door
+			var dr admission.Controller
 			taken, refused := 0, 0
 			ld.admits = func(qu work.Queue) bool {
 				if _, refuse := dr.Refuse(ld.now, qu.Priority == 0); refuse {
@@ -365,7 +365,7 @@
 			}
 			ld.every(time.Second, func() {
 				urgent, all := ld.cell.Backlog(ld.now)
-				ld.after(200*time.Millisecond, func() { dr.Note(ld.now, urgent, all) })
+				ld.after(200*time.Millisecond, func() { dr.Update(ld.now, urgent, all) })
 			})
 			ld.pass(day)
 			first, all := ld.cell.Backlog(ld.now)
--- a/policy/cell/remains_test.go
+++ b/policy/cell/remains_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -38,7 +38,7 @@
 				cl.Started(0, sr)
 			}
 			report := func(now time.Duration, percents ...int) {
-				for at, id := range []life.Life{"w000", "w001"} {
+				for at, id := range []incarnation.ID{"w000", "w001"} {
 					for _, sr := range started {
 						if sr.Worker == id {
 							cl.Report(now, id, now, []cell.Run{{Task: sr.Task, Number: sr.Run, Checkpoint: "c2", Percent: percents[at]}}, nil)
@@ -60,7 +60,7 @@
 			starts := cl.Take().Starts
 			is.Equal(len(starts), 1)
 			is.Equal(starts[0].Task.Job, "small")
-			is.Equal(starts[0].Worker, life.Life("w000"))
+			is.Equal(starts[0].Worker, incarnation.ID("w000"))
 		})
 	}
 }
@@ -92,7 +92,7 @@
 	const now = 3 * time.Second
 	for at, percent := range []int{10, 90} {
 		run := cell.Run{Task: work.Task{Job: "half", Index: at}, Number: 1, Percent: percent}
-		cl.Report(now, []life.Life{"w000", "w001"}[at], now, []cell.Run{run}, nil)
+		cl.Report(now, []incarnation.ID{"w000", "w001"}[at], now, []cell.Run{run}, nil)
 	}
 	whole := work.Step{Count: 1, Need: size.New(64000, 100, 0), Estimate: time.Second}
 	submit(cl, "whole", whole, work.Queue{Name: "w", Service: "svc", Attempts: 3, Priority: 1, Stretch: 8})
@@ -102,5 +102,5 @@
 	cl.Plan(now)
 	starts := cl.Take().Starts
 	is.Equal(len(starts), 1)
-	is.Equal(starts[0].Worker, life.Life("w000"))
+	is.Equal(starts[0].Worker, incarnation.ID("w000"))
 }
--- a/policy/cell/report.go
+++ b/policy/cell/report.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 )
 
 // Report takes in what a worker said of its runs and their ends, in an answer to a
 // call that was sent at a time. It returns the ends that were not reported before.
-func (cl *Cell) Report(now time.Duration, id life.Life, sent time.Duration, runs []Run, ends []End) (fresh []End) {
+func (cl *Cell) Report(now time.Duration, id incarnation.ID, sent time.Duration, runs []Run, ends []End) (fresh []End) {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return nil
@@ -123,11 +123,11 @@
 	if en.Checkpoint != "" {
 		tk.checkpoint = en.Checkpoint
 	}
-	if tk.step.def.Lasting && (en.Result == ResultDone || en.Result == ResultFailed) {
+	if tk.step.def.LongRunning && (en.Result == ResultDone || en.Result == ResultFailed) {
 		tk.lastingEnded(now, pl)
 	}
 	switch {
-	case en.Result == ResultDone && !tk.step.def.Lasting:
+	case en.Result == ResultDone && !tk.step.def.LongRunning:
 		cl.learn(now, tk, pl)
 		wk.fails = 0
 		cl.taskDone(now, tk, true)
@@ -154,7 +154,7 @@
 	tk.shun(wk)
 	st := tk.step
 	jb := st.round.job
-	if st.def.Lasting {
+	if st.def.LongRunning {
 		return
 	}
 	if !tk.addFail(en.Number) {
@@ -193,7 +193,7 @@
 // shun keeps the task off a worker where others have room.
 func (tk *task) shun(wk *worker) {
 	if tk.avoid == nil {
-		tk.avoid = map[life.Life]bool{}
+		tk.avoid = map[incarnation.ID]bool{}
 	}
 	tk.avoid[wk.ID] = true
 }
@@ -203,5 +203,5 @@
 	if pl == nil || pl.since == 0 || pl.resumed || pl.midway {
 		return
 	}
-	cl.queue(tk.step.round.job.spec.Queue.Name).runs.Note(tk.step.def.Estimate, now-pl.since)
+	cl.queue(tk.step.round.job.spec.Queue.Name).runs.Observe(tk.step.def.Estimate, now-pl.since)
 }
--- a/policy/cell/room_test.go
+++ b/policy/cell/room_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -18,23 +18,23 @@
 	cl        *cell.Cell
 	now       time.Duration
 	runs      map[work.Task]*flowRun
-	seq       map[life.Life]int
+	seq       map[incarnation.ID]int
 	len       func(work.Task) time.Duration
-	ids       []life.Life
+	ids       []incarnation.ID
 	begun     map[string]time.Duration
-	startOn   map[work.Task]life.Life
+	startOn   map[work.Task]incarnation.ID
 	questions func(cell.Question)
 }
 type flowRun struct {
-	worker      life.Life
+	worker      incarnation.ID
 	num         int
 	begun, over time.Duration
 }
 
 func newFlow(workers int, length func(work.Task) time.Duration) *flow {
-	fl := &flow{cl: crowd(workers), runs: map[work.Task]*flowRun{}, seq: map[life.Life]int{}, len: length, begun: map[string]time.Duration{}, startOn: map[work.Task]life.Life{}}
+	fl := &flow{cl: crowd(workers), runs: map[work.Task]*flowRun{}, seq: map[incarnation.ID]int{}, len: length, begun: map[string]time.Duration{}, startOn: map[work.Task]incarnation.ID{}}
 	for n := range workers {
-		fl.ids = append(fl.ids, life.Life(fmt.Sprintf("w%03d", n)))
+		fl.ids = append(fl.ids, incarnation.ID(fmt.Sprintf("w%03d", n)))
 	}
 	return fl
 }
@@ -134,7 +134,7 @@
 		t.Run(fmt.Sprint("gang ", gang), func(t *testing.T) {
 			is := is.New(t)
 			fl := newFlow(6, nil)
-			for _, id := range []life.Life{"w002", "w003", "w004", "w005"} {
+			for _, id := range []incarnation.ID{"w002", "w003", "w004", "w005"} {
 				fl.cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Labels: []string{"s"}, Capacity: size.New(64000, 128000, 0)})
 			}
 			fl.len = func(tk work.Task) time.Duration {
@@ -179,7 +179,7 @@
 		}
 		return 2 * time.Second
 	}
-	fl.cl.Add(0, &work.Job{ID: "serve", Spec: "s", Queue: plainQ("serve", 0, 2), Steps: []work.Step{{Count: 1, Need: size.New(10000, 1, 0), Estimate: time.Second, Lasting: true}}}, false)
+	fl.cl.Add(0, &work.Job{ID: "serve", Spec: "s", Queue: plainQ("serve", 0, 2), Steps: []work.Step{{Count: 1, Need: size.New(10000, 1, 0), Estimate: time.Second, LongRunning: true}}}, false)
 	fl.pass(50*time.Millisecond, nil)
 	n := 0
 	each := func() {
--- a/policy/cell/round.go
+++ b/policy/cell/round.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
@@ -71,7 +71,7 @@
 	hangs      int
 	checkpoint string
 	// avoid are the workers on which it failed or stood still.
-	avoid map[life.Life]bool
+	avoid map[incarnation.ID]bool
 }
 
 func (tk *task) name() work.Task {
--- a/policy/cell/sharing.go
+++ b/policy/cell/sharing.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
 // Pace is an order to let a run work at a percentage of its speed.
 type Pace struct {
-	Worker  life.Life
+	Worker  incarnation.ID
 	Task    work.Task
 	Run     int
 	Percent int
@@ -38,7 +38,7 @@
 		return
 	}
 	for _, pl := range wk.places {
-		if !pl.task.step.def.Filler || pl.state != running {
+		if !pl.task.step.def.BestEffort || pl.state != running {
 			continue
 		}
 		percent := next(pl.pace, heat)
@@ -71,7 +71,7 @@
 // whether any task there has promised one.
 func (wk *worker) heat() (heat float64, serves bool) {
 	for _, pl := range wk.places {
-		if tail := pl.task.step.def.Tail; tail > 0 && pl.state == running {
+		if tail := pl.task.step.def.TargetLatency; tail > 0 && pl.state == running {
 			serves = true
 			heat = max(heat, float64(pl.load)/float64(tail.Milliseconds()))
 		}
@@ -80,7 +80,7 @@
 }
 
 // Serves reports whether a worker has tasks whose latency must be watched.
-func (cl *Cell) Serves(id life.Life) bool {
+func (cl *Cell) Serves(id incarnation.ID) bool {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return false
--- a/policy/cell/sharing_test.go
+++ b/policy/cell/sharing_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -13,8 +13,8 @@
 // lasting returns a job of tasks that run until it is cancelled.
 func lasting(id string, count, mayMiss int) *work.Job {
 	jb := batch(id, count)
-	jb.Steps[0].Lasting = true
-	jb.Steps[0].MayMiss = mayMiss
+	jb.Steps[0].LongRunning = true
+	jb.Steps[0].MaxUnavailable = mayMiss
 	return jb
 }
 
@@ -42,9 +42,9 @@
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
 	oneWorker(cl)
 	serve := lasting("serve", 1, 0)
-	serve.Steps[0].Tail = 100 * time.Millisecond
+	serve.Steps[0].TargetLatency = 100 * time.Millisecond
 	fill := batch("fill", 1)
-	fill.Steps[0].Filler = true
+	fill.Steps[0].BestEffort = true
 	cl.Add(0, serve, false)
 	cl.Add(0, fill, false)
 	runs := place(t, cl, 2)
@@ -88,8 +88,8 @@
 		"may end in time":                 {func(*work.Step) {}, 40, 2 * time.Second, 0},
 		"saves, worker stays for a while": {func(st *work.Step) { st.Checkpoints = true }, 10, 3 * time.Second, 0},
 		"saves, worker leaves":            {func(st *work.Step) { st.Checkpoints = true }, 10, time.Second, 3},
-		"lasting, none may miss":          {func(st *work.Step) { st.Lasting = true }, 100, time.Second, 0},
-		"lasting, two may miss":           {func(st *work.Step) { st.Lasting, st.MayMiss = true, 2 }, 100, time.Second, 2},
+		"lasting, none may miss":          {func(st *work.Step) { st.LongRunning = true }, 100, time.Second, 0},
+		"lasting, two may miss":           {func(st *work.Step) { st.LongRunning, st.MaxUnavailable = true, 2 }, 100, time.Second, 2},
 		"done, waits for its gang":        {func(*work.Step) {}, 100, time.Second, 0},
 	}
 	for name, tc := range cases {
@@ -147,7 +147,7 @@
 	cl.Add(0, batch("a", 1), true)
 	task := work.Task{Job: "a"}
 	cl.InheritStops(0, "w1", []cell.Run{{Task: task, Number: 1}})
-	for _, id := range []life.Life{"w1", "w2", "w3"} {
+	for _, id := range []incarnation.ID{"w1", "w2", "w3"} {
 		cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	}
 	cl.Report(1, "w2", 1, []cell.Run{{Task: task, Number: 2, Percent: 9}}, nil)
@@ -167,7 +167,7 @@
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 129, StopTime: time.Second})
 	cl.Add(0, batch("a", 1), true)
 	task := work.Task{Job: "a"}
-	for _, id := range []life.Life{"w1", "w2", "w3"} {
+	for _, id := range []incarnation.ID{"w1", "w2", "w3"} {
 		cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	}
 	cl.Report(1, "w2", 1, []cell.Run{{Task: task, Number: 65, Percent: 9}}, nil)
--- a/policy/cell/waits.go
+++ b/policy/cell/waits.go
@@ -31,7 +31,7 @@
 	Late bool
 	// Use is what the job's workspace has running, AtLimit is set where its limit keeps the step from starting,
 	// Excess where the job is beyond what the workspace is owed.
-	Use             quota.Use
+	Use             quota.Usage
 	AtLimit, Excess bool
 }
 
@@ -62,7 +62,7 @@
 		Asking: st.advice.open > 0, Asked: len(st.advice.verdicts), Allowed: len(st.advice.good),
 		Questions: st.advice.questions, Unanswered: st.advice.unanswered,
 		Claimed: len(st.claims), Late: cl.rank(now, st).late,
-		Use: cl.quota.Use(st.workspace()), AtLimit: cl.atLimit(st), Excess: st.round.job.excess,
+		Use: cl.quota.Usage(st.workspace()), AtLimit: cl.atLimit(st), Excess: st.round.job.excess,
 	}
 	need := cl.reaches(now)
 	for cand := range cl.trusted(st) {
--- a/policy/cell/worker.go
+++ b/policy/cell/worker.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 )
 
@@ -92,7 +92,7 @@
 }
 
 // Silent takes in that a worker does not answer.
-func (cl *Cell) Silent(now time.Duration, id life.Life) {
+func (cl *Cell) Silent(now time.Duration, id incarnation.ID) {
 	if wk, ok := cl.workers[id]; ok {
 		cl.fellSilent(now, wk)
 		cl.shutWorker(wk)
@@ -101,7 +101,7 @@
 
 // InheritStops takes in that an earlier planner may have told a worker to stop runs
 // just before this one was elected.
-func (cl *Cell) InheritStops(now time.Duration, id life.Life, runs []Run) {
+func (cl *Cell) InheritStops(now time.Duration, id incarnation.ID, runs []Run) {
 	cl.Inherit(now, id, nil)
 	wk := cl.workers[id]
 	for _, rn := range runs {
@@ -115,14 +115,14 @@
 }
 
 // InheritLeft takes in that a worker was leaving in order.
-func (cl *Cell) InheritLeft(now time.Duration, id life.Life) {
+func (cl *Cell) InheritLeft(now time.Duration, id incarnation.ID) {
 	cl.Inherit(now, id, nil)
 	cl.workers[id].left = true
 }
 
 // Inherit takes in that a worker holds at most some runs, as an earlier planner has
 // recorded, until it answers or lapses.
-func (cl *Cell) Inherit(now time.Duration, id life.Life, held []Run) {
+func (cl *Cell) Inherit(now time.Duration, id incarnation.ID, held []Run) {
 	wk, known := cl.workers[id]
 	if !known {
 		cl.PutWorker(now, Worker{ID: id})
@@ -141,7 +141,7 @@
 
 // Deregister takes in that a worker's entry is gone. What it runs is kept until it has
 // lapsed.
-func (cl *Cell) Deregister(id life.Life) {
+func (cl *Cell) Deregister(id incarnation.ID) {
 	if wk, ok := cl.workers[id]; ok {
 		wk.left = wk.left || wk.listed && wk.answered && !wk.silent
 		cl.deregister(wk)
@@ -155,7 +155,7 @@
 }
 
 // Over takes in that a worker's incarnation is over: another one answers in its place.
-func (cl *Cell) Over(now time.Duration, id life.Life) {
+func (cl *Cell) Over(now time.Duration, id incarnation.ID) {
 	if wk, ok := cl.workers[id]; ok {
 		cl.fellSilent(now, wk)
 		cl.deregister(wk)
@@ -165,7 +165,7 @@
 
 // Lapsed takes in that nothing can run on a worker any more: its lease is over, or
 // it is gone. It may answer again later.
-func (cl *Cell) Lapsed(now time.Duration, id life.Life) {
+func (cl *Cell) Lapsed(now time.Duration, id incarnation.ID) {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return
@@ -191,7 +191,7 @@
 
 // Noted returns the number of the last end of a worker that the journal proves, and
 // whether later ones wait for that.
-func (cl *Cell) Noted(id life.Life) (number int, waits bool) {
+func (cl *Cell) Noted(id incarnation.ID) (number int, waits bool) {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return 0, false
@@ -204,13 +204,13 @@
 }
 
 // Holds reports whether a worker may have runs of the cell.
-func (cl *Cell) Holds(id life.Life) bool {
+func (cl *Cell) Holds(id incarnation.ID) bool {
 	wk, ok := cl.workers[id]
 	return ok && (len(wk.places) > 0 || !wk.answered)
 }
 
 // Held returns the runs that a worker may have, in no order.
-func (cl *Cell) Held(id life.Life) []Run {
+func (cl *Cell) Held(id incarnation.ID) []Run {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return nil
@@ -230,7 +230,7 @@
 func (cl *Cell) Serving(service string) bool { return cl.services[service] }
 
 // Listed reports whether a worker is known and in the list.
-func (cl *Cell) Listed(id life.Life) (known, listed bool) {
+func (cl *Cell) Listed(id incarnation.ID) (known, listed bool) {
 	wk, ok := cl.workers[id]
 	return ok, ok && wk.listed
 }
--- a/policy/forecast/forecast.go
+++ b/policy/forecast/forecast.go
@@ -28,8 +28,8 @@
 	weight, x, y, xx, xy float64
 }
 
-// Note takes in how long a run took that was estimated to take a time.
-func (md *Model) Note(estimate, took time.Duration) {
+// Observe takes in how long a run took that was estimated to take a time.
+func (md *Model) Observe(estimate, took time.Duration) {
 	if took <= 0 {
 		return
 	}
@@ -43,8 +43,8 @@
 	md.xy = keep*md.xy + x*y
 }
 
-// Expect returns how long a run is expected to take.
-func (md *Model) Expect(estimate time.Duration) time.Duration {
+// Predict returns how long a run is expected to take.
+func (md *Model) Predict(estimate time.Duration) time.Duration {
 	if md.runs < enough {
 		return estimate
 	}
--- a/policy/forecast/forecast_test.go
+++ b/policy/forecast/forecast_test.go
@@ -37,9 +37,9 @@
 				took := 3 * math.Exp(0.5*rd.NormFloat64())
 				estimate := seconds(took * tt.bias * math.Exp(tt.off*rd.NormFloat64()))
 				if n >= runs-measured {
-					sum += math.Abs(math.Log(md.Expect(estimate).Seconds() / took))
+					sum += math.Abs(math.Log(md.Predict(estimate).Seconds() / took))
 				}
-				md.Note(estimate, seconds(took))
+				md.Observe(estimate, seconds(took))
 			}
 			t.Logf("off by %.3f in the mean", sum/measured)
 			is.True(sum/measured <= tt.most)
@@ -49,14 +49,14 @@
 
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
-func ExampleModel_Expect() {
+func ExampleModel_Predict() {
 	var md forecast.Model
-	fmt.Println(md.Expect(4 * time.Second))
+	fmt.Println(md.Predict(4 * time.Second))
 	for range 100 {
-		md.Note(2*time.Second, time.Second) // estimates are twice the run
-		md.Note(8*time.Second, 4*time.Second)
+		md.Observe(2*time.Second, time.Second) // estimates are twice the run
+		md.Observe(8*time.Second, 4*time.Second)
 	}
-	fmt.Println(md.Expect(4 * time.Second).Round(time.Second))
+	fmt.Println(md.Predict(4 * time.Second).Round(time.Second))
 	// Output:
 	// 4s
 	// 2s
--- a/policy/home/bench_test.go
+++ b/policy/home/bench_test.go
@@ -51,7 +51,7 @@
 		var next []home.Action
 		for _, act := range acts {
 			next = append(next, mc.Step(home.Event{At: time.Second, NotPlaced: &home.NotPlaced{
-				Job: act.Try.Job, Again: again,
+				Job: act.Try.Job, RetryAt: again,
 			}})...)
 		}
 		acts = next
--- a/policy/home/event.go
+++ b/policy/home/event.go
@@ -34,8 +34,8 @@
 	Urgent bool `json:"urgent,omitempty"`
 	// Waited is how long the job had waited before this event.
 	Waited time.Duration `json:"waited,omitempty"`
-	// Again is the earliest time of the next try.
-	Again time.Duration `json:"again,omitempty"`
+	// RetryAt is the earliest time of the next try.
+	RetryAt time.Duration `json:"again,omitempty"`
 }
 
 // Resume counts a job that already runs, after its record was taken over.
@@ -69,8 +69,8 @@
 // NotPlaced says that a try found no room. The job waits until Again or, where that
 // is zero, until room may have come free.
 type NotPlaced struct {
-	Job   string        `json:"job"`
-	Again time.Duration `json:"again"`
+	Job     string        `json:"job"`
+	RetryAt time.Duration `json:"again"`
 }
 
 // TaskEnded says that one task of a placed job gave its room back.
@@ -90,8 +90,8 @@
 
 // Action is one decision of the machine; exactly one pointer is set.
 type Action struct {
-	Try  *Try  `json:"try,omitempty"`
-	Late *Late `json:"late,omitempty"`
+	Try     *Try     `json:"try,omitempty"`
+	Expired *Expired `json:"late,omitempty"`
 }
 
 // Try asks for room for all tasks of a job.
@@ -103,7 +103,7 @@
 	Run time.Duration `json:"run,omitempty"`
 }
 
-// Late says that a waiting job passed its deadline and left the queue.
-type Late struct {
+// Expired says that a waiting job passed its deadline and left the queue.
+type Expired struct {
 	Job string `json:"job"`
 }
--- a/policy/home/home.go
+++ b/policy/home/home.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"tackbeam.example/policy/learn"
+	"tackbeam.example/policy/runtimes"
 )
 
 // Machine is the decision state of one home. It is not safe for concurrent use.
@@ -19,7 +19,7 @@
 	workspaces map[string]*workspace
 	capacity   Capacity
 	queue      queue
-	runs       *learn.Runs
+	runs       *runtimes.Histograms
 	rules      Rules
 	reserving  int
 	tries      int
@@ -30,7 +30,7 @@
 // New returns an empty machine that lets atOnce jobs try for room together.
 func New(atOnce int, rl Rules) *Machine {
 	return &Machine{
-		runs:       learn.New(),
+		runs:       runtimes.New(),
 		rules:      rl,
 		jobs:       map[string]*job{},
 		workspaces: map[string]*workspace{},
@@ -77,7 +77,7 @@
 	mc.submitted++
 	jb := &job{Submit: sb, order: mc.submitted, since: now - sb.Waited}
 	mc.jobs[sb.Job] = jb
-	mc.queue.add(jb, sb.Again)
+	mc.queue.add(jb, sb.RetryAt)
 }
 
 func (mc *Machine) resume(rs *Resume) {
@@ -110,10 +110,10 @@
 	mc.tries--
 	mc.workspace(jb.Workspace).charge(jb.Size, -jb.running)
 	jb.running = 0
-	if np.Again == 0 {
+	if np.RetryAt == 0 {
 		mc.queue.block(jb, func(other *job) bool { return mc.reserves(now, other) })
 	}
-	mc.queue.add(jb, np.Again)
+	mc.queue.add(jb, np.RetryAt)
 }
 
 func (mc *Machine) taskEnded(now time.Duration, te *TaskEnded) {
@@ -123,7 +123,7 @@
 	}
 	jb.running--
 	if te.OK && jb.started > 0 {
-		mc.runs.Note(jb.Workload, now-jb.started)
+		mc.runs.Record(jb.Workload, now-jb.started)
 	}
 	mc.workspace(jb.Workspace).charge(jb.Size, -1)
 	mc.queue.roomChanged()
@@ -151,7 +151,7 @@
 	var acts []Action
 	for _, jb := range mc.queue.late(now) {
 		mc.remove(jb.Job)
-		acts = append(acts, Action{Late: &Late{Job: jb.Job}})
+		acts = append(acts, Action{Expired: &Expired{Job: jb.Job}})
 	}
 	mc.queue.wake(now)
 	for mc.tries < mc.atOnce {
@@ -229,10 +229,10 @@
 	return "waits for its turn"
 }
 
-// Forbids names what forbids a job for ever: the row and column of a limit
+// Infeasible names what forbids a job for ever: the row and column of a limit
 // below the job's own size, or the dimension that no worker has. It returns ""
 // where the job can run.
-func (mc *Machine) Forbids(sb Submit) string {
+func (mc *Machine) Infeasible(sb Submit) string {
 	if d, over := sb.Size.Excess(mc.capacity.Largest); over {
 		return fmt.Sprintf("%s: no worker has as much as one task asks for", d)
 	}
--- a/policy/home/home_test.go
+++ b/policy/home/home_test.go
@@ -31,8 +31,8 @@
 		case act.Try != nil:
 			sc.tried = append(sc.tried, act.Try.Job)
 			sc.acts[act.Try.Job] = act.Try
-		case act.Late != nil:
-			sc.tried = append(sc.tried, "late "+act.Late.Job)
+		case act.Expired != nil:
+			sc.tried = append(sc.tried, "late "+act.Expired.Job)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 }
 func (sc *script) tick(at time.Duration) { sc.step(at, home.Event{Tick: &home.Tick{}}) }
 func (sc *script) noRoom(at time.Duration, id string, again time.Duration) {
-	sc.step(at, home.Event{NotPlaced: &home.NotPlaced{Job: id, Again: again}})
+	sc.step(at, home.Event{NotPlaced: &home.NotPlaced{Job: id, RetryAt: again}})
 }
 
 func gang(sb *home.Submit) { sb.Tasks = 4 }
--- a/policy/home/plan.go
+++ b/policy/home/plan.go
@@ -7,12 +7,12 @@
 
 // Rules are the parts of the decisions that can be left out, to measure them.
 type Rules struct {
-	// Plan lets gangs whose deadline leaves time reserve later.
-	Plan bool `json:"plan"`
+	// DeferReservations lets gangs whose deadline leaves time reserve later.
+	DeferReservations bool `json:"plan"`
 }
 
 // DefaultRules are the rules of a node.
-func DefaultRules() Rules { return Rules{Plan: true} }
+func DefaultRules() Rules { return Rules{DeferReservations: true} }
 
 // Waits after which jobs reserve room.
 const (
@@ -76,7 +76,7 @@
 		return now-jb.since > reserveOther
 	}
 	from := jb.since + reserveGang
-	if latest, ok := mc.latestStart(jb); ok && mc.rules.Plan {
+	if latest, ok := mc.latestStart(jb); ok && mc.rules.DeferReservations {
 		from = max(from, min(latest-max(leastLead, leadRuns*(jb.Deadline-latest)), jb.since+reserveOther))
 	}
 	return now > from
@@ -99,9 +99,9 @@
 	quickPause = 25 * time.Millisecond
 )
 
-// Again returns when a job whose try number tries found no room is to try again,
+// RetryAt returns when a job whose try number tries found no room is to try again,
 // or zero where it waits until room may have come free.
-func Again(now time.Duration, tries int) time.Duration {
+func RetryAt(now time.Duration, tries int) time.Duration {
 	if tries > quickTries {
 		return 0
 	}
--- a/policy/home/queue.go
+++ b/policy/home/queue.go
@@ -171,7 +171,7 @@
 // wake readies the jobs whose time has come.
 func (qu *queue) wake(now time.Duration) {
 	for {
-		jb, ok := qu.timers.Next(now)
+		jb, ok := qu.timers.PopDue(now)
 		if !ok {
 			return
 		}
@@ -185,7 +185,7 @@
 func (qu *queue) late(now time.Duration) []*job {
 	var list []*job
 	for {
-		jb, ok := qu.deadlines.Next(now)
+		jb, ok := qu.deadlines.PopDue(now)
 		if !ok {
 			return list
 		}
@@ -234,7 +234,7 @@
 // where they have become many.
 func (qu *queue) plan(tl *timeline.Timeline[*job], at time.Duration, jb *job) {
 	if tl.Len() > 2*qu.waiting+slack {
-		tl.Keep(func(old *job) bool { return old.state == waiting })
+		tl.Retain(func(old *job) bool { return old.state == waiting })
 	}
 	tl.Add(at, jb)
 }
--- a/policy/home/share.go
+++ b/policy/home/share.go
@@ -27,7 +27,7 @@
 func (mc *Machine) share(name string) float64 {
 	const minimumWeight = 0.001
 	ws := mc.workspace(name)
-	return ws.used.Share(mc.capacity.Total) / max(ws.limits.Weight, minimumWeight)
+	return ws.used.DominantShare(mc.capacity.Total) / max(ws.limits.Weight, minimumWeight)
 }
 
 // limit names the column of the workspace that a job would go over, or "".
--- a/policy/life/life.go
+++ b/policy/incarnation/incarnation.go
@@ -1,42 +1,42 @@
-// Package life names the lives of workers.
-package life
+// Package incarnation names the lives of workers.
+package incarnation
 
 import (
 	"strconv"
 	"strings"
 )
 
-// Life is one life of a worker: its id, and when it began. A worker that begins again under its id
+// ID is one life of a worker: its id, and when it began. A worker that begins again under its id
 // knows nothing of before, and counts anew: whatever is remembered of a worker is remembered of a life.
 //
 // It is written as ID@BORN, and as the id alone where the worker does not say when it began.
-type Life string
+type ID string
 
 // mark is between the id and the time.
 const mark = "@"
 
-// Of returns the life of a worker that began at a time, in milliseconds since 1970; 0 where that is
+// New returns the life of a worker that began at a time, in milliseconds since 1970; 0 where that is
 // not known.
-func Of(id string, born int64) Life {
+func New(id string, born int64) ID {
 	if born == 0 && !strings.Contains(id, mark) {
-		return Life(id)
+		return ID(id)
 	}
-	return Life(id + mark + strconv.FormatInt(born, 10))
+	return ID(id + mark + strconv.FormatInt(born, 10))
 }
 
-// ID returns the worker's id, which other lives may have as well.
-func (lf Life) ID() string {
+// WorkerID returns the worker's id, which other lives may have as well.
+func (lf ID) WorkerID() string {
 	id, _ := lf.parts()
 	return id
 }
 
-// Born returns when the life began, in milliseconds since 1970; 0 where that is not known.
-func (lf Life) Born() int64 {
+// StartedAt returns when the life began, in milliseconds since 1970; 0 where that is not known.
+func (lf ID) StartedAt() int64 {
 	_, born := lf.parts()
 	return born
 }
 
-func (lf Life) parts() (id string, born int64) {
+func (lf ID) parts() (id string, born int64) {
 	at := strings.LastIndex(string(lf), mark)
 	if at < 0 {
 		return string(lf), 0
--- a/policy/life/life_test.go
+++ b/policy/incarnation/incarnation_test.go
@@ -1,15 +1,15 @@
-package life_test
+package incarnation_test
 
 import (
 	"fmt"
 	"testing"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 )
 
-func ExampleLife() {
-	first, second := life.Of("i-1", 1769588838734), life.Of("i-1", 1769588840112)
-	fmt.Println(first, first.ID() == second.ID(), first == second)
+func ExampleID() {
+	first, second := incarnation.New("i-1", 1769588838734), incarnation.New("i-1", 1769588840112)
+	fmt.Println(first, first.WorkerID() == second.WorkerID(), first == second)
 	// Output: i-1@1769588838734 true false
 }
 
@@ -29,9 +29,9 @@
 		"before 1970":         {"i-1", -3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lf := life.Of(tc.id, tc.born)
-			if lf.ID() != tc.id || lf.Born() != tc.born {
-				t.Errorf("%q is of %q, born %d", lf, lf.ID(), lf.Born())
+			lf := incarnation.New(tc.id, tc.born)
+			if lf.WorkerID() != tc.id || lf.StartedAt() != tc.born {
+				t.Errorf("%q is of %q, born %d", lf, lf.WorkerID(), lf.StartedAt())
 			}
 		})
 	}
--- a/policy/ledger/index.go
+++ b/policy/ledger/index.go
@@ -91,7 +91,7 @@
 	if ix.hopeless(sz) {
 		return nil
 	}
-	for step := bucketOf(sz.Share(ix.largest)); step < buckets; step++ {
+	for step := bucketOf(sz.DominantShare(ix.largest)); step < buckets; step++ {
 		if en := ix.bestOf(ix.lists[step], sz, may); en != nil {
 			return en
 		}
@@ -106,7 +106,7 @@
 		if !en.takes(sz, 0) || may != nil && !may(en.Name) {
 			continue
 		}
-		if rest := en.free().Sub(sz).Share(en.Capacity); best == nil || rest < left {
+		if rest := en.free().Sub(sz).DominantShare(en.Capacity); best == nil || rest < left {
 			best, left = en, rest
 		}
 		if found++; found == enough {
--- a/policy/ledger/ledger.go
+++ b/policy/ledger/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger accounts for what is committed on the workers of one owner.
 //
-// Room is taken in the ledger before any message leaves the owner and given
+// Summary is taken in the ledger before any message leaves the owner and given
 // back only after the task is confirmed gone, so that no worker ever carries
 // more than it has.
 package ledger
@@ -120,9 +120,9 @@
 	}
 }
 
-// Rest keeps new commitments off a worker for a while, or ends that. It reports
+// SetQuarantined keeps new commitments off a worker for a while, or ends that. It reports
 // whether that changed anything.
-func (lg *Ledger) Rest(name string, rest bool) bool {
+func (lg *Ledger) SetQuarantined(name string, rest bool) bool {
 	en, ok := lg.workers[name]
 	if !ok || en.resting == rest {
 		return false
@@ -136,8 +136,8 @@
 	return true
 }
 
-// Resting returns the number of workers at rest.
-func (lg *Ledger) Resting() int { return lg.resting }
+// Quarantined returns the number of workers at rest.
+func (lg *Ledger) Quarantined() int { return lg.resting }
 
 // Remove forgets a worker and all commitments on it and returns their ids, sorted.
 func (lg *Ledger) Remove(name string) []string {
@@ -257,8 +257,8 @@
 	return en.free(), true
 }
 
-// Holds reports whether a commitment with the id stands.
-func (lg *Ledger) Holds(id string) bool {
+// Has reports whether a commitment with the id stands.
+func (lg *Ledger) Has(id string) bool {
 	_, ok := lg.commitments[id]
 	return ok
 }
@@ -320,11 +320,11 @@
 // Account is the public view of one worker in the ledger.
 type Account struct {
 	Worker
-	Used      size.Size     `json:"used"`
-	SlotsUsed int           `json:"slots_used"`
-	Leaving   bool          `json:"leaving"`
-	Resting   bool          `json:"resting"`
-	Latency   time.Duration `json:"latency"`
+	Used        size.Size     `json:"used"`
+	SlotsUsed   int           `json:"slots_used"`
+	Leaving     bool          `json:"leaving"`
+	Quarantined bool          `json:"resting"`
+	Latency     time.Duration `json:"latency"`
 }
 
 // Accounts returns the view of every worker, by name.
@@ -334,35 +334,35 @@
 		en := lg.workers[name]
 		acs = append(acs, Account{
 			Worker: en.Worker, Used: en.used, SlotsUsed: en.slotsUsed,
-			Leaving: en.leaving, Resting: en.resting, Latency: en.latency,
+			Leaving: en.leaving, Quarantined: en.resting, Latency: en.latency,
 		})
 	}
 	return acs
 }
 
-// Room is the digest of a ledger that other nodes decide by.
-type Room struct {
-	Capacity  size.Size `json:"capacity" cbor:"1,keyasint"`
-	Free      size.Size `json:"free" cbor:"2,keyasint"`
-	Largest   size.Size `json:"largest" cbor:"3,keyasint"`
-	Biggest   size.Size `json:"biggest" cbor:"4,keyasint"`
-	Workers   int       `json:"workers" cbor:"5,keyasint"`
-	FreeSlots int       `json:"free_slots" cbor:"6,keyasint"`
+// Summary is the digest of a ledger that other nodes decide by.
+type Summary struct {
+	Capacity        size.Size `json:"capacity" cbor:"1,keyasint"`
+	Free            size.Size `json:"free" cbor:"2,keyasint"`
+	LargestFree     size.Size `json:"largest" cbor:"3,keyasint"`
+	LargestCapacity size.Size `json:"biggest" cbor:"4,keyasint"`
+	Workers         int       `json:"workers" cbor:"5,keyasint"`
+	FreeSlots       int       `json:"free_slots" cbor:"6,keyasint"`
 }
 
-// Room sums the workers that take new work. Largest is the component-wise
+// Summary sums the workers that take new work. Largest is the component-wise
 // largest free room of one worker, Biggest the largest capacity of one.
-func (lg *Ledger) Room() Room {
-	var rm Room
+func (lg *Ledger) Summary() Summary {
+	var rm Summary
 	for _, en := range lg.workers {
-		rm.Biggest = rm.Biggest.Max(en.Capacity)
+		rm.LargestCapacity = rm.LargestCapacity.Max(en.Capacity)
 		if en.closed() {
 			continue
 		}
 		free := en.free()
 		rm.Capacity = rm.Capacity.Add(en.Capacity)
 		rm.Free = rm.Free.Add(free)
-		rm.Largest = rm.Largest.Max(free)
+		rm.LargestFree = rm.LargestFree.Max(free)
 		rm.Workers++
 		rm.FreeSlots += en.Slots - en.slotsUsed
 	}
--- a/policy/ledger/ledger_test.go
+++ b/policy/ledger/ledger_test.go
@@ -23,7 +23,7 @@
 		name := worker(rnd.IntN(6)).Name
 		switch rnd.IntN(9) {
 		case 8:
-			lg.Rest(name, rnd.IntN(2) == 0)
+			lg.SetQuarantined(name, rnd.IntN(2) == 0)
 		case 0:
 			lg.Put(worker(rnd.IntN(6)))
 		case 1:
@@ -52,7 +52,7 @@
 		if !ac.Used.Fits(ac.Capacity) || ac.SlotsUsed > ac.Slots || !ac.Used.Valid() || ac.SlotsUsed < 0 {
 			t.Fatalf("worker %s: used %v of %v, %d of %d slots", ac.Name, ac.Used, ac.Capacity, ac.SlotsUsed, ac.Slots)
 		}
-		if !ac.Leaving && !ac.Resting {
+		if !ac.Leaving && !ac.Quarantined {
 			want.Workers++
 			want.FreeSlots += ac.Slots - ac.SlotsUsed
 		}
@@ -60,7 +60,7 @@
 	fits := false
 	probe := size.New(16000, 16<<10, 0)
 	for _, ac := range lg.Accounts() {
-		fits = fits || !ac.Leaving && !ac.Resting && probe.Fits(ac.Capacity.Sub(ac.Used))
+		fits = fits || !ac.Leaving && !ac.Quarantined && probe.Fits(ac.Capacity.Sub(ac.Used))
 	}
 	if _, ok := lg.BestFit(probe, nil); ok != fits {
 		t.Fatalf("the index finds a place: %v, a scan: %v", ok, fits)
@@ -79,7 +79,7 @@
 	lg.Take("w0001", "kept", size.New(1000, 1, 0), 1)
 	lg.Take("w0002", "elsewhere", size.New(1000, 1, 0), 0)
 	gone := lg.Reconcile("w0001", func(id string) bool { return id == "kept" })
-	if fmt.Sprint(gone) != "[gone]" || !lg.Holds("kept") || !lg.Holds("elsewhere") {
+	if fmt.Sprint(gone) != "[gone]" || !lg.Has("kept") || !lg.Has("elsewhere") {
 		t.Errorf("gave back %v", gone)
 	}
 }
@@ -156,7 +156,7 @@
 				lg.Put(worker(n))
 			}
 			for b.Loop() {
-				_ = lg.Room()
+				_ = lg.Summary()
 			}
 		})
 	}
--- a/policy/owner/earmark.go
+++ b/policy/owner/earmark.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		free = free.Sub(mc.kept(hd, name))
-		share := free.Share(mc.ledger.Capacity(name))
+		share := free.DominantShare(mc.ledger.Capacity(name))
 		for _, ready := range readyTimes(now, hd, free, running[name]) {
 			list = append(list, prospect{worker: name, ready: ready, free: share})
 		}
--- a/policy/owner/event.go
+++ b/policy/owner/event.go
@@ -14,8 +14,8 @@
 	At         time.Duration `json:"at"`
 	WorkerUp   *WorkerUp     `json:"worker_up,omitempty"`
 	WorkerGone *WorkerGone   `json:"worker_gone,omitempty"`
-	Arrive     *Arrive       `json:"arrive,omitempty"`
-	Done       *Done         `json:"done,omitempty"`
+	Lookup     *Lookup       `json:"arrive,omitempty"`
+	LookupDone *LookupDone   `json:"done,omitempty"`
 	Hold       *Hold         `json:"hold,omitempty"`
 	Commit     *Commit       `json:"commit,omitempty"`
 	Release    *Release      `json:"release,omitempty"`
@@ -47,8 +47,8 @@
 	Lost   bool   `json:"lost"`
 }
 
-// Arrive is a lookup that wants a slot until Deadline.
-type Arrive struct {
+// Lookup is a lookup that wants a slot until Deadline.
+type Lookup struct {
 	ID        string        `json:"id"`
 	Workspace string        `json:"workspace"`
 	Workload  string        `json:"workload"`
@@ -57,8 +57,8 @@
 	Deadline  time.Duration `json:"deadline"`
 }
 
-// Done gives a lookup's slot back, or takes a waiting lookup out of the queue.
-type Done struct {
+// LookupDone gives a lookup's slot back, or takes a waiting lookup out of the queue.
+type LookupDone struct {
 	ID      string        `json:"id"`
 	Latency time.Duration `json:"latency"`
 	// Failed says that the worker failed the lookup.
@@ -74,8 +74,8 @@
 	Expires time.Duration `json:"expires"`
 	// Priority and Age order holds that reserve: higher priority first, then the
 	// lower age, which is when the job was submitted.
-	Priority int   `json:"priority,omitempty"`
-	Age      int64 `json:"age,omitempty"`
+	Priority    int   `json:"priority,omitempty"`
+	SubmittedAt int64 `json:"age,omitempty"`
 	// Reserve keeps room that is free, or comes free, for this hold, against
 	// younger ones.
 	Reserve bool `json:"reserve,omitempty"`
@@ -118,16 +118,16 @@
 
 // Action is one decision of the machine; exactly one pointer is set.
 type Action struct {
-	Send    *Send    `json:"send,omitempty"`
-	Refuse  *Refuse  `json:"refuse,omitempty"`
-	Granted *Granted `json:"granted,omitempty"`
-	Settled *Settled `json:"settled,omitempty"`
-	Expired *Expired `json:"expired,omitempty"`
-	Preempt *Preempt `json:"preempt,omitempty"`
+	Dispatch *Dispatch `json:"send,omitempty"`
+	Refuse   *Refuse   `json:"refuse,omitempty"`
+	Granted  *Granted  `json:"granted,omitempty"`
+	Settled  *Settled  `json:"settled,omitempty"`
+	Expired  *Expired  `json:"expired,omitempty"`
+	Preempt  *Preempt  `json:"preempt,omitempty"`
 }
 
-// Send says on which worker a lookup goes.
-type Send struct {
+// Dispatch says on which worker a lookup goes.
+type Dispatch struct {
 	ID     string `json:"id"`
 	Worker string `json:"worker"`
 }
--- a/policy/owner/health.go
+++ b/policy/owner/health.go
@@ -39,7 +39,7 @@
 	if he.failures < failuresToRest || he.until > now || mc.manyRest() {
 		return
 	}
-	if mc.ledger.Rest(worker, true) {
+	if mc.ledger.SetQuarantined(worker, true) {
 		he.until = now + he.rest
 		he.rest = min(2*he.rest, longestRest)
 	}
@@ -47,14 +47,14 @@
 
 // manyRest reports whether no more workers may rest.
 func (mc *Machine) manyRest() bool {
-	resting := mc.ledger.Resting() + 1
+	resting := mc.ledger.Quarantined() + 1
 	return resting*restingPart > mc.ledger.Load().Workers+resting
 }
 
 // wake ends the rests that are over. The next result decides: the worker is one
 // failure short of resting again.
 func (mc *Machine) wake(now time.Duration) {
-	if mc.ledger.Resting() == 0 {
+	if mc.ledger.Quarantined() == 0 {
 		return
 	}
 	for _, worker := range slices.Sorted(maps.Keys(mc.health)) {
@@ -62,7 +62,7 @@
 		if he.until > 0 && he.until <= now {
 			he.until = 0
 			he.failures = failuresToRest - 1
-			mc.ledger.Rest(worker, false)
+			mc.ledger.SetQuarantined(worker, false)
 		}
 	}
 }
--- a/policy/owner/health_test.go
+++ b/policy/owner/health_test.go
@@ -14,15 +14,15 @@
 	failed := 0
 	for i := range n {
 		id := fmt.Sprint("lookup-", i)
-		for _, act := range mc.Step(owner.Event{At: at, Arrive: &owner.Arrive{ID: id, Weight: 1, Deadline: at + time.Second}}) {
-			if act.Send == nil {
+		for _, act := range mc.Step(owner.Event{At: at, Lookup: &owner.Lookup{ID: id, Weight: 1, Deadline: at + time.Second}}) {
+			if act.Dispatch == nil {
 				continue
 			}
-			is := bad(act.Send.Worker)
+			is := bad(act.Dispatch.Worker)
 			if is {
 				failed++
 			}
-			mc.Step(owner.Event{At: at, Done: &owner.Done{ID: id, Latency: time.Millisecond, Failed: is}})
+			mc.Step(owner.Event{At: at, LookupDone: &owner.LookupDone{ID: id, Latency: time.Millisecond, Failed: is}})
 		}
 	}
 	return failed
@@ -41,11 +41,11 @@
 		t.Errorf("%d lookups failed after the rest, want 1", got)
 	}
 	mc.Step(owner.Event{At: 17 * time.Second, Tick: &owner.Tick{}})
-	if got := lookups(mc, 17*time.Second, 1000, func(string) bool { return false }); got != 0 || mc.Ledger().Resting() != 0 {
-		t.Errorf("the worker is mended, but %d workers rest", mc.Ledger().Resting())
+	if got := lookups(mc, 17*time.Second, 1000, func(string) bool { return false }); got != 0 || mc.Ledger().Quarantined() != 0 {
+		t.Errorf("the worker is mended, but %d workers rest", mc.Ledger().Quarantined())
 	}
 	lookups(mc, 18*time.Second, 1000, func(string) bool { return true })
-	if got := mc.Ledger().Resting(); got != 2 {
+	if got := mc.Ledger().Quarantined(); got != 2 {
 		t.Errorf("%d of 8 workers rest when all fail, want 2", got)
 	}
 }
--- a/policy/owner/hold.go
+++ b/policy/owner/hold.go
@@ -23,7 +23,7 @@
 func (hd *hold) before(other *hold) bool {
 	return cmp.Or(
 		cmp.Compare(other.Priority, hd.Priority),
-		cmp.Compare(hd.Age, other.Age),
+		cmp.Compare(hd.SubmittedAt, other.SubmittedAt),
 		cmp.Compare(hd.ID, other.ID),
 	) < 0
 }
@@ -134,7 +134,7 @@
 	}
 	chosen, rest := hd.split(cm.Tasks)
 	whole := len(chosen) == len(cm.Tasks) && !slices.ContainsFunc(chosen, func(pl Place) bool {
-		return !mc.ledger.Holds(pl.Task)
+		return !mc.ledger.Has(pl.Task)
 	})
 	if !whole {
 		mc.giveBack(hd)
--- a/policy/owner/hold_test.go
+++ b/policy/owner/hold_test.go
@@ -51,17 +51,17 @@
 
 // TestReservations shows who gets room that comes free while a gang wants it.
 func TestReservations(t *testing.T) {
-	gang := owner.Hold{ID: "gang", Age: 10, Reserve: true}
+	gang := owner.Hold{ID: "gang", SubmittedAt: 10, Reserve: true}
 	cases := map[string]struct {
 		other owner.Hold
 		cores int64
 		want  int
 	}{
-		"a younger one stays off":         {owner.Hold{ID: "young", Age: 20}, 1, 0},
-		"an older one takes it":           {owner.Hold{ID: "old", Age: 5}, 1, 1},
-		"higher priority takes it":        {owner.Hold{ID: "high", Age: 20, Priority: 9}, 1, 1},
-		"a younger reservation stays off": {owner.Hold{ID: "young", Age: 20, Reserve: true}, 4, 0},
-		"an older reservation takes it":   {owner.Hold{ID: "old", Age: 5, Reserve: true}, 4, 1},
+		"a younger one stays off":         {owner.Hold{ID: "young", SubmittedAt: 20}, 1, 0},
+		"an older one takes it":           {owner.Hold{ID: "old", SubmittedAt: 5}, 1, 1},
+		"higher priority takes it":        {owner.Hold{ID: "high", SubmittedAt: 20, Priority: 9}, 1, 1},
+		"a younger reservation stays off": {owner.Hold{ID: "young", SubmittedAt: 20, Reserve: true}, 4, 0},
+		"an older reservation takes it":   {owner.Hold{ID: "old", SubmittedAt: 5, Reserve: true}, 4, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,8 +82,8 @@
 // TestTwoGangs lets two gangs hold a part each. The older one gets all.
 func TestTwoGangs(t *testing.T) {
 	mc := cell(2)
-	young := owner.Hold{ID: "young", Age: 20, Reserve: true}
-	old := owner.Hold{ID: "old", Age: 10, Reserve: true}
+	young := owner.Hold{ID: "young", SubmittedAt: 20, Reserve: true}
+	old := owner.Hold{ID: "old", SubmittedAt: 10, Reserve: true}
 	start(mc, owner.Hold{ID: "a"}, 4)
 	if got, _ := ask(mc, young, 2, 4); got != 1 {
 		t.Fatalf("the younger gang got %d places, want 1", got)
@@ -103,14 +103,14 @@
 	mc := cell(2)
 	start(mc, owner.Hold{ID: "a"}, 3)
 	start(mc, owner.Hold{ID: "b"}, 4)
-	gang := owner.Hold{ID: "gang", Age: 10, Reserve: true}
+	gang := owner.Hold{ID: "gang", SubmittedAt: 10, Reserve: true}
 	ask(mc, gang, 2, 4)
 	end(mc, "a.0")
 	if got, _ := ask(mc, gang, 2, 4); got != 1 {
 		t.Fatalf("the gang got %d places, want 1", got)
 	}
 	end(mc, "b.0")
-	if got, _ := ask(mc, owner.Hold{ID: "young", Age: 20}, 1, 1); got != 0 {
+	if got, _ := ask(mc, owner.Hold{ID: "young", SubmittedAt: 20}, 1, 1); got != 0 {
 		t.Error("a younger job got the room that the gang still wants")
 	}
 	if got, _ := ask(mc, gang, 2, 4); got != 2 {
@@ -122,8 +122,8 @@
 // nothing is committed, since there is no room behind it any more.
 func TestCommitTakenOver(t *testing.T) {
 	mc := cell(1)
-	ask(mc, owner.Hold{ID: "young", Age: 20, Reserve: true}, 2, 4)
-	ask(mc, owner.Hold{ID: "old", Age: 10, Reserve: true}, 1, 4)
+	ask(mc, owner.Hold{ID: "young", SubmittedAt: 20, Reserve: true}, 2, 4)
+	ask(mc, owner.Hold{ID: "old", SubmittedAt: 10, Reserve: true}, 1, 4)
 	cases := map[string]struct {
 		tasks []string
 		want  bool
@@ -192,10 +192,10 @@
 			}
 		})
 		b.Run(fmt.Sprint("lookup ", count), func(b *testing.B) {
-			ar := owner.Arrive{ID: "lookup-1", Workspace: "brno", Weight: 1, Deadline: time.Hour}
+			ar := owner.Lookup{ID: "lookup-1", Workspace: "brno", Weight: 1, Deadline: time.Hour}
 			for b.Loop() {
-				mc.Step(owner.Event{Arrive: &ar})
-				mc.Step(owner.Event{Done: &owner.Done{ID: ar.ID, Latency: time.Millisecond}})
+				mc.Step(owner.Event{Lookup: &ar})
+				mc.Step(owner.Event{LookupDone: &owner.LookupDone{ID: ar.ID, Latency: time.Millisecond}})
 			}
 		})
 	}
@@ -220,10 +220,10 @@
 			mc := cell(2)
 			start(mc, owner.Hold{ID: "long", Run: tc.running}, 3)
 			start(mc, owner.Hold{ID: "other", Run: tc.running}, 3)
-			if got, _ := ask(mc, owner.Hold{ID: "gang", Age: 10, Reserve: true}, 2, 4); got != 0 {
+			if got, _ := ask(mc, owner.Hold{ID: "gang", SubmittedAt: 10, Reserve: true}, 2, 4); got != 0 {
 				t.Fatalf("the gang got %d places of a full cell", got)
 			}
-			tc.short.ID, tc.short.Age = "short", 20
+			tc.short.ID, tc.short.SubmittedAt = "short", 20
 			if got, _ := ask(mc, tc.short, 1, 1); got != tc.want {
 				t.Errorf("got %d places, want %d", got, tc.want)
 			}
@@ -256,7 +256,7 @@
 		start(mc, owner.Hold{ID: "a", Repeatable: true}, 4)
 		start(mc, owner.Hold{ID: "b", Repeatable: true}, 4)
 		urgent := []owner.Hold{
-			{ID: "u0", Age: 10, Priority: 9, Reserve: true, Urgent: true}, {ID: "u1", Age: 11, Priority: 9, Reserve: true, Urgent: true},
+			{ID: "u0", SubmittedAt: 10, Priority: 9, Reserve: true, Urgent: true}, {ID: "u1", SubmittedAt: 11, Priority: 9, Reserve: true, Urgent: true},
 		}
 		var stops []string
 		for _, hd := range urgent {
@@ -281,8 +281,8 @@
 	start(mc, owner.Hold{ID: "a", Repeatable: true}, 4)
 	start(mc, owner.Hold{ID: "b", Repeatable: true}, 4)
 	start(mc, owner.Hold{ID: "c", Repeatable: true}, 4)
-	old := owner.Hold{ID: "old", Age: 10, Priority: 9, Reserve: true, Urgent: true}
-	young := owner.Hold{ID: "young", Age: 11, Priority: 9, Reserve: true, Urgent: true}
+	old := owner.Hold{ID: "old", SubmittedAt: 10, Priority: 9, Reserve: true, Urgent: true}
+	young := owner.Hold{ID: "young", SubmittedAt: 11, Priority: 9, Reserve: true, Urgent: true}
 	_, made := ask(mc, old, 1, 4)
 	_, second := ask(mc, young, 1, 4)
 	end(mc, second[0])
@@ -291,7 +291,7 @@
 	}
 	mc.Step(owner.Event{Commit: &owner.Commit{ID: "old", Tasks: []string{"old.0"}}})
 	end(mc, made[0])
-	if got, _ := ask(mc, owner.Hold{ID: "low", Age: 5}, 1, 4); got != 0 {
+	if got, _ := ask(mc, owner.Hold{ID: "low", SubmittedAt: 5}, 1, 4); got != 0 {
 		t.Error("a job of lower priority got the room")
 	}
 	if got, more := ask(mc, young, 1, 4); got != 1 || len(more) > 0 {
--- a/policy/owner/owner.go
+++ b/policy/owner/owner.go
@@ -48,7 +48,7 @@
 type queue struct {
 	weight float64
 	served float64
-	items  []Arrive
+	items  []Lookup
 }
 
 // New returns a machine without workers.
@@ -71,10 +71,10 @@
 // Waiting returns the number of lookups that wait for a slot.
 func (mc *Machine) Waiting() int { return mc.waiting }
 
-// AwaitsTime reports whether something happens by itself as time passes: a hold
+// NeedsTick reports whether something happens by itself as time passes: a hold
 // expires, a waiting lookup is late, or a worker's rest ends.
-func (mc *Machine) AwaitsTime() bool {
-	return len(mc.holds) > 0 || mc.waiting > 0 || mc.ledger.Resting() > 0
+func (mc *Machine) NeedsTick() bool {
+	return len(mc.holds) > 0 || mc.waiting > 0 || mc.ledger.Quarantined() > 0
 }
 
 // Step takes one event and returns the decisions that follow from it.
@@ -84,10 +84,10 @@
 		return mc.workerUp(ev.At, ev.WorkerUp)
 	case ev.WorkerGone != nil:
 		return mc.workerGone(ev.At, ev.WorkerGone)
-	case ev.Arrive != nil:
-		return mc.arrive(ev.At, *ev.Arrive)
-	case ev.Done != nil:
-		return mc.done(ev.At, ev.Done)
+	case ev.Lookup != nil:
+		return mc.arrive(ev.At, *ev.Lookup)
+	case ev.LookupDone != nil:
+		return mc.done(ev.At, ev.LookupDone)
 	case ev.Hold != nil:
 		return mc.hold(ev.At, ev.Hold)
 	case ev.Commit != nil:
@@ -163,7 +163,7 @@
 }
 
 // arrive sends a lookup at once, lets it wait, or refuses it.
-func (mc *Machine) arrive(now time.Duration, ar Arrive) []Action {
+func (mc *Machine) arrive(now time.Duration, ar Lookup) []Action {
 	if ar.Deadline <= now {
 		return []Action{refuse(ar.ID, ReasonDeadline, 0)}
 	}
@@ -172,7 +172,7 @@
 	}
 	if mc.waiting == 0 {
 		if worker, ok := mc.take(ar); ok {
-			return []Action{{Send: &Send{ID: ar.ID, Worker: worker}}}
+			return []Action{{Dispatch: &Dispatch{ID: ar.ID, Worker: worker}}}
 		}
 	}
 	if mc.waiting >= mc.limits.Queue {
@@ -190,7 +190,7 @@
 }
 
 // take commits room for a lookup on the least loaded candidate.
-func (mc *Machine) take(ar Arrive) (string, bool) {
+func (mc *Machine) take(ar Lookup) (string, bool) {
 	worker, ok := mc.ledger.LeastLoaded(ar.Size, mc.limits.Candidates)
 	if !ok || !mc.ledger.Take(worker, ar.ID, ar.Size, 1) {
 		return "", false
@@ -208,7 +208,7 @@
 	return mc.service * time.Duration(n+1) / time.Duration(mc.active)
 }
 
-func (mc *Machine) enqueue(ar Arrive) {
+func (mc *Machine) enqueue(ar Lookup) {
 	qu, ok := mc.queues[ar.Workspace]
 	if !ok {
 		qu = &queue{served: mc.floor()}
@@ -269,7 +269,7 @@
 		}
 		qu.served += 1 / qu.weight
 		mc.pop(name)
-		acts = append(acts, Action{Send: &Send{ID: ar.ID, Worker: worker}})
+		acts = append(acts, Action{Dispatch: &Dispatch{ID: ar.ID, Worker: worker}})
 	}
 	return acts
 }
@@ -283,7 +283,7 @@
 	}
 }
 
-func (mc *Machine) done(now time.Duration, dn *Done) []Action {
+func (mc *Machine) done(now time.Duration, dn *LookupDone) []Action {
 	if _, ok := mc.sizes[dn.ID]; !ok {
 		mc.withdraw(dn.ID)
 		return nil
@@ -307,7 +307,7 @@
 // withdraw takes a lookup whose caller has gone out of its queue.
 func (mc *Machine) withdraw(id string) {
 	for name, qu := range mc.queues {
-		at := slices.IndexFunc(qu.items, func(ar Arrive) bool { return ar.ID == id })
+		at := slices.IndexFunc(qu.items, func(ar Lookup) bool { return ar.ID == id })
 		if at < 0 {
 			continue
 		}
@@ -350,7 +350,7 @@
 	}
 	var late []string
 	for name, qu := range mc.queues {
-		qu.items = slices.DeleteFunc(qu.items, func(ar Arrive) bool {
+		qu.items = slices.DeleteFunc(qu.items, func(ar Lookup) bool {
 			if ar.Deadline > now {
 				return false
 			}
--- a/policy/owner/preempt.go
+++ b/policy/owner/preempt.go
@@ -40,7 +40,7 @@
 // tasks that it chose before have not ended, it chooses no more.
 func (mc *Machine) preempt(hd *hold) []Action {
 	for _, id := range hd.victims {
-		if mc.ledger.Holds(id) {
+		if mc.ledger.Has(id) {
 			return nil
 		}
 	}
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -11,8 +11,8 @@
 	"tackbeam.example/policy/work"
 )
 
-// Book holds the settings and the use of each workspace. It is not safe for concurrent use.
-type Book struct {
+// Tracker holds the settings and the use of each workspace. It is not safe for concurrent use.
+type Tracker struct {
 	rows map[string]*row
 }
 
@@ -25,10 +25,10 @@
 }
 
 // New returns an empty book.
-func New() *Book { return &Book{rows: map[string]*row{}} }
+func New() *Tracker { return &Tracker{rows: map[string]*row{}} }
 
 // Set takes in the settings of a workspace, unless later ones are known.
-func (bk *Book) Set(ws work.Workspace) {
+func (bk *Tracker) Set(ws work.Workspace) {
 	if ws.Name != "" {
 		rw := bk.row(ws.Name)
 		rw.Workspace = rw.Workspace.Later(ws)
@@ -37,7 +37,7 @@
 
 // Update takes in the present settings of all known workspaces. One that the configuration lacks keeps
 // the settings that it has, since its jobs run on.
-func (bk *Book) Update(settings func(name string) (work.Workspace, bool)) {
+func (bk *Tracker) Update(settings func(name string) (work.Workspace, bool)) {
 	for name := range bk.rows {
 		if ws, ok := settings(name); ok {
 			bk.Set(ws)
@@ -45,7 +45,7 @@
 	}
 }
 
-func (bk *Book) row(name string) *row {
+func (bk *Tracker) row(name string) *row {
 	rw, ok := bk.rows[name]
 	if !ok {
 		rw = &row{Workspace: work.Workspace{Name: name}}
@@ -55,7 +55,7 @@
 }
 
 // Add adds to what a workspace has running; what ends is added with Sub.
-func (bk *Book) Add(name string, amount size.Size) {
+func (bk *Tracker) Add(name string, amount size.Size) {
 	if name != "" {
 		rw := bk.row(name)
 		rw.used = rw.used.Add(amount)
@@ -63,23 +63,23 @@
 }
 
 // Sub takes what has ended off a workspace.
-func (bk *Book) Sub(name string, amount size.Size) {
+func (bk *Tracker) Sub(name string, amount size.Size) {
 	if name != "" {
 		rw := bk.row(name)
 		rw.used = rw.used.Sub(amount)
 	}
 }
 
-// SetDoubts replaces what may be running besides, by workspace: after a change of planner, what workers
+// SetUnreported replaces what may be running besides, by workspace: after a change of planner, what workers
 // hold that have not reported yet.
-func (bk *Book) SetDoubts(doubts map[string]size.Size) {
+func (bk *Tracker) SetUnreported(doubts map[string]size.Size) {
 	for name, rw := range bk.rows {
 		rw.doubt = doubts[name]
 	}
 }
 
-// Room returns how many more tasks of a size a workspace may have running.
-func (bk *Book) Room(name string, need size.Size) int {
+// Headroom returns how many more tasks of a size a workspace may have running.
+func (bk *Tracker) Headroom(name string, need size.Size) int {
 	rw, ok := bk.rows[name]
 	if !ok || rw.Limit.IsZero() {
 		return math.MaxInt
@@ -93,19 +93,19 @@
 	return int(count)
 }
 
-// Use is what one workspace has running, for people and measures.
-type Use struct {
+// Usage is what one workspace has running, for people and measures.
+type Usage struct {
 	Workspace work.Workspace
 	// Running is what runs or may run, Doubt what may run besides of which nobody knows where.
-	Running, Doubt size.Size
+	Running, Unreported size.Size
 }
 
 // burst is for how long a workspace may have sent nothing before that counts no more in its favour.
 const burst = time.Second
 
-// Owes takes in that a workspace's job came at a time, and reports whether it is within what the workspace is owed:
+// WithinRate takes in that a workspace's job came at a time, and reports whether it is within what the workspace is owed:
 // as many jobs a second as its weight says. Without a weight all of them are.
-func (bk *Book) Owes(name string, came time.Duration) bool {
+func (bk *Tracker) WithinRate(name string, came time.Duration) bool {
 	rw, ok := bk.rows[name]
 	if !ok || rw.Weight <= 0 {
 		return true
@@ -118,21 +118,21 @@
 	return true
 }
 
-// Uses returns all workspaces by name.
-func (bk *Book) Uses() []Use {
-	var list []Use
+// Usages returns all workspaces by name.
+func (bk *Tracker) Usages() []Usage {
+	var list []Usage
 	for _, name := range slices.Sorted(maps.Keys(bk.rows)) {
 		rw := bk.rows[name]
-		list = append(list, Use{rw.Workspace, rw.used, rw.doubt})
+		list = append(list, Usage{rw.Workspace, rw.used, rw.doubt})
 	}
 	return list
 }
 
-// Use returns what one workspace has running.
-func (bk *Book) Use(name string) Use {
+// Usage returns what one workspace has running.
+func (bk *Tracker) Usage(name string) Usage {
 	rw, ok := bk.rows[name]
 	if !ok {
-		return Use{}
+		return Usage{}
 	}
-	return Use{rw.Workspace, rw.used, rw.doubt}
+	return Usage{rw.Workspace, rw.used, rw.doubt}
 }
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -35,8 +35,8 @@
 			bk := quota.New()
 			bk.Set(workspace(1, tc.limit))
 			bk.Add("parts", tc.used)
-			bk.SetDoubts(map[string]size.Size{"parts": tc.doubt})
-			if got := bk.Room("parts", size.New(1000, 100, 0)); got != tc.want {
+			bk.SetUnreported(map[string]size.Size{"parts": tc.doubt})
+			if got := bk.Headroom("parts", size.New(1000, 100, 0)); got != tc.want {
 				t.Errorf("room for %d more tasks, want %d", got, tc.want)
 			}
 		})
@@ -49,11 +49,11 @@
 	bk := quota.New()
 	bk.Set(workspace(7, size.New(2000, 0, 0)))
 	bk.Set(workspace(6, size.New(9000, 0, 0)))
-	if got := bk.Room("parts", size.New(1000, 0, 0)); got != 2 {
+	if got := bk.Headroom("parts", size.New(1000, 0, 0)); got != 2 {
 		t.Errorf("room for %d tasks by the limit of version 7, want 2", got)
 	}
 	bk.Update(func(string) (work.Workspace, bool) { return work.Workspace{}, false })
-	if got := bk.Room("parts", size.New(1000, 0, 0)); got != 2 {
+	if got := bk.Headroom("parts", size.New(1000, 0, 0)); got != 2 {
 		t.Errorf("room for %d tasks after the workspace is gone, want 2", got)
 	}
 }
@@ -63,11 +63,11 @@
 	bk := quota.New()
 	bk.Set(work.Workspace{})
 	bk.Add("", size.New(1000, 0, 0))
-	if got := bk.Room("", size.New(1000, 0, 0)); got != math.MaxInt {
+	if got := bk.Headroom("", size.New(1000, 0, 0)); got != math.MaxInt {
 		t.Errorf("room for %d tasks, want any number", got)
 	}
-	if len(bk.Uses()) != 0 {
-		t.Errorf("uses %v, want none", bk.Uses())
+	if len(bk.Usages()) != 0 {
+		t.Errorf("uses %v, want none", bk.Usages())
 	}
 }
 
@@ -90,7 +90,7 @@
 			bk.Set(work.Workspace{Name: "parts", Weight: tc.weight, Version: 1})
 			owed := 0
 			for came := 5 * time.Second; came < 15*time.Second; came += tc.every {
-				if bk.Owes("parts", came) {
+				if bk.WithinRate("parts", came) {
 					owed++
 				}
 			}
@@ -101,11 +101,11 @@
 	}
 }
 
-// ExampleBook_Room shows a limit of four cores.
-func ExampleBook_Room() {
+// ExampleTracker_Headroom shows a limit of four cores.
+func ExampleTracker_Headroom() {
 	bk := quota.New()
 	bk.Set(work.Workspace{Name: "parts", Limit: size.New(4000, 0, 0), Version: 1})
 	bk.Add("parts", size.New(2500, 0, 0))
-	fmt.Println(bk.Room("parts", size.New(500, 0, 0)))
+	fmt.Println(bk.Headroom("parts", size.New(500, 0, 0)))
 	// Output: 3
 }
--- a/policy/learn/learn.go
+++ b/policy/runtimes/runtimes.go
@@ -1,9 +1,9 @@
-// Package learn remembers how long the tasks of each workload have run, so that
+// Package runtimes remembers how long the tasks of each workload have run, so that
 // plans need not rest on what was declared.
 //
 // What is learned orders and plans work. It never lets a worker carry more than
 // it has: room is committed by declared sizes.
-package learn
+package runtimes
 
 import (
 	"time"
@@ -25,16 +25,16 @@
 // workload that changes is learned anew.
 const recent = 512
 
-// Runs remembers the run times of workloads. It is not safe for concurrent use.
-type Runs struct {
+// Histograms remembers the run times of workloads. It is not safe for concurrent use.
+type Histograms struct {
 	workloads map[string]*hdrhistogram.Histogram
 }
 
 // New returns an empty memory.
-func New() *Runs { return &Runs{workloads: map[string]*hdrhistogram.Histogram{}} }
+func New() *Histograms { return &Histograms{workloads: map[string]*hdrhistogram.Histogram{}} }
 
-// Note takes in how long a task of a workload ran.
-func (rn *Runs) Note(workload string, run time.Duration) {
+// Record takes in how long a task of a workload ran.
+func (rn *Histograms) Record(workload string, run time.Duration) {
 	hi, ok := rn.workloads[workload]
 	if !ok {
 		hi = hdrhistogram.New(shortest, longest, figures)
@@ -60,7 +60,7 @@
 
 // Quantile returns the time within which a part q (0 to 1) of the runs ended, or
 // false while too few are known.
-func (rn *Runs) Quantile(workload string, q float64) (time.Duration, bool) {
+func (rn *Histograms) Quantile(workload string, q float64) (time.Duration, bool) {
 	const percent = 100
 	hi, ok := rn.workloads[workload]
 	if !ok || hi.TotalCount() < enough {
--- a/policy/learn/learn_test.go
+++ b/policy/runtimes/runtimes_test.go
@@ -1,4 +1,4 @@
-package learn_test
+package runtimes_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tackbeam.example/policy/learn"
+	"tackbeam.example/policy/runtimes"
 )
 
 // TestQuantile compares estimates with the distribution that the runs came from.
@@ -26,10 +26,10 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			rn := learn.New()
+			rn := runtimes.New()
 			rd := rand.New(rand.NewPCG(1, 2))
 			for range tc.runs {
-				rn.Note("push", tc.low+time.Duration(rd.Int64N(int64(tc.top-tc.low)+1)))
+				rn.Record("push", tc.low+time.Duration(rd.Int64N(int64(tc.top-tc.low)+1)))
 			}
 			got, ok := rn.Quantile("push", 0.9)
 			if ok != tc.known {
@@ -46,23 +46,23 @@
 
 // TestChange lets a workload become ten times as long. It is learned anew.
 func TestChange(t *testing.T) {
-	rn := learn.New()
+	rn := runtimes.New()
 	for range 2000 {
-		rn.Note("push", time.Second)
+		rn.Record("push", time.Second)
 	}
 	for range 2000 {
-		rn.Note("push", 10*time.Second)
+		rn.Record("push", 10*time.Second)
 	}
 	if got, _ := rn.Quantile("push", 0.5); got < 9*time.Second {
 		t.Errorf("the median is %v after 2000 longer runs", got)
 	}
 }
 
-// ExampleRuns estimates a workload from ten runs of 100 to 1000 ms.
-func ExampleRuns() {
-	rn := learn.New()
+// ExampleHistograms estimates a workload from ten runs of 100 to 1000 ms.
+func ExampleHistograms() {
+	rn := runtimes.New()
 	for n := 1; n <= 10; n++ {
-		rn.Note("push", time.Duration(n)*100*time.Millisecond)
+		rn.Record("push", time.Duration(n)*100*time.Millisecond)
 	}
 	run, ok := rn.Quantile("push", 0.5)
 	fmt.Println(run.Round(100*time.Millisecond), ok)
--- a/policy/size/size.go
+++ b/policy/size/size.go
@@ -82,9 +82,9 @@
 // IsZero reports whether every component is zero.
 func (sz Size) IsZero() bool { return sz == Size{} }
 
-// Share returns the largest fraction that the size takes of whole: the dominant
+// DominantShare returns the largest fraction that the size takes of whole: the dominant
 // share. Dimensions that whole lacks are passed over.
-func (sz Size) Share(whole Size) float64 {
+func (sz Size) DominantShare(whole Size) float64 {
 	var most float64
 	for d := range sz {
 		if whole[d] > 0 {
@@ -127,9 +127,9 @@
 		float64(sz[Processors])/milliPerCore, sz[Memory], sz[Accelerators])
 }
 
-// Holds returns how many times the size need fits into this one; a need of nothing
+// FitCount returns how many times the size need fits into this one; a need of nothing
 // fits many times.
-func (sz Size) Holds(need Size) int {
+func (sz Size) FitCount(need Size) int {
 	const many = 1 << 20
 	count := int64(many)
 	for d := range sz {
--- a/policy/timeline/timeline.go
+++ b/policy/timeline/timeline.go
@@ -30,24 +30,24 @@
 // Len returns the number of things.
 func (tl *Timeline[T]) Len() int { return len(tl.list) }
 
-// Next takes off the first thing that is due by a time, or reports false.
-func (tl *Timeline[T]) Next(by time.Duration) (thing T, ok bool) {
+// PopDue takes off the first thing that is due by a time, or reports false.
+func (tl *Timeline[T]) PopDue(by time.Duration) (thing T, ok bool) {
 	if len(tl.list) == 0 || tl.list[0].at > by {
 		return thing, false
 	}
 	return heap.Pop(&tl.list).(moment[T]).thing, true
 }
 
-// First returns when the first thing is due, or false where there is none.
-func (tl *Timeline[T]) First() (time.Duration, bool) {
+// NextDue returns when the first thing is due, or false where there is none.
+func (tl *Timeline[T]) NextDue() (time.Duration, bool) {
 	if len(tl.list) == 0 {
 		return 0, false
 	}
 	return tl.list[0].at, true
 }
 
-// Keep drops the things that keep does not report.
-func (tl *Timeline[T]) Keep(keep func(T) bool) {
+// Retain drops the things that keep does not report.
+func (tl *Timeline[T]) Retain(keep func(T) bool) {
 	tl.list = slices.DeleteFunc(tl.list, func(mo moment[T]) bool { return !keep(mo.thing) })
 	heap.Init(&tl.list)
 }
--- a/policy/timeline/timeline_test.go
+++ b/policy/timeline/timeline_test.go
@@ -15,15 +15,15 @@
 	tl.Add(time.Second, "second")
 	tl.Add(time.Second, "cancelled")
 	tl.Add(time.Hour, "later")
-	tl.Keep(func(name string) bool { return name != "cancelled" })
+	tl.Retain(func(name string) bool { return name != "cancelled" })
 	for {
-		name, ok := tl.Next(time.Minute)
+		name, ok := tl.PopDue(time.Minute)
 		if !ok {
 			break
 		}
 		fmt.Println(name)
 	}
-	at, _ := tl.First()
+	at, _ := tl.NextDue()
 	fmt.Println(tl.Len(), "left, due at", at)
 	// Output:
 	// first
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -59,15 +59,15 @@
 	PerWorker int `cbor:"10,keyasint,omitempty"`
 	// Speculative tasks may run in several copies.
 	Speculative bool `cbor:"11,keyasint,omitempty"`
-	// Lasting tasks run until the job is cancelled.
-	Lasting bool `cbor:"12,keyasint,omitempty"`
-	// Filler tasks take no processors of their own, only what others leave.
-	Filler bool `cbor:"13,keyasint,omitempty"`
-	// MayMiss is how many lasting tasks may be away at once by a decision of the system.
-	MayMiss int    `cbor:"14,keyasint,omitempty"`
-	Image   string `cbor:"15,keyasint,omitempty"`
-	// Tail is the latency that the users of a lasting task are promised.
-	Tail time.Duration `cbor:"16,keyasint,omitempty"`
+	// LongRunning tasks run until the job is cancelled.
+	LongRunning bool `cbor:"12,keyasint,omitempty"`
+	// BestEffort tasks take no processors of their own, only what others leave.
+	BestEffort bool `cbor:"13,keyasint,omitempty"`
+	// MaxUnavailable is how many lasting tasks may be away at once by a decision of the system.
+	MaxUnavailable int    `cbor:"14,keyasint,omitempty"`
+	Image          string `cbor:"15,keyasint,omitempty"`
+	// TargetLatency is the latency that the users of a lasting task are promised.
+	TargetLatency time.Duration `cbor:"16,keyasint,omitempty"`
 }
 
 // Repeat says when the steps of a job run, each time as a round of its own.
@@ -133,7 +133,7 @@
 // the tasks of a gang together, since these run only all at once.
 func (jb *Job) CheckLimit() error {
 	for num, st := range jb.Steps {
-		together := st.Room()
+		together := st.Allocation()
 		if st.Gang {
 			together = together.Times(int64(st.Count))
 		}
@@ -145,9 +145,9 @@
 	return nil
 }
 
-// Room is the room that one task of the step takes of a worker and of its workspace's limit.
-func (st *Step) Room() size.Size {
-	if st.Filler {
+// Allocation is the room that one task of the step takes of a worker and of its workspace's limit.
+func (st *Step) Allocation() size.Size {
+	if st.BestEffort {
 		return size.New(0, st.Need.Memory(), st.Need.Accelerators())
 	}
 	return st.Need
