--- a/policy/incarnation/incarnation.go
+++ b/policy/incarnation/incarnation.go
@@ -1,4 +1,4 @@
-// Package incarnation names the lives of workers.
+// Package incarnation identifies incarnations of workers.
 package incarnation
 
 import (
@@ -6,44 +6,44 @@
 	"strings"
 )
 
-// ID is one life of a worker: its id, and when it began. A worker that begins again under its id
-// knows nothing of before, and counts anew: whatever is remembered of a worker is remembered of a life.
+// ID identifies one incarnation of a worker: one run of its process, by the worker's id and its start time.
+// A worker that restarts under the same id has no memory of its previous run and restarts its counters, so
+// state about a worker is kept per incarnation.
 //
-// It is written as ID@BORN, and as the id alone where the worker does not say when it began.
+// The format is ID@BORN, or the worker's id alone if the worker does not report when it started.
 type ID string
 
-// mark is between the id and the time.
-const mark = "@"
+// separator is between the worker's id and the start time.
+const separator = "@"
 
-// New returns the life of a worker that began at a time, in milliseconds since 1970; 0 where that is
-// not known.
-func New(id string, born int64) ID {
-	if born == 0 && !strings.Contains(id, mark) {
+// New returns the incarnation of a worker that started at a time, in milliseconds since 1970; 0 if unknown.
+func New(id string, startedAt int64) ID {
+	if startedAt == 0 && !strings.Contains(id, separator) {
 		return ID(id)
 	}
-	return ID(id + mark + strconv.FormatInt(born, 10))
+	return ID(id + separator + strconv.FormatInt(startedAt, 10))
 }
 
-// WorkerID returns the worker's id, which other lives may have as well.
-func (lf ID) WorkerID() string {
-	id, _ := lf.parts()
+// WorkerID returns the worker's id, which other incarnations may share.
+func (inc ID) WorkerID() string {
+	id, _ := inc.parts()
 	return id
 }
 
-// StartedAt returns when the life began, in milliseconds since 1970; 0 where that is not known.
-func (lf ID) StartedAt() int64 {
-	_, born := lf.parts()
-	return born
+// StartedAt returns when the incarnation started, in milliseconds since 1970; 0 if unknown.
+func (inc ID) StartedAt() int64 {
+	_, startedAt := inc.parts()
+	return startedAt
 }
 
-func (lf ID) parts() (id string, born int64) {
-	at := strings.LastIndex(string(lf), mark)
+func (inc ID) parts() (id string, startedAt int64) {
+	at := strings.LastIndex(string(inc), separator)
 	if at < 0 {
-		return string(lf), 0
+		return string(inc), 0
 	}
-	born, err := strconv.ParseInt(string(lf[at+len(mark):]), 10, 64)
+	startedAt, err := strconv.ParseInt(string(inc[at+len(separator):]), 10, 64)
 	if err != nil {
-		return string(lf), 0 // not made by Of
+		return string(inc), 0 // not made by New
 	}
-	return string(lf[:at]), born
+	return string(inc[:at]), startedAt
 }
--- a/policy/incarnation/incarnation_test.go
+++ b/policy/incarnation/incarnation_test.go
@@ -13,25 +13,25 @@
 	// Output: i-1@1769588838734 true false
 }
 
-// TestParts reads ids and times back, whatever the ids are.
+// TestParts checks that the worker's id and the start time are read back, including from ids with a separator.
 func TestParts(t *testing.T) {
 	for name, tc := range map[string]struct {
-		id   string
-		born int64
+		id        string
+		startedAt int64
 	}{
-		"usual":               {"i-1c408c3bdb", 1769588838734},
-		"time not known":      {"i-1", 0},
-		"id with the mark":    {"a@b", 7},
-		"id like a life":      {"i-1@7", 0},
-		"id like another":     {"i-1@7", 8},
-		"id that is the mark": {"@", 0},
-		"no id":               {"", 5},
-		"before 1970":         {"i-1", -3},
+		"typical":                         {"i-1c408c3bdb", 1769588838734},
+		"unknown start time":              {"i-1", 0},
+		"id with a separator":             {"a@b", 7},
+		"id like an incarnation":          {"i-1@7", 0},
+		"id like an incarnation, started": {"i-1@7", 8},
+		"id is the separator":             {"@", 0},
+		"empty id":                        {"", 5},
+		"before 1970":                     {"i-1", -3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lf := incarnation.New(tc.id, tc.born)
-			if lf.WorkerID() != tc.id || lf.StartedAt() != tc.born {
-				t.Errorf("%q is of %q, born %d", lf, lf.WorkerID(), lf.StartedAt())
+			inc := incarnation.New(tc.id, tc.startedAt)
+			if inc.WorkerID() != tc.id || inc.StartedAt() != tc.startedAt {
+				t.Errorf("%q has id %q, start time %d", inc, inc.WorkerID(), inc.StartedAt())
 			}
 		})
 	}
--- a/policy/size/json.go
+++ b/policy/size/json.go
@@ -6,10 +6,10 @@
 	"math"
 )
 
-// milliPerCore converts between cores, as people write them, and storage.
+// milliPerCore converts between cores, the external unit, and thousandths of a core, the internal one.
 const milliPerCore = 1000
 
-// object is a size as people and traces write it: cores, MiB, devices.
+// object is the JSON form of a size, as in the API and in traces: cores, MiB, devices.
 type object struct {
 	Processors   float64 `json:"processors"`
 	Memory       int64   `json:"memory"`
@@ -23,7 +23,7 @@
 	})
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON reads the format of MarshalJSON.
 func (sz *Size) UnmarshalJSON(raw []byte) error {
 	var ob object
 	if err := json.Unmarshal(raw, &ob); err != nil {
--- a/policy/size/size.go
+++ b/policy/size/size.go
@@ -1,4 +1,4 @@
-// Package size holds the three dimensions that a worker offers and a task takes.
+// Package size implements resource amounts: the capacity of a worker or the demand of a task, in three dimensions.
 package size
 
 import "fmt"
@@ -6,7 +6,7 @@
 // Dimension indexes one component of a Size.
 type Dimension int
 
-// The dimensions of a Size, in order of storage.
+// The dimensions of a Size, in index order.
 const (
 	Processors Dimension = iota
 	Memory
@@ -14,7 +14,7 @@
 	dimensions
 )
 
-// names are the column names of the dimensions.
+// names are the names of the dimensions, as used for table columns.
 var names = [dimensions]string{"processors", "memory", "accelerators"}
 
 // String returns the column name of the dimension.
@@ -60,16 +60,16 @@
 	return sz
 }
 
-// Fits reports whether the size is within room in every dimension.
-func (sz Size) Fits(room Size) bool {
-	_, ok := sz.Excess(room)
+// Fits reports whether the size is at most available in every dimension.
+func (sz Size) Fits(available Size) bool {
+	_, ok := sz.Excess(available)
 	return !ok
 }
 
-// Excess returns the first dimension in which the size is over room.
-func (sz Size) Excess(room Size) (Dimension, bool) {
+// Excess returns the first dimension in which the size exceeds available, and whether there is one.
+func (sz Size) Excess(available Size) (Dimension, bool) {
 	for d := range sz {
-		if sz[d] > room[d] {
+		if sz[d] > available[d] {
 			return Dimension(d), true
 		}
 	}
@@ -82,24 +82,24 @@
 // IsZero reports whether every component is zero.
 func (sz Size) IsZero() bool { return sz == Size{} }
 
-// DominantShare returns the largest fraction that the size takes of whole: the dominant
-// share. Dimensions that whole lacks are passed over.
-func (sz Size) DominantShare(whole Size) float64 {
-	var most float64
+// DominantShare returns the largest fraction of total that the size is in any dimension. Dimensions in which
+// total is zero are skipped.
+func (sz Size) DominantShare(total Size) float64 {
+	var share float64
 	for d := range sz {
-		if whole[d] > 0 {
-			most = max(most, float64(sz[d])/float64(whole[d]))
+		if total[d] > 0 {
+			share = max(share, float64(sz[d])/float64(total[d]))
 		}
 	}
-	return most
+	return share
 }
 
-// Count returns how many times the size fits into room; limit bounds the answer.
-func (sz Size) Count(room Size, limit int64) int64 {
+// Count returns how many times the size fits into available, at most limit.
+func (sz Size) Count(available Size, limit int64) int64 {
 	n := limit
 	for d := range sz {
 		if sz[d] > 0 {
-			n = min(n, room[d]/sz[d])
+			n = min(n, available[d]/sz[d])
 		}
 	}
 	return max(n, 0)
@@ -121,17 +121,17 @@
 	return sz
 }
 
-// String returns the size for people, for example "1.5 cores, 512 MiB, 0 accelerators".
+// String returns the size in readable form, for example "1.5 cores, 512 MiB, 0 accelerators".
 func (sz Size) String() string {
 	return fmt.Sprintf("%g cores, %d MiB, %d accelerators",
 		float64(sz[Processors])/milliPerCore, sz[Memory], sz[Accelerators])
 }
 
-// FitCount returns how many times the size need fits into this one; a need of nothing
-// fits many times.
+// FitCount returns how many times need fits into the size, at most 2^20, which is also the result for a zero
+// need.
 func (sz Size) FitCount(need Size) int {
-	const many = 1 << 20
-	count := int64(many)
+	const maxCount = 1 << 20
+	count := int64(maxCount)
 	for d := range sz {
 		if need[d] > 0 {
 			count = min(count, max(sz[d], 0)/need[d])
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -1,5 +1,5 @@
-// Package work describes the jobs that a cell of workers runs: what a caller asked
-// for, free of the interface through which it came.
+// Package work describes the jobs that a cell of workers runs: what a caller requested, independent of the
+// API through which the request came.
 package work
 
 import (
@@ -11,8 +11,8 @@
 	"tackbeam.example/policy/size"
 )
 
-// Queue is what the configuration says of the route through which a job came. It
-// travels with the job, so that a job outlives its route.
+// Queue holds the settings of the route through which a job was submitted. They are stored with the job, so
+// that the job can run on after its route is removed.
 type Queue struct {
 	Name     string        `cbor:"1,keyasint"`
 	Service  string        `cbor:"2,keyasint"`
@@ -20,76 +20,77 @@
 	Attempts int           `cbor:"4,keyasint"`
 	Stretch  float64       `cbor:"5,keyasint"`
 	Target   time.Duration `cbor:"6,keyasint"`
-	// Advised queues run a step only on workers that the advisor allowed.
+	// Advised queues run a step only on workers that the advisor permits.
 	Advised bool `cbor:"7,keyasint,omitempty"`
-	// AdviceBase and AdviceEach are what one question takes: at all, and for each worker named.
+	// AdviceBase and AdviceEach are the expected duration of an advice request: a fixed part, and a part per
+	// worker named in it.
 	AdviceBase time.Duration `cbor:"8,keyasint,omitempty"`
 	AdviceEach time.Duration `cbor:"9,keyasint,omitempty"`
-	// Version is one of the configuration that has these settings, or that of a later one.
+	// Version is the version of a configuration with these settings, not necessarily the first one.
 	Version uint64 `cbor:"10,keyasint,omitempty"`
 }
 
-// Later returns the settings of the later version, and the present ones where both are of one. A
-// node whose copy is old must not take back what another node accepted a job with.
-func (qu Queue) Later(present Queue) Queue {
-	if present.Version < qu.Version {
+// Later returns the settings with the later version, or the current ones if the versions are equal. A node
+// with an old copy of the configuration must not revert the settings with which another node accepted a job.
+func (qu Queue) Later(current Queue) Queue {
+	if current.Version < qu.Version {
 		return qu
 	}
-	return present
+	return current
 }
 
-// Step is a number of like tasks.
+// Step is a number of identical tasks.
 type Step struct {
 	Count    int           `cbor:"1,keyasint"`
 	Need     size.Size     `cbor:"2,keyasint"`
 	Estimate time.Duration `cbor:"3,keyasint"`
-	// After lists the steps, by number, that must have ended before.
+	// After lists the numbers of the steps that must have ended before this one starts.
 	After []int `cbor:"4,keyasint,omitempty"`
-	// Checkpoints is true where tasks save their progress.
+	// Checkpoints is set if the tasks save their progress.
 	Checkpoints bool `cbor:"5,keyasint,omitempty"`
-	// Gang tasks run only all together.
+	// Gang tasks run only all at the same time.
 	Gang bool `cbor:"6,keyasint,omitempty"`
-	// SameRack tasks are slow on more than one rack.
+	// SameRack tasks run slowly if they are spread over several racks.
 	SameRack bool `cbor:"7,keyasint,omitempty"`
-	// Label is one that the worker must have; empty means any.
+	// Label is a label that the worker must have; empty means any worker.
 	Label string `cbor:"8,keyasint,omitempty"`
-	// Rack is the one near the data; empty means any.
+	// Rack is the rack close to the data; empty means any.
 	Rack string `cbor:"9,keyasint,omitempty"`
-	// PerWorker is the most tasks of the step on one worker; 0 means any number.
+	// PerWorker is the maximum number of the step's tasks on one worker; 0 means no limit.
 	PerWorker int `cbor:"10,keyasint,omitempty"`
-	// Speculative tasks may run in several copies.
+	// Speculative tasks may run as several copies at the same time.
 	Speculative bool `cbor:"11,keyasint,omitempty"`
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool `cbor:"12,keyasint,omitempty"`
-	// BestEffort tasks take no processors of their own, only what others leave.
+	// BestEffort tasks reserve no processors and use only what other tasks leave idle.
 	BestEffort bool `cbor:"13,keyasint,omitempty"`
-	// MaxUnavailable is how many lasting tasks may be away at once by a decision of the system.
+	// MaxUnavailable is how many long-running tasks the scheduler may take down at the same time.
 	MaxUnavailable int    `cbor:"14,keyasint,omitempty"`
 	Image          string `cbor:"15,keyasint,omitempty"`
-	// TargetLatency is the latency that the users of a lasting task are promised.
+	// TargetLatency is the tail latency promised to the users of a long-running task.
 	TargetLatency time.Duration `cbor:"16,keyasint,omitempty"`
 }
 
-// Repeat says when the steps of a job run, each time as a round of its own.
+// Repeat is the schedule of a recurring job; each run of its steps is a round.
 type Repeat struct {
 	Count int `cbor:"1,keyasint"`
-	// Start is the time of day of round 0, since 1970.
+	// Start is when round 0 starts, as the time since 1970.
 	Start time.Duration `cbor:"2,keyasint"`
 	Every time.Duration `cbor:"3,keyasint"`
 }
 
-// Job is one accepted piece of work.
+// Job is an accepted job.
 type Job struct {
 	ID     string  `cbor:"1,keyasint"`
 	Queue  Queue   `cbor:"2,keyasint"`
 	Spec   string  `cbor:"3,keyasint"`
 	Steps  []Step  `cbor:"4,keyasint"`
 	Repeat *Repeat `cbor:"5,keyasint,omitempty"`
-	// Workspace is whose work it is.
+	// Workspace is the workspace that submitted the job.
 	Workspace Workspace `cbor:"6,keyasint,omitzero"`
 }
 
-// Rounds is how many times the steps run.
+// Rounds returns how many times the steps run.
 func (jb *Job) Rounds() int {
 	if jb.Repeat == nil {
 		return 1
@@ -97,14 +98,14 @@
 	return jb.Repeat.Count
 }
 
-// maxTasks bounds what one job takes of a node's memory: at some 200 bytes a task 2 MB;
-// the widest jobs of the deployments have some hundred tasks.
+// maxTasks limits the memory that one job uses on a node to 2 MB, at about 200 bytes per task. The largest
+// jobs of known deployments have a few hundred tasks.
 const maxTasks = 10000
 
-// Check returns what makes the job impossible to run as it was sent, or nil.
+// Check returns an error if the job cannot run as it was submitted.
 func (jb *Job) Check() error {
 	if jb.ID == "" || strings.Contains(jb.ID, ".") {
-		return fmt.Errorf("job id %q is empty or has a dot", jb.ID)
+		return fmt.Errorf("job id %q is empty or contains a dot", jb.ID)
 	}
 	if len(jb.Steps) == 0 {
 		return fmt.Errorf("job %s has no steps; give at least one", jb.ID)
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// CheckLimit returns what of the job can never run within the limit of its workspace, or nil: a task, or
-// the tasks of a gang together, since these run only all at once.
+// CheckLimit returns an error if a step of the job can never run within the limit of its workspace: one task
+// exceeds it or, since the tasks of a gang run only at the same time, all tasks of a gang together.
 func (jb *Job) CheckLimit() error {
 	for num, st := range jb.Steps {
 		together := st.Allocation()
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// Allocation is the room that one task of the step takes of a worker and of its workspace's limit.
+// Allocation returns the resources that one task of the step takes from a worker and from its workspace's limit.
 func (st *Step) Allocation() size.Size {
 	if st.BestEffort {
 		return size.New(0, st.Need.Memory(), st.Need.Accelerators())
@@ -153,7 +154,7 @@
 	return st.Need
 }
 
-// Task names one task of one round of a job.
+// Task identifies one task of one round of a job.
 type Task struct {
 	Job   string `cbor:"1,keyasint"`
 	Round int    `cbor:"2,keyasint,omitempty"`
@@ -161,7 +162,7 @@
 	Index int    `cbor:"4,keyasint,omitempty"`
 }
 
-// String returns the name under which workers know the task.
+// String returns the task's name, as used by workers.
 func (tk Task) String() string {
 	return tk.StepName() + "." + strconv.Itoa(tk.Index)
 }
@@ -171,7 +172,7 @@
 	return tk.Job + "." + strconv.Itoa(tk.Round) + "." + strconv.Itoa(tk.Step)
 }
 
-// ParseTask reads a name that String wrote.
+// ParseTask parses a name returned by Task.String.
 func ParseTask(name string) (Task, error) {
 	const parts = 4
 	fields := strings.Split(name, ".")
--- a/policy/work/workspace.go
+++ b/policy/work/workspace.go
@@ -2,30 +2,31 @@
 
 import "tackbeam.example/policy/size"
 
-// Workspace is what the configuration says of whose work a job is. It travels with the job, so that
-// a job outlives the API key that it came with. The zero value is none: nothing limits the job.
+// Workspace holds the settings of the workspace that a job belongs to. They are stored with the job, so that
+// the job can run on after the API key that submitted it is removed. The zero value means no workspace: the
+// job is not limited.
 type Workspace struct {
 	Name string `cbor:"1,keyasint,omitempty"`
-	// Weight is the workspace's share when all is full, and the jobs a second that it is owed.
+	// Weight is the workspace's share of a full cell, and its guaranteed rate in jobs per second.
 	Weight float64 `cbor:"2,keyasint,omitempty"`
-	// Limit is the most that it may have running; a dimension of 0 has no limit.
+	// Limit is the maximum that it may have running; 0 in a dimension means no limit.
 	Limit size.Size `cbor:"3,keyasint,omitempty"`
-	// Version is one of the configuration that has these settings, or that of a later one.
+	// Version is the version of a configuration with these settings, not necessarily the first one.
 	Version uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Later returns the settings of the later version, and the present ones where both are of one.
-func (ws Workspace) Later(present Workspace) Workspace {
-	if present.Version < ws.Version {
+// Later returns the settings with the later version, or the current ones if the versions are equal.
+func (ws Workspace) Later(current Workspace) Workspace {
+	if current.Version < ws.Version {
 		return ws
 	}
-	return present
+	return current
 }
 
-// Exceeds returns the first dimension in which an amount is over the limit.
+// Exceeds returns the first dimension in which an amount exceeds the limit, and whether there is one.
 func (ws Workspace) Exceeds(amount size.Size) (size.Dimension, bool) {
-	for d, most := range ws.Limit {
-		if most > 0 && amount[d] > most {
+	for d, limit := range ws.Limit {
+		if limit > 0 && amount[d] > limit {
 			return size.Dimension(d), true
 		}
 	}
