--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -1,46 +1,45 @@
-// Package admission decides which new jobs a cell refuses because more waits than it can start soon.
+// Package admission decides which new jobs a cell refuses because more work is waiting than it can start soon.
 package admission
 
 import "time"
 
-// What is refused.
+// Limits of the backlog.
 //
-// The limits answer a planner that can start less than what comes, as a small node that plans since
-// the strong ones are gone: what it cannot start soon waits for a minute and more.
+// They apply when the planner cannot keep up with new jobs, for example when a small node plans because
+// the strong ones are down: without limits, jobs then wait for a minute or more.
 const (
-	// mostUrgent is how much urgent work may wait, by the time that it takes to start, for an urgent job
-	// to be taken: its callers wait for an answer within a second or two.
-	mostUrgent = time.Second
-	// mostPatient is how much may wait at all for any other job to be taken: its callers come back later
-	// without harm, and what was accepted before has to begin within 14 s of the last job.
-	mostPatient = 4 * time.Second
-	// leastComeBack is the least time after which a caller is asked to come back.
-	leastComeBack = time.Second
-	// oldest is the age from which what the planner said is no ground to refuse: it says it anew each
-	// second while much waits.
-	oldest = 3 * time.Second
+	// maxUrgentBacklog is the longest backlog of urgent work, as the time to start it, at which an urgent job
+	// is accepted: its callers wait for a response within a second or two.
+	maxUrgentBacklog = time.Second
+	// maxBacklog is the longest backlog at which any other job is accepted: its callers can retry later
+	// without harm, and accepted jobs have to start within 14 s of the last job.
+	maxBacklog = 4 * time.Second
+	// minRetryAfter is the shortest delay that a caller is told to wait before it retries.
+	minRetryAfter = time.Second
+	// maxAge is the age up to which a reported backlog is used to refuse jobs: the planner reports it
+	// each second while the backlog is long.
+	maxAge = 3 * time.Second
 )
 
-// Controller is what a node knows of the planner's backlog.
+// Controller holds the last backlog that the planner reported to a node.
 type Controller struct {
-	// urgent is how long the planner needs to start the urgent work that waits, all for all of it, as it
-	// said at a time.
+	// urgent and all are how long the planner needs to start the waiting urgent work and all waiting work,
+	// as reported at a time.
 	urgent, all, at time.Duration
 }
 
-// Update takes in how long the planner needs to start the urgent work that waits, and all of it.
+// Update records how long the planner needs to start the waiting urgent work, and all waiting work.
 func (c *Controller) Update(now, urgent, all time.Duration) { c.urgent, c.all, c.at = urgent, all, now }
 
-// Refuse reports whether a new job is refused, and when its caller should come back: when as much
-// as is too much now has been started. A node that has not heard of the planner for a while takes
-// the job.
-func (c *Controller) Refuse(now time.Duration, urgent bool) (comeBack time.Duration, refuse bool) {
-	wait, most := c.all, mostPatient
+// Refuse reports whether a new job is refused, and after how long its caller should retry: when the excess
+// over the limit has been started. A node without a recent report of the planner accepts the job.
+func (c *Controller) Refuse(now time.Duration, urgent bool) (retryAfter time.Duration, refuse bool) {
+	wait, limit := c.all, maxBacklog
 	if urgent {
-		wait, most = c.urgent, mostUrgent
+		wait, limit = c.urgent, maxUrgentBacklog
 	}
-	if wait <= most || now-c.at > oldest {
+	if wait <= limit || now-c.at > maxAge {
 		return 0, false
 	}
-	return max(wait-most, leastComeBack), true
+	return max(wait-limit, minRetryAfter), true
 }
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -12,36 +12,36 @@
 
 func TestRefuse(t *testing.T) {
 	tests := map[string]struct {
-		first, all, age time.Duration
-		urgent          bool
-		comeBack        time.Duration
-		refuse          bool
+		urgentBacklog, all, age time.Duration
+		urgent                  bool
+		retryAfter              time.Duration
+		refuse                  bool
 	}{
-		"nothing waits":                  {},
-		"little waits":                   {all: 4 * time.Second},
-		"much waits":                     {all: 7 * time.Second, comeBack: 3 * time.Second, refuse: true},
-		"a little too much waits":        {all: 4100 * time.Millisecond, comeBack: time.Second, refuse: true},
-		"urgent, much waits":             {all: 7 * time.Second, urgent: true},
-		"urgent, much urgent work waits": {first: 3 * time.Second, all: 7 * time.Second, urgent: true, comeBack: 2 * time.Second, refuse: true},
-		"much waited, as was known":      {all: 20 * time.Second, age: 4 * time.Second},
+		"no backlog":                      {},
+		"backlog at the limit":            {all: 4 * time.Second},
+		"backlog over the limit":          {all: 7 * time.Second, retryAfter: 3 * time.Second, refuse: true},
+		"backlog slightly over the limit": {all: 4100 * time.Millisecond, retryAfter: time.Second, refuse: true},
+		"urgent, backlog of other work":   {all: 7 * time.Second, urgent: true},
+		"urgent, backlog of urgent work":  {urgentBacklog: 3 * time.Second, all: 7 * time.Second, urgent: true, retryAfter: 2 * time.Second, refuse: true},
+		"long backlog, but an old report": {all: 20 * time.Second, age: 4 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var dr admission.Controller
-			dr.Update(time.Minute, tt.first, tt.all)
-			comeBack, refuse := dr.Refuse(time.Minute+tt.age, tt.urgent)
-			is.Equal(comeBack, tt.comeBack)
+			var ctl admission.Controller
+			ctl.Update(time.Minute, tt.urgentBacklog, tt.all)
+			retryAfter, refuse := ctl.Refuse(time.Minute+tt.age, tt.urgent)
+			is.Equal(retryAfter, tt.retryAfter)
 			is.Equal(refuse, tt.refuse)
 		})
 	}
 }
 
 func ExampleController() {
-	var dr admission.Controller
-	dr.Update(0, time.Second/2, 6*time.Second)
-	fmt.Println(dr.Refuse(time.Second, false))
-	fmt.Println(dr.Refuse(time.Second, true))
+	var ctl admission.Controller
+	ctl.Update(0, time.Second/2, 6*time.Second)
+	fmt.Println(ctl.Refuse(time.Second, false))
+	fmt.Println(ctl.Refuse(time.Second, true))
 	// Output:
 	// 2s true
 	// 0s false
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -1,4 +1,4 @@
-// Package quota keeps what the workspaces of a cell have running within their limits.
+// Package quota tracks the resources that the workspaces of a cell use, against their limits.
 package quota
 
 import (
@@ -11,128 +11,128 @@
 	"tackbeam.example/policy/work"
 )
 
-// Tracker holds the settings and the use of each workspace. It is not safe for concurrent use.
+// Tracker holds the settings and the usage of each workspace. It is not safe for concurrent use.
 type Tracker struct {
 	rows map[string]*row
 }
 
 type row struct {
 	work.Workspace
-	// due is when all that was sent up to now would have come at the rate of the weight.
+	// due is when all jobs submitted so far would have arrived at the rate that the weight guarantees.
 	due time.Duration
-	// used is what is running or may be, doubt what may be running besides, of which nobody knows where.
-	used, doubt size.Size
+	// used is what runs or may run; unreported is what may run in addition on workers that have not reported.
+	used, unreported size.Size
 }
 
-// New returns an empty book.
+// New returns an empty tracker.
 func New() *Tracker { return &Tracker{rows: map[string]*row{}} }
 
-// Set takes in the settings of a workspace, unless later ones are known.
-func (bk *Tracker) Set(ws work.Workspace) {
+// Set applies the settings of a workspace, unless it has later ones.
+func (tr *Tracker) Set(ws work.Workspace) {
 	if ws.Name != "" {
-		rw := bk.row(ws.Name)
+		rw := tr.row(ws.Name)
 		rw.Workspace = rw.Workspace.Later(ws)
 	}
 }
 
-// Update takes in the present settings of all known workspaces. One that the configuration lacks keeps
-// the settings that it has, since its jobs run on.
-func (bk *Tracker) Update(settings func(name string) (work.Workspace, bool)) {
-	for name := range bk.rows {
+// Update applies the current settings to all known workspaces. A workspace that was removed from the
+// configuration keeps its settings, since its jobs keep running.
+func (tr *Tracker) Update(settings func(name string) (work.Workspace, bool)) {
+	for name := range tr.rows {
 		if ws, ok := settings(name); ok {
-			bk.Set(ws)
+			tr.Set(ws)
 		}
 	}
 }
 
-func (bk *Tracker) row(name string) *row {
-	rw, ok := bk.rows[name]
+func (tr *Tracker) row(name string) *row {
+	rw, ok := tr.rows[name]
 	if !ok {
 		rw = &row{Workspace: work.Workspace{Name: name}}
-		bk.rows[name] = rw
+		tr.rows[name] = rw
 	}
 	return rw
 }
 
-// Add adds to what a workspace has running; what ends is added with Sub.
-func (bk *Tracker) Add(name string, amount size.Size) {
+// Add adds to what a workspace has running; Sub subtracts what has ended.
+func (tr *Tracker) Add(name string, amount size.Size) {
 	if name != "" {
-		rw := bk.row(name)
+		rw := tr.row(name)
 		rw.used = rw.used.Add(amount)
 	}
 }
 
-// Sub takes what has ended off a workspace.
-func (bk *Tracker) Sub(name string, amount size.Size) {
+// Sub subtracts what has ended from what a workspace has running.
+func (tr *Tracker) Sub(name string, amount size.Size) {
 	if name != "" {
-		rw := bk.row(name)
+		rw := tr.row(name)
 		rw.used = rw.used.Sub(amount)
 	}
 }
 
-// SetUnreported replaces what may be running besides, by workspace: after a change of planner, what workers
-// hold that have not reported yet.
-func (bk *Tracker) SetUnreported(doubts map[string]size.Size) {
-	for name, rw := range bk.rows {
-		rw.doubt = doubts[name]
+// SetUnreported replaces, by workspace, what may run in addition: after a change of planner, what workers
+// may run that have not reported yet.
+func (tr *Tracker) SetUnreported(amounts map[string]size.Size) {
+	for name, rw := range tr.rows {
+		rw.unreported = amounts[name]
 	}
 }
 
 // Headroom returns how many more tasks of a size a workspace may have running.
-func (bk *Tracker) Headroom(name string, need size.Size) int {
-	rw, ok := bk.rows[name]
+func (tr *Tracker) Headroom(name string, need size.Size) int {
+	rw, ok := tr.rows[name]
 	if !ok || rw.Limit.IsZero() {
 		return math.MaxInt
 	}
 	count := int64(math.MaxInt)
-	for d, most := range rw.Limit {
-		if most > 0 && need[d] > 0 {
-			count = min(count, max(most-rw.used[d]-rw.doubt[d], 0)/need[d])
+	for d, limit := range rw.Limit {
+		if limit > 0 && need[d] > 0 {
+			count = min(count, max(limit-rw.used[d]-rw.unreported[d], 0)/need[d])
 		}
 	}
 	return int(count)
 }
 
-// Usage is what one workspace has running, for people and measures.
+// Usage is what one workspace has running, for logs and metrics.
 type Usage struct {
 	Workspace work.Workspace
-	// Running is what runs or may run, Doubt what may run besides of which nobody knows where.
+	// Running is what runs or may run; Unreported is what may run in addition on workers that have not reported.
 	Running, Unreported size.Size
 }
 
-// burst is for how long a workspace may have sent nothing before that counts no more in its favour.
+// burst limits how much unused rate a workspace can accumulate.
 const burst = time.Second
 
-// WithinRate takes in that a workspace's job came at a time, and reports whether it is within what the workspace is owed:
-// as many jobs a second as its weight says. Without a weight all of them are.
-func (bk *Tracker) WithinRate(name string, came time.Duration) bool {
-	rw, ok := bk.rows[name]
+// WithinRate records that a job of a workspace arrived, and reports whether it is within the rate that the
+// workspace is guaranteed: as many jobs per second as its weight. Without a weight every job is.
+func (tr *Tracker) WithinRate(name string, arrived time.Duration) bool {
+	rw, ok := tr.rows[name]
 	if !ok || rw.Weight <= 0 {
 		return true
 	}
-	due := max(rw.due, came-burst)
-	if due > came {
+	due := max(rw.due, arrived-burst)
+	if due > arrived {
 		return false
 	}
 	rw.due = due + time.Duration(float64(time.Second)/rw.Weight)
 	return true
 }
 
-// Usages returns all workspaces by name.
-func (bk *Tracker) Usages() []Usage {
+// Usages returns the usage of all workspaces, sorted by name.
+func (tr *Tracker) Usages() []Usage {
 	var list []Usage
-	for _, name := range slices.Sorted(maps.Keys(bk.rows)) {
-		rw := bk.rows[name]
-		list = append(list, Usage{rw.Workspace, rw.used, rw.doubt})
+	for _, name := range slices.Sorted(maps.Keys(tr.rows)) {
+		rw := tr.rows[name]
+		list = append(list, Usage{rw.Workspace, rw.used, rw.unreported})
 	}
 	return list
 }
 
-// Usage returns what one workspace has running.
-func (bk *Tracker) Usage(name string) Usage {
-	rw, ok := bk.rows[name]
+// Usage returns the usage of one workspace.
+func (tr *Tracker) Usage(name string) Usage {
+	rw, ok := tr.rows[name]
 	if !ok {
 		return Usage{}
 	}
-	return Usage{rw.Workspace, rw.used, rw.doubt}
+	return Usage{rw.Workspace, rw.used, rw.unreported}
 }
--- a/policy/ranking/ranking.go
+++ b/policy/ranking/ranking.go
@@ -1,5 +1,5 @@
-// Package ranking decides in which order the owners of workers are asked for room
-// for a job, and for how much.
+// Package ranking decides in which order the owners of workers are asked for resources for a job, and for
+// how many tasks each.
 package ranking
 
 import (
@@ -9,14 +9,13 @@
 	"tackbeam.example/policy/size"
 )
 
-// Owner is an owner as the job's home knows it. Its room may have changed since.
+// Owner is an owner as the job's home knows it. Its free resources may have changed since.
 type Owner struct {
 	Name    string
 	Summary ledger.Summary
-	// Placed is the number of places that the job has there already.
+	// Placed is the number of the job's tasks that already have a place there.
 	Placed int
-	// Local is set for the owner on the home's own node, which is asked without a
-	// message.
+	// Local is set for the owner on the home's own node, which is asked without a message.
 	Local bool
 }
 
@@ -24,7 +23,7 @@
 type Request struct {
 	Size  size.Size
 	Tasks int
-	// Reserve also asks owners that have no room yet.
+	// Reserve also asks owners that have no free resources yet.
 	Reserve bool
 }
 
@@ -34,38 +33,38 @@
 	Tasks int
 	fits  int64
 	free  float64
-	near  bool
+	local bool
 }
 
-// Order lists the owners to ask: those that can take the most tasks first, and
-// among equals the near one, then the fullest, so that large room stays whole. One more task is
-// asked for than seems to fit, since the room may have grown.
-func Order(owners []Owner, wt Request) []Query {
-	var asks []Query
+// Order lists the owners to ask: those that can take the most tasks first, and among equals the local one,
+// then the one with the smallest free share, so that large free resources are not split. One more task is
+// asked for than seems to fit, since resources may have been freed.
+func Order(owners []Owner, req Request) []Query {
+	var queries []Query
 	for _, ow := range owners {
 		bound := ow.Summary.LargestFree
-		if wt.Reserve {
+		if req.Reserve {
 			bound = ow.Summary.LargestCapacity
 		}
-		if !wt.Size.Fits(bound) && ow.Placed == 0 {
+		if !req.Size.Fits(bound) && ow.Placed == 0 {
 			continue
 		}
-		ask := Query{
-			Owner: ow.Name, Tasks: wt.Tasks,
-			fits: wt.Size.Count(ow.Summary.Free, int64(wt.Tasks)),
-			free: ow.Summary.Free.DominantShare(ow.Summary.Capacity), near: ow.Local,
+		qy := Query{
+			Owner: ow.Name, Tasks: req.Tasks,
+			fits: req.Size.Count(ow.Summary.Free, int64(req.Tasks)),
+			free: ow.Summary.Free.DominantShare(ow.Summary.Capacity), local: ow.Local,
 		}
-		if !wt.Reserve {
-			ask.Tasks = min(wt.Tasks, int(ask.fits)+1)
+		if !req.Reserve {
+			qy.Tasks = min(req.Tasks, int(qy.fits)+1)
 		}
-		asks = append(asks, ask)
+		queries = append(queries, qy)
 	}
-	slices.SortStableFunc(asks, func(a, b Query) int {
+	slices.SortStableFunc(queries, func(a, b Query) int {
 		switch {
 		case a.fits != b.fits:
 			return int(b.fits - a.fits)
-		case a.near != b.near:
-			if a.near {
+		case a.local != b.local:
+			if a.local {
 				return -1
 			}
 			return 1
@@ -76,5 +75,5 @@
 		}
 		return 0
 	})
-	return asks
+	return queries
 }
