--- a/policy/attempt/attempt.go
+++ b/policy/attempt/attempt.go
@@ -1,66 +1,63 @@
-// Package attempt decides the next step of one attempt to run a job, from what
-// is known of each of its tasks.
+// Package attempt decides the next action of one attempt to run a job, from the known status of its tasks.
 //
-// The rules behind it: a task whose fate is unknown is asked for and never
-// started again; a job is not run only if no task began; a next attempt starts
-// only when every task of the former has surely ended.
+// The rules: a task with unknown status is queried and never started again; a job is reported as not run only
+// if no task started; another attempt starts only when every task of the previous one is known to have ended.
 package attempt
 
 // Status is what is known of one task.
 type Status int
 
-// The statuses. The ones from Unbegun on are final.
+// The statuses, final from NotStarted on.
 const (
 	// Unknown tasks may or may not have reached a worker.
 	Unknown Status = iota
-	// Prepared tasks hold their room and wait for the word to begin.
+	// Prepared tasks hold their resources and wait for the start command.
 	Prepared
-	// Running tasks have begun and not ended.
+	// Running tasks have started and not ended.
 	Running
-	// NotStarted tasks have not begun and cannot begin any more.
+	// NotStarted tasks have not started and can no longer start.
 	NotStarted
-	// OK tasks have begun and succeeded.
+	// OK tasks have started and succeeded.
 	OK
-	// Failed tasks have begun and failed.
+	// Failed tasks have started and failed.
 	Failed
-	// Stopped tasks have begun and were stopped on order.
+	// Stopped tasks have started and were stopped by a command.
 	Stopped
-	// Lost tasks may have begun and have surely ended, with nobody to say how.
+	// Lost tasks may have started and have certainly ended, but their result is unknown.
 	Lost
 	statuses
 )
 
-// Rules are what the decision depends on besides the statuses.
+// Rules are the inputs of the decision other than the statuses.
 type Rules struct {
-	// Gang is set for gangs: one lost task ends the others.
+	// Gang is set for gangs: if one task is lost, the others are stopped.
 	Gang bool
-	// Repeatable allows a next attempt after one that began.
+	// Repeatable allows another attempt after one that started.
 	Repeatable bool
-	// Cancelled is set once the job is to end.
+	// Cancelled is set once the job is to be stopped.
 	Cancelled bool
-	// Started is set once an earlier attempt has begun: the job cannot be said not
-	// to have run any more.
+	// Started is set once an earlier attempt has started: the job can no longer be reported as not run.
 	Started bool
 }
 
 // Action is what to do next.
 type Action int
 
-// The steps.
+// The actions.
 const (
 	// Wait for a task to end.
 	Wait Action = iota
-	// Query for the fate of the unknown tasks.
+	// Query the status of the unknown tasks.
 	Query
-	// Start tells the prepared tasks to begin.
+	// Start the prepared tasks.
 	Start
 	// Stop the prepared and the running tasks.
 	Stop
-	// Retry with a next attempt.
+	// Retry with another attempt.
 	Retry
-	// NotRun ends the job: no task began.
+	// NotRun ends the job: no task started.
 	NotRun
-	// Ran ends the job: every task began, and how each ended is known.
+	// Ran ends the job: every task started, and its result is known.
 	Ran
 	// Indeterminate ends the job: whether or how far it ran is unknown.
 	Indeterminate
@@ -77,42 +74,42 @@
 	return ct
 }
 
-// open is the number of tasks that still hold room.
-func (ct counts) open() int { return ct[Prepared] + ct[Running] }
+// active returns the number of tasks that still hold resources.
+func (ct counts) active() int { return ct[Prepared] + ct[Running] }
 
-// broken is the number of tasks that began and did not succeed.
-func (ct counts) broken() int { return ct[Failed] + ct[Stopped] + ct[Lost] }
+// unsuccessful returns the number of tasks that may have started and did not succeed.
+func (ct counts) unsuccessful() int { return ct[Failed] + ct[Stopped] + ct[Lost] }
 
-// Next returns the next step of an attempt with the tasks in these statuses.
+// Next returns the next action of an attempt with tasks in these statuses.
 func Next(tasks []Status, rl Rules) Action {
 	ct := count(tasks)
 	switch {
 	case ct[Unknown] > 0:
 		return Query
-	case rl.Cancelled && ct.open() > 0:
+	case rl.Cancelled && ct.active() > 0:
 		return Stop
 	case ct[NotStarted] == len(tasks):
-		return unbegun(rl)
-	case ct[NotStarted] > 0 && ct.open() > 0:
+		return notStarted(rl)
+	case ct[NotStarted] > 0 && ct.active() > 0:
 		return Stop
 	case ct[NotStarted] > 0:
-		return again(rl, Indeterminate)
+		return retryOr(rl, Indeterminate)
 	case ct[Prepared] > 0:
 		return Start
-	case rl.Gang && ct.broken() > 0 && ct[Running] > 0:
+	case rl.Gang && ct.unsuccessful() > 0 && ct[Running] > 0:
 		return Stop
 	case ct[Running] > 0:
 		return Wait
 	case ct[OK] == len(tasks):
 		return Ran
 	case ct[Lost] > 0:
-		return again(rl, Indeterminate)
+		return retryOr(rl, Indeterminate)
 	}
-	return again(rl, Ran)
+	return retryOr(rl, Ran)
 }
 
-// unbegun is the step after an attempt in which nothing began.
-func unbegun(rl Rules) Action {
+// notStarted returns the action after an attempt in which no task started.
+func notStarted(rl Rules) Action {
 	switch {
 	case !rl.Cancelled:
 		return Retry
@@ -122,11 +119,11 @@
 	return NotRun
 }
 
-// AnyStarted reports whether any task of an ended attempt began, or may have.
+// AnyStarted reports whether any task of an ended attempt started or may have started.
 func AnyStarted(tasks []Status) bool { return count(tasks)[NotStarted] < len(tasks) }
 
-// again is the step after an attempt that began and did not succeed.
-func again(rl Rules, otherwise Action) Action {
+// retryOr returns the action after an attempt that started and did not succeed: Retry where allowed.
+func retryOr(rl Rules, otherwise Action) Action {
 	if rl.Repeatable && !rl.Cancelled {
 		return Retry
 	}
--- a/policy/backoff/backoff.go
+++ b/policy/backoff/backoff.go
@@ -1,4 +1,4 @@
-// Package backoff gives the pauses between tries of something that fails again and again.
+// Package backoff computes exponentially growing delays between retries.
 package backoff
 
 import (
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Backoff is a pause that doubles with each try.
+// Backoff is a delay that doubles with each retry.
 type Backoff struct {
-	// Initial is the pause after the first try, Most the longest.
+	// Initial is the delay after the first attempt, Max the longest delay.
 	Initial, Max time.Duration
 }
 
-// Delay returns the pause after a number of tries before the last one: First for 0 and below.
-func (bo Backoff) Delay(tries int) time.Duration {
-	pause := bo.Initial
-	for range tries {
-		if pause >= bo.Max/2 {
+// Delay returns the delay after a number of earlier attempts, not counting the last one: Initial for 0 and below.
+func (bo Backoff) Delay(attempts int) time.Duration {
+	delay := bo.Initial
+	for range attempts {
+		if delay >= bo.Max/2 {
 			return bo.Max
 		}
-		pause *= 2
+		delay *= 2
 	}
-	return min(pause, bo.Max)
+	return min(delay, bo.Max)
 }
 
-// Jittered returns a time between half of that and the whole, so that those who failed together do not
-// come back together.
-func (bo Backoff) Jittered(tries int) time.Duration {
-	pause := bo.Delay(tries)
-	return pause/2 + rand.N(pause/2)
+// Jittered returns a random delay between half of Delay and all of it, so that clients that failed together
+// do not retry together.
+func (bo Backoff) Jittered(attempts int) time.Duration {
+	delay := bo.Delay(attempts)
+	return delay/2 + rand.N(delay/2)
 }
--- a/policy/forecast/forecast.go
+++ b/policy/forecast/forecast.go
@@ -1,5 +1,5 @@
-// Package forecast expects how long runs of a workload take, from what callers say and from
-// how long earlier ones took.
+// Package forecast predicts the run times of a workload from callers' estimates and from the run times of
+// earlier runs.
 package forecast
 
 import (
@@ -8,54 +8,54 @@
 )
 
 const (
-	// recent is the number of runs after which older ones count for little.
-	recent = 64
-	// enough is the number of runs from which what was seen is believed.
-	enough = 8
-	// trust is how many runs with estimates that are right, spread as usualSpread says, stand
-	// against what was seen: a few runs do not tell whether estimates are worth anything.
-	trust = 8
-	// usualSpread is the variance of the logarithm of run times that are unlike by half.
-	usualSpread = 0.25
+	// window is the number of runs over which the weight of older runs decays.
+	window = 64
+	// minRuns is the number of runs from which predictions use observed run times.
+	minRuns = 8
+	// priorRuns is the weight, in runs, of the assumption that estimates are exact and that run times spread
+	// by priorVariance: a few runs do not show whether estimates are useful.
+	priorRuns = 8
+	// priorVariance is the variance of the logarithm of run times that typically differ by half.
+	priorVariance = 0.25
 )
 
-// Model learns how run times follow callers' estimates: by how much they are off, and how
-// far they tell a long run from a short one. The zero value believes the estimates.
+// Model learns how run times depend on callers' estimates: by what factor estimates are off, and how well
+// they distinguish long runs from short ones. The zero value predicts the estimate.
 type Model struct {
 	runs int
-	// weight is the sum of the weights of the runs; the others are weighted sums of the
-	// logarithms of estimates (x) and run times (y).
+	// weight is the sum of the weights of the runs; the others are weighted sums over the logarithms of
+	// estimates (x) and run times (y).
 	weight, x, y, xx, xy float64
 }
 
-// Observe takes in how long a run took that was estimated to take a time.
+// Observe records the estimate and the run time of a run.
 func (md *Model) Observe(estimate, took time.Duration) {
 	if took <= 0 {
 		return
 	}
 	x, y := logOf(estimate), logOf(took)
-	const keep = 1 - 1.0/recent
+	const decay = 1 - 1.0/window
 	md.runs++
-	md.weight = keep*md.weight + 1
-	md.x = keep*md.x + x
-	md.y = keep*md.y + y
-	md.xx = keep*md.xx + x*x
-	md.xy = keep*md.xy + x*y
+	md.weight = decay*md.weight + 1
+	md.x = decay*md.x + x
+	md.y = decay*md.y + y
+	md.xx = decay*md.xx + x*x
+	md.xy = decay*md.xy + x*y
 }
 
-// Predict returns how long a run is expected to take.
+// Predict returns the expected run time of a run.
 func (md *Model) Predict(estimate time.Duration) time.Duration {
-	if md.runs < enough {
+	if md.runs < minRuns {
 		return estimate
 	}
 	meanX, meanY := md.x/md.weight, md.y/md.weight
-	spread := max(md.xx-md.weight*meanX*meanX, 0) + trust*usualSpread
-	along := md.xy - md.weight*meanX*meanY + trust*usualSpread
-	slope := min(max(along/spread, 0), 1)
+	variance := max(md.xx-md.weight*meanX*meanX, 0) + priorRuns*priorVariance
+	covariance := md.xy - md.weight*meanX*meanY + priorRuns*priorVariance
+	slope := min(max(covariance/variance, 0), 1)
 	return time.Duration(math.Exp(meanY + slope*(logOf(estimate)-meanX)))
 }
 
-// logOf is the logarithm of a time; none counts as a millisecond.
+// logOf returns the logarithm of a duration of at least 1 ms, to which shorter ones are raised.
 func logOf(span time.Duration) float64 {
 	return math.Log(float64(max(span, time.Millisecond)))
 }
--- a/policy/forecast/forecast_test.go
+++ b/policy/forecast/forecast_test.go
@@ -12,19 +12,19 @@
 	"tackbeam.example/policy/forecast"
 )
 
-// TestForecast checks how far what is expected is off, beside the estimates alone and the
-// mean run alone, for estimates of all qualities.
+// TestForecast checks the mean error of predictions for estimates of all qualities: it must be near that of
+// the better of the estimates alone and the mean run time alone.
 func TestForecast(t *testing.T) {
 	tests := map[string]struct {
-		// off is the spread of the estimates' logarithm, bias their factor.
-		off, bias float64
-		most      float64
+		// noise is the standard deviation of the estimates' logarithm, bias their factor.
+		noise, bias float64
+		maxError    float64
 	}{
-		"exact":              {off: 0, bias: 1, most: 0.01},
-		"good":               {off: 0.2, bias: 1, most: 0.2},
-		"good, but half":     {off: 0.2, bias: 0.5, most: 0.2},
-		"as wide as the run": {off: 0.5, bias: 1, most: 0.32},
-		"worth nothing":      {off: 3, bias: 1, most: 0.45},
+		"exact":                      {noise: 0, bias: 1, maxError: 0.01},
+		"good":                       {noise: 0.2, bias: 1, maxError: 0.2},
+		"good, but half":             {noise: 0.2, bias: 0.5, maxError: 0.2},
+		"as noisy as the run times":  {noise: 0.5, bias: 1, maxError: 0.32},
+		"unrelated to the run times": {noise: 3, bias: 1, maxError: 0.45},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -35,14 +35,14 @@
 			const runs, measured = 600, 500
 			for n := range runs {
 				took := 3 * math.Exp(0.5*rd.NormFloat64())
-				estimate := seconds(took * tt.bias * math.Exp(tt.off*rd.NormFloat64()))
+				estimate := seconds(took * tt.bias * math.Exp(tt.noise*rd.NormFloat64()))
 				if n >= runs-measured {
 					sum += math.Abs(math.Log(md.Predict(estimate).Seconds() / took))
 				}
 				md.Observe(estimate, seconds(took))
 			}
-			t.Logf("off by %.3f in the mean", sum/measured)
-			is.True(sum/measured <= tt.most)
+			t.Logf("mean error of the logarithm: %.3f", sum/measured)
+			is.True(sum/measured <= tt.maxError)
 		})
 	}
 }
@@ -53,7 +53,7 @@
 	var md forecast.Model
 	fmt.Println(md.Predict(4 * time.Second))
 	for range 100 {
-		md.Observe(2*time.Second, time.Second) // estimates are twice the run
+		md.Observe(2*time.Second, time.Second) // estimates are twice the run time
 		md.Observe(8*time.Second, 4*time.Second)
 	}
 	fmt.Println(md.Predict(4 * time.Second).Round(time.Second))
--- a/policy/timeline/timeline.go
+++ b/policy/timeline/timeline.go
@@ -1,4 +1,4 @@
-// Package timeline keeps things by the time at which they are due.
+// Package timeline provides a priority queue ordered by due time.
 package timeline
 
 import (
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// Timeline gives things back in the order of their times, and of their addition
-// among equals. The zero value is empty. It is not safe for concurrent use.
+// Timeline returns items in the order of their due times, and in the order they were added if these are
+// equal. The zero value is empty. It is not safe for concurrent use.
 type Timeline[T any] struct {
 	list  list[T]
 	added uint64
 }
 
-// moment is a thing and when it is due.
-type moment[T any] struct {
+// entry is an item and its due time.
+type entry[T any] struct {
 	at    time.Duration
 	order uint64
-	thing T
+	item  T
 }
 
-// Add adds a thing that is due at a time.
-func (tl *Timeline[T]) Add(at time.Duration, thing T) {
+// Add adds an item with its due time.
+func (tl *Timeline[T]) Add(at time.Duration, item T) {
 	tl.added++
-	heap.Push(&tl.list, moment[T]{at, tl.added, thing})
+	heap.Push(&tl.list, entry[T]{at, tl.added, item})
 }
 
-// Len returns the number of things.
+// Len returns the number of items.
 func (tl *Timeline[T]) Len() int { return len(tl.list) }
 
-// PopDue takes off the first thing that is due by a time, or reports false.
-func (tl *Timeline[T]) PopDue(by time.Duration) (thing T, ok bool) {
+// PopDue removes and returns the first item that is due by a time, or reports false.
+func (tl *Timeline[T]) PopDue(by time.Duration) (item T, ok bool) {
 	if len(tl.list) == 0 || tl.list[0].at > by {
-		return thing, false
+		return item, false
 	}
-	return heap.Pop(&tl.list).(moment[T]).thing, true
+	return heap.Pop(&tl.list).(entry[T]).item, true
 }
 
-// NextDue returns when the first thing is due, or false where there is none.
+// NextDue returns the due time of the first item, or false if there is none.
 func (tl *Timeline[T]) NextDue() (time.Duration, bool) {
 	if len(tl.list) == 0 {
 		return 0, false
@@ -46,19 +46,19 @@
 	return tl.list[0].at, true
 }
 
-// Retain drops the things that keep does not report.
+// Retain removes the items for which keep returns false.
 func (tl *Timeline[T]) Retain(keep func(T) bool) {
-	tl.list = slices.DeleteFunc(tl.list, func(mo moment[T]) bool { return !keep(mo.thing) })
+	tl.list = slices.DeleteFunc(tl.list, func(en entry[T]) bool { return !keep(en.item) })
 	heap.Init(&tl.list)
 }
 
-// list is the heap behind a timeline.
-type list[T any] []moment[T]
+// list implements heap.Interface.
+type list[T any] []entry[T]
 
-// Len, Less, Swap, Push and Pop are what container/heap asks for.
+// Len implements sort.Interface.
 func (ls list[T]) Len() int { return len(ls) }
 
-// Less orders two moments.
+// Less implements sort.Interface.
 func (ls list[T]) Less(i, j int) bool {
 	if ls[i].at != ls[j].at {
 		return ls[i].at < ls[j].at
@@ -66,17 +66,17 @@
 	return ls[i].order < ls[j].order
 }
 
-// Swap exchanges two moments.
+// Swap implements sort.Interface.
 func (ls list[T]) Swap(i, j int) { ls[i], ls[j] = ls[j], ls[i] }
 
-// Push adds a moment.
-func (ls *list[T]) Push(x any) { *ls = append(*ls, x.(moment[T])) }
+// Push implements heap.Interface.
+func (ls *list[T]) Push(x any) { *ls = append(*ls, x.(entry[T])) }
 
-// Pop takes the last moment off.
+// Pop implements heap.Interface.
 func (ls *list[T]) Pop() any {
 	old := *ls
 	last := old[len(old)-1]
-	old[len(old)-1] = moment[T]{}
+	old[len(old)-1] = entry[T]{}
 	*ls = old[:len(old)-1]
 	return last
 }
--- a/policy/timeline/timeline_test.go
+++ b/policy/timeline/timeline_test.go
@@ -7,7 +7,7 @@
 	"tackbeam.example/policy/timeline"
 )
 
-// ExampleTimeline takes things off in the order of their times.
+// ExampleTimeline removes items in the order of their due times.
 func ExampleTimeline() {
 	var tl timeline.Timeline[string]
 	tl.Add(2*time.Second, "third")
