--- a/policy/ledger/index.go
+++ b/policy/ledger/index.go
@@ -6,28 +6,28 @@
 	"tackbeam.example/policy/size"
 )
 
-// buckets is the number of steps that the free share of a worker is told apart by.
+// buckets is the number of buckets into which workers are sorted by free share.
 const buckets = 64
 
-// enough is the number of fitting workers of one bucket that are compared. All of
-// a bucket are within 1/64 of each other, so more would gain little.
-const enough = 8
+// maxCompared is the number of fitting workers of one bucket that are compared. The free shares in a bucket differ
+// by at most 1/64, so comparing more would gain little.
+const maxCompared = 8
 
-// index keeps the workers that take new work by their largest free share, so
-// that a place is found without looking at all of them.
+// index sorts the workers that accept new work by their dominant free share, so that a search for a fitting
+// worker does not examine all of them.
 type index struct {
 	lists [buckets][]*entry
-	// counts has, for each dimension, the number of workers by free share.
+	// counts is, for each dimension, the number of workers in each bucket of the free share.
 	counts [3][buckets]int
-	// largest bounds the capacity of any worker that was ever indexed.
+	// largest is the component-wise maximum of the capacities of all workers ever indexed.
 	largest size.Size
 }
 
-// bucketOf returns the step of a share from 0 to 1.
+// bucketOf returns the bucket of a share from 0 to 1.
 func bucketOf(share float64) int { return max(0, min(buckets-1, int(share*buckets))) }
 
-// shares returns the worker's free share in each dimension.
-func (en *entry) shares() [3]float64 {
+// freeShares returns the worker's free share in each dimension.
+func (en *entry) freeShares() [3]float64 {
 	var list [3]float64
 	free := en.free()
 	for d := range list {
@@ -39,14 +39,14 @@
 }
 
 func (ix *index) insert(en *entry) {
-	list := en.shares()
-	most := slices.Max(list[:])
-	en.bucket = bucketOf(most)
+	list := en.freeShares()
+	dominant := slices.Max(list[:])
+	en.bucket = bucketOf(dominant)
 	en.at = len(ix.lists[en.bucket])
 	ix.lists[en.bucket] = append(ix.lists[en.bucket], en)
 	for d, share := range list {
-		en.steps[d] = bucketOf(share)
-		ix.counts[d][en.steps[d]]++
+		en.shares[d] = bucketOf(share)
+		ix.counts[d][en.shares[d]]++
 	}
 	ix.largest = ix.largest.Max(en.Capacity)
 }
@@ -58,14 +58,13 @@
 	list[en.at].at = en.at
 	list[last] = nil
 	ix.lists[en.bucket] = list[:last]
-	for d, step := range en.steps {
-		ix.counts[d][step]--
+	for d, bucket := range en.shares {
+		ix.counts[d][bucket]--
 	}
 }
 
-// hopeless reports whether surely no worker has room for the size, from the
-// counts alone.
-func (ix *index) hopeless(sz size.Size) bool {
+// noneFits reports whether the counts rule out that any worker has enough free resources for the size.
+func (ix *index) noneFits(sz size.Size) bool {
 	for d := range ix.counts {
 		if sz[d] <= 0 {
 			continue
@@ -74,42 +73,41 @@
 			return true
 		}
 		from := bucketOf(float64(sz[d]) / float64(ix.largest[d]))
-		any := false
-		for step := from; step < buckets && !any; step++ {
-			any = ix.counts[d][step] > 0
+		found := false
+		for bucket := from; bucket < buckets && !found; bucket++ {
+			found = ix.counts[d][bucket] > 0
 		}
-		if !any {
+		if !found {
 			return true
 		}
 	}
 	return false
 }
 
-// bestFit returns, of the first bucket with a worker that fits, the one that the
-// size leaves with the smallest free share.
-func (ix *index) bestFit(sz size.Size, may func(worker string) bool) *entry {
-	if ix.hopeless(sz) {
+// bestFit returns, of the first bucket with a fitting worker, the one with the smallest free share left.
+func (ix *index) bestFit(sz size.Size, allowed func(worker string) bool) *entry {
+	if ix.noneFits(sz) {
 		return nil
 	}
-	for step := bucketOf(sz.DominantShare(ix.largest)); step < buckets; step++ {
-		if en := ix.bestOf(ix.lists[step], sz, may); en != nil {
+	for bucket := bucketOf(sz.DominantShare(ix.largest)); bucket < buckets; bucket++ {
+		if en := ix.bestOf(ix.lists[bucket], sz, allowed); en != nil {
 			return en
 		}
 	}
 	return nil
 }
 
-func (ix *index) bestOf(list []*entry, sz size.Size, may func(worker string) bool) *entry {
+func (ix *index) bestOf(list []*entry, sz size.Size, allowed func(worker string) bool) *entry {
 	var best *entry
-	left, found := 0.0, 0
+	bestLeft, found := 0.0, 0
 	for _, en := range list {
-		if !en.takes(sz, 0) || may != nil && !may(en.Name) {
+		if !en.accepts(sz, 0) || allowed != nil && !allowed(en.Name) {
 			continue
 		}
-		if rest := en.free().Sub(sz).DominantShare(en.Capacity); best == nil || rest < left {
-			best, left = en, rest
+		if left := en.free().Sub(sz).DominantShare(en.Capacity); best == nil || left < bestLeft {
+			best, bestLeft = en, left
 		}
-		if found++; found == enough {
+		if found++; found == maxCompared {
 			break
 		}
 	}
--- a/policy/ledger/ledger.go
+++ b/policy/ledger/ledger.go
@@ -1,8 +1,7 @@
-// Package ledger accounts for what is committed on the workers of one owner.
+// Package ledger accounts for the resources committed on the workers of one owner.
 //
-// Summary is taken in the ledger before any message leaves the owner and given
-// back only after the task is confirmed gone, so that no worker ever carries
-// more than it has.
+// Resources are committed before the owner sends any message and released only after the task is confirmed to
+// have ended, so that no worker is ever overcommitted.
 package ledger
 
 import (
@@ -21,58 +20,57 @@
 	Slots    int       `json:"slots"`
 }
 
-// entry is a worker with what is committed on it.
+// entry is a worker and what is committed on it.
 type entry struct {
 	Worker
-	used      size.Size
-	slotsUsed int
-	leaving   bool
-	resting   bool
-	latency   time.Duration
-	// Where the index has the worker.
+	used        size.Size
+	slotsUsed   int
+	leaving     bool
+	quarantined bool
+	latency     time.Duration
+	// bucket and at are the worker's position in the index, shares its buckets by free share in each dimension.
 	bucket, at int
-	steps      [3]int
+	shares     [3]int
 }
 
-// commitment is room taken by one task or one lookup.
+// commitment is what one task or one lookup takes from a worker.
 type commitment struct {
 	worker string
 	size   size.Size
 	slots  int
 }
 
-// Ledger is the account of one owner. It is not safe for concurrent use.
+// Ledger holds the workers of one owner and their commitments. It is not safe for concurrent use.
 type Ledger struct {
 	workers     map[string]*entry
 	order       []string
 	commitments map[string]commitment
-	next        int
+	cursor      int
 	load        Load
 	index       index
-	resting     int
+	quarantined int
 }
 
-// Load is what a lookup's way is chosen by, kept up with each change.
+// Load is what lookups are routed by. It is updated with each change of the ledger.
 type Load struct {
-	// Workers is the number of workers that take new work.
+	// Workers is the number of workers that accept new work.
 	Workers int
-	// FreeSlots is the number of their free slots.
+	// FreeSlots is the number of free slots on these workers.
 	FreeSlots int
 }
 
-// Load returns the present load, at the same cost for any number of workers.
+// Load returns the current load. Its cost does not depend on the number of workers.
 func (lg *Ledger) Load() Load { return lg.load }
 
-// change carries out a change of a worker's entry and keeps the load and the
-// index up with it.
-func (lg *Ledger) change(en *entry, act func()) {
+// update changes a worker's entry, and the load and the index with it.
+func (lg *Ledger) update(en *entry, change func()) {
 	lg.uncount(en)
-	act()
+	change()
 	lg.count(en)
 }
 
-// closed reports whether the worker takes nothing new.
-func (en *entry) closed() bool { return en.leaving || en.resting }
+// closed reports whether the worker accepts no new work.
+func (en *entry) closed() bool { return en.leaving || en.quarantined }
 
 func (lg *Ledger) count(en *entry) {
 	if en.closed() {
@@ -97,10 +95,10 @@
 	return &Ledger{workers: map[string]*entry{}, commitments: map[string]commitment{}}
 }
 
-// Put adds a worker or replaces its description. Commitments on it stay.
+// Put adds a worker or replaces its description. Existing commitments on it are kept.
 func (lg *Ledger) Put(wk Worker) {
 	if en, ok := lg.workers[wk.Name]; ok {
-		lg.change(en, func() {
+		lg.update(en, func() {
 			en.Worker = wk
 			en.leaving = false
 		})
@@ -113,94 +111,93 @@
 	lg.order = slices.Insert(lg.order, at, wk.Name)
 }
 
-// Leave stops new commitments on a worker; the ones it has stay.
+// Leave prevents new commitments on a worker; existing ones are kept.
 func (lg *Ledger) Leave(name string) {
 	if en, ok := lg.workers[name]; ok {
-		lg.change(en, func() { en.leaving = true })
+		lg.update(en, func() { en.leaving = true })
 	}
 }
 
-// SetQuarantined keeps new commitments off a worker for a while, or ends that. It reports
-// whether that changed anything.
-func (lg *Ledger) SetQuarantined(name string, rest bool) bool {
+// SetQuarantined prevents new commitments on a worker temporarily, or allows them again. It reports whether that
+// changed anything.
+func (lg *Ledger) SetQuarantined(name string, quarantined bool) bool {
 	en, ok := lg.workers[name]
-	if !ok || en.resting == rest {
+	if !ok || en.quarantined == quarantined {
 		return false
 	}
-	lg.change(en, func() { en.resting = rest })
-	if rest {
-		lg.resting++
+	lg.update(en, func() { en.quarantined = quarantined })
+	if quarantined {
+		lg.quarantined++
 	} else {
-		lg.resting--
+		lg.quarantined--
 	}
 	return true
 }
 
-// Quarantined returns the number of workers at rest.
-func (lg *Ledger) Quarantined() int { return lg.resting }
+// Quarantined returns the number of workers in quarantine.
+func (lg *Ledger) Quarantined() int { return lg.quarantined }
 
-// Remove forgets a worker and all commitments on it and returns their ids, sorted.
+// Remove removes a worker and all commitments on it and returns their ids, sorted.
 func (lg *Ledger) Remove(name string) []string {
 	en, ok := lg.workers[name]
 	if !ok {
 		return nil
 	}
 	lg.uncount(en)
-	if en.resting {
-		lg.resting--
+	if en.quarantined {
+		lg.quarantined--
 	}
 	delete(lg.workers, name)
 	if at, ok := slices.BinarySearch(lg.order, name); ok {
 		lg.order = slices.Delete(lg.order, at, at+1)
 	}
-	var gone []string
+	var removed []string
 	for id, cm := range lg.commitments {
 		if cm.worker == name {
-			gone = append(gone, id)
+			removed = append(removed, id)
 			delete(lg.commitments, id)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(removed)
+	return removed
 }
 
-// Restore records a commitment that a worker reported, even where it is over
-// the worker's size: what runs is a fact.
+// Restore records a commitment that a worker reported, even if it exceeds the worker's capacity, since the task
+// is already running.
 func (lg *Ledger) Restore(worker, id string, sz size.Size, slots int) {
 	en, ok := lg.workers[worker]
 	if !ok {
 		return
 	}
-	if _, held := lg.commitments[id]; held {
+	if _, exists := lg.commitments[id]; exists {
 		return
 	}
 	lg.commit(en, id, sz, slots)
 }
 
-// Reconcile gives back the commitments on a worker that keep does not report,
-// and returns their ids, sorted.
+// Reconcile releases the commitments on a worker for which keep returns false, and returns their ids, sorted.
 func (lg *Ledger) Reconcile(worker string, keep func(id string) bool) []string {
-	var gone []string
+	var released []string
 	for id, cm := range lg.commitments {
 		if cm.worker == worker && !keep(id) {
-			gone = append(gone, id)
+			released = append(released, id)
 		}
 	}
-	slices.Sort(gone)
-	for _, id := range gone {
+	slices.Sort(released)
+	for _, id := range released {
 		lg.Release(id)
 	}
-	return gone
+	return released
 }
 
-// Take commits a size and slots on a worker. It reports false and changes
-// nothing where the worker is unknown, leaving or too full, or the id is taken.
+// Take commits resources and slots on a worker. It reports false and changes nothing if the worker is unknown,
+// accepts no new work or lacks free resources or slots, or if the id is in use.
 func (lg *Ledger) Take(worker, id string, sz size.Size, slots int) bool {
 	en, ok := lg.workers[worker]
-	if !ok || !en.takes(sz, slots) {
+	if !ok || !en.accepts(sz, slots) {
 		return false
 	}
-	if _, held := lg.commitments[id]; held {
+	if _, exists := lg.commitments[id]; exists {
 		return false
 	}
 	lg.commit(en, id, sz, slots)
@@ -208,20 +205,20 @@
 }
 
 func (lg *Ledger) commit(en *entry, id string, sz size.Size, slots int) {
-	lg.change(en, func() {
+	lg.update(en, func() {
 		en.used = en.used.Add(sz)
 		en.slotsUsed += slots
 	})
 	lg.commitments[id] = commitment{worker: en.Name, size: sz, slots: slots}
 }
 
-func (en *entry) takes(sz size.Size, slots int) bool {
+func (en *entry) accepts(sz size.Size, slots int) bool {
 	return !en.closed() && en.slotsUsed+slots <= en.Slots && sz.Fits(en.free())
 }
 
 func (en *entry) free() size.Size { return en.Capacity.Sub(en.used) }
 
-// Release gives back the room of a commitment and returns its worker.
+// Release releases a commitment and returns its worker.
 func (lg *Ledger) Release(id string) (string, bool) {
 	cm, ok := lg.commitments[id]
 	if !ok {
@@ -229,7 +226,7 @@
 	}
 	delete(lg.commitments, id)
 	if en, ok := lg.workers[cm.worker]; ok {
-		lg.change(en, func() {
+		lg.update(en, func() {
 			en.used = en.used.Sub(cm.size)
 			en.slotsUsed -= cm.slots
 		})
@@ -237,10 +234,10 @@
 	return cm.worker, true
 }
 
-// Names returns the workers, sorted. The caller does not change the list.
+// Names returns the names of the workers, sorted. The caller must not modify the list.
 func (lg *Ledger) Names() []string { return lg.order }
 
-// Capacity returns the size of a worker.
+// Capacity returns the capacity of a worker.
 func (lg *Ledger) Capacity(name string) size.Size {
 	if en, ok := lg.workers[name]; ok {
 		return en.Capacity
@@ -248,7 +245,7 @@
 	return size.Size{}
 }
 
-// Free returns the free room of a worker that takes new work.
+// Free returns the free resources of a worker, or false if it accepts no new work.
 func (lg *Ledger) Free(name string) (size.Size, bool) {
 	en, ok := lg.workers[name]
 	if !ok || en.closed() {
@@ -257,23 +254,23 @@
 	return en.free(), true
 }
 
-// Has reports whether a commitment with the id stands.
+// Has reports whether there is a commitment with the id.
 func (lg *Ledger) Has(id string) bool {
 	_, ok := lg.commitments[id]
 	return ok
 }
 
-// BestFit returns a worker that the size leaves with about the smallest free
-// share of its dominant dimension, among those that may allows; nil allows all.
-func (lg *Ledger) BestFit(sz size.Size, may func(worker string) bool) (string, bool) {
-	if en := lg.index.bestFit(sz, may); en != nil {
+// BestFit returns a worker, among those for which allowed returns true, that has about the smallest dominant free
+// share left once it runs a task of the size. A nil function allows all workers.
+func (lg *Ledger) BestFit(sz size.Size, allowed func(worker string) bool) (string, bool) {
+	if en := lg.index.bestFit(sz, allowed); en != nil {
 		return en.Name, true
 	}
 	return "", false
 }
 
-// LeastLoaded returns, of a few candidates with a free slot, the one with the
-// fewest lookups, and among equals the one that answered fastest of late.
+// LeastLoaded returns, of a few candidates with a free slot, the one with the fewest lookups, and among equals the
+// one with the lowest recent latency.
 func (lg *Ledger) LeastLoaded(sz size.Size, candidates int) (string, bool) {
 	var best *entry
 	found := 0
@@ -281,12 +278,12 @@
 		return "", false
 	}
 	for range lg.order {
-		lg.next = (lg.next + 1) % len(lg.order)
-		en := lg.workers[lg.order[lg.next]]
-		if !en.takes(sz, 1) {
+		lg.cursor = (lg.cursor + 1) % len(lg.order)
+		en := lg.workers[lg.order[lg.cursor]]
+		if !en.accepts(sz, 1) {
 			continue
 		}
-		if best == nil || en.lighter(best) {
+		if best == nil || en.lessLoaded(best) {
 			best = en
 		}
 		found++
@@ -300,14 +297,14 @@
 	return best.Name, true
 }
 
-func (en *entry) lighter(other *entry) bool {
+func (en *entry) lessLoaded(other *entry) bool {
 	if en.slotsUsed != other.slotsUsed {
 		return en.slotsUsed < other.slotsUsed
 	}
 	return en.latency < other.latency
 }
 
-// Observe folds the latency of one lookup into the worker's recent latency.
+// Observe adds the latency of one lookup to the moving average of its worker.
 func (lg *Ledger) Observe(worker string, latency time.Duration) {
 	const weight = 8
 	en, ok := lg.workers[worker]
@@ -317,7 +314,7 @@
 	en.latency += (latency - en.latency) / weight
 }
 
-// Account is the public view of one worker in the ledger.
+// Account is the exported view of one worker in the ledger.
 type Account struct {
 	Worker
 	Used        size.Size     `json:"used"`
@@ -327,20 +324,20 @@
 	Latency     time.Duration `json:"latency"`
 }
 
-// Accounts returns the view of every worker, by name.
+// Accounts returns the views of all workers, sorted by name.
 func (lg *Ledger) Accounts() []Account {
 	acs := make([]Account, 0, len(lg.order))
 	for _, name := range lg.order {
 		en := lg.workers[name]
 		acs = append(acs, Account{
 			Worker: en.Worker, Used: en.used, SlotsUsed: en.slotsUsed,
-			Leaving: en.leaving, Quarantined: en.resting, Latency: en.latency,
+			Leaving: en.leaving, Quarantined: en.quarantined, Latency: en.latency,
 		})
 	}
 	return acs
 }
 
-// Summary is the digest of a ledger that other nodes decide by.
+// Summary is the summary of a ledger that other nodes use for their decisions.
 type Summary struct {
 	Capacity        size.Size `json:"capacity" cbor:"1,keyasint"`
 	Free            size.Size `json:"free" cbor:"2,keyasint"`
@@ -350,21 +347,21 @@
 	FreeSlots       int       `json:"free_slots" cbor:"6,keyasint"`
 }
 
-// Summary sums the workers that take new work. Largest is the component-wise
-// largest free room of one worker, Biggest the largest capacity of one.
+// Summary sums up the workers that accept new work. LargestFree is the component-wise maximum of the free
+// resources of one worker, LargestCapacity that of the capacity of one, whether it accepts work or not.
 func (lg *Ledger) Summary() Summary {
-	var rm Summary
+	var sm Summary
 	for _, en := range lg.workers {
-		rm.LargestCapacity = rm.LargestCapacity.Max(en.Capacity)
+		sm.LargestCapacity = sm.LargestCapacity.Max(en.Capacity)
 		if en.closed() {
 			continue
 		}
 		free := en.free()
-		rm.Capacity = rm.Capacity.Add(en.Capacity)
-		rm.Free = rm.Free.Add(free)
-		rm.LargestFree = rm.LargestFree.Max(free)
-		rm.Workers++
-		rm.FreeSlots += en.Slots - en.slotsUsed
+		sm.Capacity = sm.Capacity.Add(en.Capacity)
+		sm.Free = sm.Free.Add(free)
+		sm.LargestFree = sm.LargestFree.Max(free)
+		sm.Workers++
+		sm.FreeSlots += en.Slots - en.slotsUsed
 	}
-	return rm
+	return sm
 }
--- a/policy/ledger/ledger_test.go
+++ b/policy/ledger/ledger_test.go
@@ -13,12 +13,12 @@
 	return ledger.Worker{Name: fmt.Sprintf("w%04d", n), Capacity: size.New(64000, 128<<10, 2), Slots: 8}
 }
 
-// TestNeverOver takes and gives back at random and checks, after each step, that
-// no worker is over its size and that the running load equals a fresh count.
-func TestNeverOver(t *testing.T) {
+// TestNoOvercommit makes and releases commitments at random and checks, after each step, that no worker is
+// overcommitted and that the maintained load equals a fresh count.
+func TestNoOvercommit(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	lg := ledger.New()
-	var held []string
+	var committed []string
 	for step := range 20000 {
 		name := worker(rnd.IntN(6)).Name
 		switch rnd.IntN(9) {
@@ -31,14 +31,14 @@
 		case 2:
 			lg.Remove(name)
 		case 3, 4:
-			if len(held) > 0 {
-				lg.Release(held[rnd.IntN(len(held))])
+			if len(committed) > 0 {
+				lg.Release(committed[rnd.IntN(len(committed))])
 			}
 		default:
 			id := fmt.Sprint("t", step)
 			sz := size.New(int64(rnd.IntN(20000)), int64(rnd.IntN(40<<10)), int64(rnd.IntN(2)))
 			if lg.Take(name, id, sz, rnd.IntN(2)) {
-				held = append(held, id)
+				committed = append(committed, id)
 			}
 		}
 		check(t, lg)
@@ -63,28 +63,28 @@
 		fits = fits || !ac.Leaving && !ac.Quarantined && probe.Fits(ac.Capacity.Sub(ac.Used))
 	}
 	if _, ok := lg.BestFit(probe, nil); ok != fits {
-		t.Fatalf("the index finds a place: %v, a scan: %v", ok, fits)
+		t.Fatalf("the index finds a fitting worker: %v, a scan: %v", ok, fits)
 	}
 	if got := lg.Load(); got != want {
 		t.Fatalf("load is %+v, a fresh count gives %+v", got, want)
 	}
 }
 
-// TestReconcile gives back what a worker does not report, and nothing else.
+// TestReconcile checks that only the commitments that a worker does not report are released.
 func TestReconcile(t *testing.T) {
 	lg := ledger.New()
 	lg.Put(worker(1))
 	lg.Put(worker(2))
-	lg.Take("w0001", "gone", size.New(1000, 1, 0), 0)
-	lg.Take("w0001", "kept", size.New(1000, 1, 0), 1)
+	lg.Take("w0001", "unreported", size.New(1000, 1, 0), 0)
+	lg.Take("w0001", "reported", size.New(1000, 1, 0), 1)
 	lg.Take("w0002", "elsewhere", size.New(1000, 1, 0), 0)
-	gone := lg.Reconcile("w0001", func(id string) bool { return id == "kept" })
-	if fmt.Sprint(gone) != "[gone]" || !lg.Has("kept") || !lg.Has("elsewhere") {
-		t.Errorf("gave back %v", gone)
+	released := lg.Reconcile("w0001", func(id string) bool { return id == "reported" })
+	if fmt.Sprint(released) != "[unreported]" || !lg.Has("reported") || !lg.Has("elsewhere") {
+		t.Errorf("released %v", released)
 	}
 }
 
-// BenchmarkLookup takes and gives back a slot, at several numbers of workers.
+// BenchmarkLookup commits and releases a slot, with different numbers of workers.
 func BenchmarkLookup(b *testing.B) {
 	for _, count := range []int{50, 970, 10000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// BenchmarkBestFit finds a place for a task, at several numbers of workers.
+// BenchmarkBestFit finds a worker for a task, with different numbers of workers.
 func BenchmarkBestFit(b *testing.B) {
 	for _, count := range []int{50, 970, 10000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// BenchmarkBusyCell finds places in a cell where nine tenths are taken by tasks
-// of many sizes; every tenth task is larger than any free room.
+// BenchmarkBusyCell finds workers in a cell that is about 90% full with tasks of many sizes; every tenth task is
+// larger than the free resources of any worker.
 func BenchmarkBusyCell(b *testing.B) {
 	for _, count := range []int{50, 970, 10000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// BenchmarkRoom sums the whole ledger, as each heartbeat does.
-func BenchmarkRoom(b *testing.B) {
+// BenchmarkSummary sums up the whole ledger, as each heartbeat does.
+func BenchmarkSummary(b *testing.B) {
 	for _, count := range []int{139, 970} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			lg := ledger.New()
