--- a/policy/owner/backfill.go
+++ b/policy/owner/backfill.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// backfills reports whether a hold's tasks may use a worker that is kept free for
-// others: they are expected to end before any of those could start there. Where
-// that is not known of the tasks or of what runs, they may not.
-func (mc *Machine) backfills(now time.Duration, hd *hold, worker string) bool {
+// mayBackfill reports whether a hold's tasks may use a worker that is reserved for other holds: only if they are
+// expected to end before a task of these could start there. If the run time of the tasks, or of what runs on the
+// worker, is unknown, they may not.
+func (mc *Machine) mayBackfill(now time.Duration, hd *hold, worker string) bool {
 	if !mc.limits.Backfill || hd.Run == 0 || hd.Reserve {
 		return false
 	}
 	for _, other := range mc.holds {
-		if _, keeps := other.targets[worker]; !keeps || other.ID == hd.ID || hd.before(other) {
+		if _, reserved := other.targets[worker]; !reserved || other.ID == hd.ID || hd.before(other) {
 			continue
 		}
 		if ready, known := mc.readyAt(other); !known || now+hd.Run > ready {
@@ -20,12 +20,12 @@
 	return true
 }
 
-// readyAt returns when the last of the tasks is expected to end that run on the
-// workers kept free for a hold, or false where one of them is overdue or unknown.
+// readyAt returns when the last task on the workers reserved for a hold is expected to end, or false if the end of
+// one of them is unknown.
 func (mc *Machine) readyAt(hd *hold) (time.Duration, bool) {
 	var last time.Duration
 	for _, rn := range mc.running {
-		if _, keeps := hd.targets[rn.worker]; !keeps {
+		if _, reserved := hd.targets[rn.worker]; !reserved {
 			continue
 		}
 		if rn.ends == 0 {
--- a/policy/owner/event.go
+++ b/policy/owner/event.go
@@ -7,9 +7,8 @@
 	"tackbeam.example/policy/size"
 )
 
-// Event is one input of the machine: the time since the owner started and
-// exactly one of the pointers set. It encodes as JSON, so that a recorder can
-// write the inputs of a machine down and a replay can read them back.
+// Event is one input of the machine: the time since the owner started, and exactly one non-nil pointer. It is encoded
+// as JSON, so that the inputs of a machine can be recorded and replayed.
 type Event struct {
 	At         time.Duration `json:"at"`
 	WorkerUp   *WorkerUp     `json:"worker_up,omitempty"`
@@ -24,30 +23,30 @@
 	Tick       *Tick         `json:"tick,omitempty"`
 }
 
-// WorkerUp says that the owner holds a worker's lease and what runs there. What
-// the ledger has on the worker besides, and is not about to start, is given back.
+// WorkerUp reports that the owner holds a worker's lease, and what runs there. All other commitments on the worker
+// are released, except those of tasks that are about to start.
 type WorkerUp struct {
 	Worker  ledger.Worker `json:"worker"`
 	Running []Running     `json:"running,omitempty"`
 }
 
-// Running is one task or lookup found on a worker.
+// Running is a task or lookup that runs on a worker.
 type Running struct {
 	ID    string    `json:"id"`
 	Size  size.Size `json:"size"`
 	Slots int       `json:"slots,omitempty"`
-	// Priority and Repeatable are what the worker was told when the task started.
+	// Priority and Repeatable are as sent to the worker when the task started.
 	Priority   int  `json:"priority,omitempty"`
 	Repeatable bool `json:"repeatable,omitempty"`
 }
 
-// WorkerGone says that a worker takes nothing new; Lost, that it is not ours any more.
+// WorkerGone reports that a worker accepts no new work or, with Lost, that this owner no longer owns it.
 type WorkerGone struct {
 	Worker string `json:"worker"`
 	Lost   bool   `json:"lost"`
 }
 
-// Lookup is a lookup that wants a slot until Deadline.
+// Lookup requests a slot for a lookup, until Deadline.
 type Lookup struct {
 	ID        string        `json:"id"`
 	Workspace string        `json:"workspace"`
@@ -57,66 +56,65 @@
 	Deadline  time.Duration `json:"deadline"`
 }
 
-// LookupDone gives a lookup's slot back, or takes a waiting lookup out of the queue.
+// LookupDone releases a lookup's slot, or removes a waiting lookup from the queue.
 type LookupDone struct {
 	ID      string        `json:"id"`
 	Latency time.Duration `json:"latency"`
-	// Failed says that the worker failed the lookup.
+	// Failed is set if the lookup failed on the worker.
 	Failed bool `json:"failed,omitempty"`
 }
 
-// Hold asks for room for tasks of one size until Expires. A hold of the same id
-// replaces the former one, and keeps the places of the tasks that it names again.
+// Hold requests resources for tasks of one size, until Expires. It replaces an earlier hold with the same id, and
+// keeps the places of the tasks that are in both.
 type Hold struct {
 	ID      string        `json:"id"`
 	Tasks   []string      `json:"tasks"`
 	Size    size.Size     `json:"size"`
 	Expires time.Duration `json:"expires"`
-	// Priority and Age order holds that reserve: higher priority first, then the
-	// lower age, which is when the job was submitted.
+	// Priority and SubmittedAt order holds that reserve: higher priority first, then the job that was submitted
+	// earlier.
 	Priority    int   `json:"priority,omitempty"`
 	SubmittedAt int64 `json:"age,omitempty"`
-	// Reserve keeps room that is free, or comes free, for this hold, against
-	// younger ones.
+	// Reserve reserves capacity that is free, or is freed later, for this hold ahead of younger ones.
 	Reserve bool `json:"reserve,omitempty"`
-	// Urgent may also stop running tasks of lower priority that may be repeated.
+	// Urgent holds also preempt repeatable running tasks of lower priority.
 	Urgent bool `json:"urgent,omitempty"`
-	// Repeatable tells whether the tasks may be stopped for urgent ones.
+	// Repeatable tasks may be preempted by urgent holds.
 	Repeatable bool `json:"repeatable,omitempty"`
-	// Run is how long the tasks are expected to run; zero is not known.
+	// Run is the expected run time of the tasks; zero if unknown.
 	Run time.Duration `json:"run,omitempty"`
 }
 
-// Commit turns the places of some tasks of a hold into commitments that stay
-// until the tasks end. What else the hold has is given back.
+// Commit turns the places of some tasks of a hold into commitments that last until the tasks end. The other places
+// of the hold are released.
 type Commit struct {
 	ID    string   `json:"id"`
 	Tasks []string `json:"tasks"`
 }
 
-// Started says that a committed task's start has been answered, or has failed
-// in a way that the worker's next inventory will settle.
+// Started reports that the start of a committed task was answered, or that it failed in such a way that the worker's
+// next inventory shows whether the task runs.
 type Started struct {
 	Task string `json:"task"`
 }
 
-// Release gives the room of a hold back.
+// Release releases a hold.
 type Release struct {
 	ID string `json:"id"`
 }
 
-// Ended gives the room of one task back.
+// Ended releases the resources of one task.
 type Ended struct {
 	Task string `json:"task"`
-	// Failed and Succeeded say how the task ended, where that is known.
+	// Failed and Succeeded are the result of the task, if known.
 	Failed    bool `json:"failed,omitempty"`
 	Succeeded bool `json:"succeeded,omitempty"`
 }
 
-// Tick lets time pass: holds and waiting lookups expire.
+// Tick advances the time, so that holds and waiting lookups expire.
 type Tick struct{}
 
-// Action is one decision of the machine; exactly one pointer is set.
+// Action is one decision of the machine; exactly one pointer is non-nil.
 type Action struct {
 	Dispatch *Dispatch `json:"send,omitempty"`
 	Refuse   *Refuse   `json:"refuse,omitempty"`
@@ -126,54 +124,54 @@
 	Preempt  *Preempt  `json:"preempt,omitempty"`
 }
 
-// Dispatch says on which worker a lookup goes.
+// Dispatch assigns a lookup to a worker.
 type Dispatch struct {
 	ID     string `json:"id"`
 	Worker string `json:"worker"`
 }
 
-// Reason says why a lookup is refused.
+// Reason is why a lookup is refused.
 type Reason string
 
-// The reasons to refuse a lookup.
+// Reasons for refusing a lookup.
 const (
 	ReasonFull     Reason = "full"
 	ReasonDeadline Reason = "deadline"
 	ReasonEmpty    Reason = "no workers"
 )
 
-// Refuse says that a lookup was not begun, and when to come back.
+// Refuse refuses a lookup, which was not started, and says after how long to retry.
 type Refuse struct {
 	ID         string        `json:"id"`
 	Reason     Reason        `json:"reason"`
 	RetryAfter time.Duration `json:"retry_after"`
 }
 
-// Place is one task and the worker that room was taken on.
+// Place is a task and the worker on which resources are held for it.
 type Place struct {
 	Task   string `json:"task" cbor:"1,keyasint"`
 	Worker string `json:"worker" cbor:"2,keyasint"`
 }
 
-// Granted lists the places that a hold got, perhaps fewer than asked for.
+// Granted lists the places of a hold, possibly fewer than requested.
 type Granted struct {
 	ID     string  `json:"id"`
 	Places []Place `json:"places,omitempty"`
 }
 
-// Settled answers a commit: false where the hold, or one of the places, had gone.
+// Settled is the result of a commit: not OK if the hold or one of its places no longer exists.
 type Settled struct {
 	ID     string  `json:"id"`
 	OK     bool    `json:"ok"`
 	Places []Place `json:"places,omitempty"`
 }
 
-// Expired says that a hold ran out and its room was given back.
+// Expired reports that a hold expired and was released.
 type Expired struct {
 	ID string `json:"id"`
 }
 
-// Preempt says that a running task is to be stopped to make room for urgent work.
+// Preempt requests that a running task is stopped to free resources for urgent work.
 type Preempt struct {
 	Task   string `json:"task"`
 	Worker string `json:"worker"`
--- a/policy/owner/health.go
+++ b/policy/owner/health.go
@@ -6,54 +6,53 @@
 	"time"
 )
 
-// Limits of the rests of workers that fail everything.
+// Limits of the quarantine of workers on which everything fails.
 const (
-	// failuresToRest is the number of failures in a row that put a worker to rest.
-	failuresToRest = 5
-	firstRest      = 5 * time.Second
-	longestRest    = time.Minute
-	// restingPart bounds the workers at rest: when many fail, the work is at fault.
-	restingPart = 4
+	// maxFailures is the number of consecutive failures after which a worker is quarantined.
+	maxFailures       = 5
+	initialQuarantine = 5 * time.Second
+	maxQuarantine     = time.Minute
+	// quarantinedPart limits quarantine to one in 4 workers: if more fail, the cause is the work.
+	quarantinedPart = 4
 )
 
-// health is what is known of a worker's last results.
+// health counts a worker's recent failures.
 type health struct {
-	failures int
-	rest     time.Duration
-	until    time.Duration
+	failures   int
+	quarantine time.Duration
+	until      time.Duration
 }
 
-// result notes how work on a worker ended. After some failures in a row the
-// worker rests; then it is tried again, and one more failure doubles the rest.
-func (mc *Machine) result(now time.Duration, worker string, failed bool) {
+// recordResult records a result of a worker. After maxFailures consecutive failures the worker is quarantined. Then
+// it is tried again, and one more failure quarantines it for twice as long.
+func (mc *Machine) recordResult(now time.Duration, worker string, failed bool) {
 	he, ok := mc.health[worker]
 	switch {
 	case !failed:
 		delete(mc.health, worker)
 		return
 	case !ok:
-		he = &health{rest: firstRest}
+		he = &health{quarantine: initialQuarantine}
 		mc.health[worker] = he
 	}
 	he.failures++
-	if he.failures < failuresToRest || he.until > now || mc.manyRest() {
+	if he.failures < maxFailures || he.until > now || mc.quarantineFull() {
 		return
 	}
 	if mc.ledger.SetQuarantined(worker, true) {
-		he.until = now + he.rest
-		he.rest = min(2*he.rest, longestRest)
+		he.until = now + he.quarantine
+		he.quarantine = min(2*he.quarantine, maxQuarantine)
 	}
 }
 
-// manyRest reports whether no more workers may rest.
-func (mc *Machine) manyRest() bool {
-	resting := mc.ledger.Quarantined() + 1
-	return resting*restingPart > mc.ledger.Load().Workers+resting
+// quarantineFull reports whether no more workers may be quarantined.
+func (mc *Machine) quarantineFull() bool {
+	quarantined := mc.ledger.Quarantined() + 1
+	return quarantined*quarantinedPart > mc.ledger.Load().Workers+quarantined
 }
 
-// wake ends the rests that are over. The next result decides: the worker is one
-// failure short of resting again.
-func (mc *Machine) wake(now time.Duration) {
+// endQuarantines ends the quarantines that have expired. One more failure quarantines the worker again.
+func (mc *Machine) endQuarantines(now time.Duration) {
 	if mc.ledger.Quarantined() == 0 {
 		return
 	}
@@ -61,7 +60,7 @@
 		he := mc.health[worker]
 		if he.until > 0 && he.until <= now {
 			he.until = 0
-			he.failures = failuresToRest - 1
+			he.failures = maxFailures - 1
 			mc.ledger.SetQuarantined(worker, false)
 		}
 	}
--- a/policy/owner/hold.go
+++ b/policy/owner/hold.go
@@ -8,18 +8,18 @@
 	"tackbeam.example/policy/size"
 )
 
-// hold is room taken for tasks that have not started, and the want of more.
+// hold is a Hold with the places taken for its tasks and the number of tasks without one.
 type hold struct {
 	Hold
 	places  []Place
-	want    int
+	missing int
 	victims []string
-	// targets is the room that is kept free for what is wanted, by worker.
+	// targets is the capacity reserved for the tasks without a place, by worker.
 	targets map[string]size.Size
 	expires time.Duration
 }
 
-// before orders holds: the higher priority first, then the older job, then the id.
+// before orders holds: higher priority first, then the older job, then by id.
 func (hd *hold) before(other *hold) bool {
 	return cmp.Or(
 		cmp.Compare(other.Priority, hd.Priority),
@@ -28,41 +28,40 @@
 	) < 0
 }
 
-// hold takes room for as many of the tasks as fit. A hold that reserves takes
-// the place of younger ones, and one that is urgent stops running tasks as well.
+// hold takes places for as many of the tasks as fit. A hold that reserves takes over the places of younger ones, and
+// an urgent one preempts running tasks as well.
 func (mc *Machine) hold(now time.Duration, req *Hold) []Action {
 	hd, ok := mc.holds[req.ID]
 	if !ok {
 		hd = &hold{}
 	}
 	hd.Hold = *req
-	mc.giveUp(hd)
+	mc.releaseDropped(hd)
 	hd.expires = max(hd.expires, req.Expires)
-	hd.want = 0
+	hd.missing = 0
 	for _, task := range req.Tasks {
 		if !hd.has(task) && !mc.place(now, hd, task) {
-			hd.want++
+			hd.missing++
 		}
 	}
 	var acts []Action
-	if req.Urgent && hd.want > 0 {
+	if req.Urgent && hd.missing > 0 {
 		acts = mc.preempt(hd)
 	}
 	if req.Reserve {
-		mc.earmark(now, hd)
+		mc.reserve(now, hd)
 	}
-	if len(hd.places) > 0 || req.Reserve && hd.want > 0 {
+	if len(hd.places) > 0 || req.Reserve && hd.missing > 0 {
 		mc.holds[req.ID] = hd
 	}
-	if req.Urgent && hd.want == 0 {
-		mc.passOn(now)
+	if req.Urgent && hd.missing == 0 {
+		mc.reassignFreed(now)
 	}
 	return append(acts, Action{Granted: &Granted{ID: req.ID, Places: slices.Clone(hd.places)}})
 }
 
-// giveUp gives the places of tasks back that a hold does not ask for any more: they
-// have a place elsewhere.
-func (mc *Machine) giveUp(hd *hold) {
+// releaseDropped releases the places of tasks that a hold no longer lists, because they have a place elsewhere.
+func (mc *Machine) releaseDropped(hd *hold) {
 	hd.places = slices.DeleteFunc(hd.places, func(pl Place) bool {
 		drop := !slices.Contains(hd.Tasks, pl.Task)
 		if drop {
@@ -76,11 +75,11 @@
 	return slices.ContainsFunc(hd.places, func(pl Place) bool { return pl.Task == task })
 }
 
-// place takes room for one task, from younger reservations if need be.
+// place takes a place for one task, from younger reservations if necessary.
 func (mc *Machine) place(now time.Duration, hd *hold, task string) bool {
 	for {
 		worker, ok := mc.ledger.BestFit(hd.Size, func(name string) bool {
-			return mc.mayUse(hd, name) || mc.backfills(now, hd, name)
+			return mc.leavesReserved(hd, name) || mc.mayBackfill(now, hd, name)
 		})
 		if ok && mc.ledger.Take(worker, task, hd.Size, 0) {
 			hd.places = append(hd.places, Place{Task: task, Worker: worker})
@@ -92,23 +91,23 @@
 	}
 }
 
-// mayUse reports whether a hold may use a worker: what it leaves there is enough
-// for the holds that come first and for which room is kept.
-func (mc *Machine) mayUse(hd *hold, name string) bool {
-	kept := mc.kept(hd, name)
-	if kept.IsZero() {
+// leavesReserved reports whether a task of a hold leaves enough free resources on a worker for the capacity reserved
+// there for holds that precede it.
+func (mc *Machine) leavesReserved(hd *hold, name string) bool {
+	reserved := mc.reservedBefore(hd, name)
+	if reserved.IsZero() {
 		return true
 	}
 	free, ok := mc.ledger.Free(name)
-	return ok && hd.Size.Add(kept).Fits(free)
+	return ok && hd.Size.Add(reserved).Fits(free)
 }
 
-// takeOver gives back the youngest reservation that comes after hd and still
-// wants room. Of two gangs that each hold a part, the older one goes on.
+// takeOver releases the places of the youngest incomplete reservation that hd precedes. It resolves the deadlock of
+// two gangs that each hold a part of the workers that both need: the older one proceeds.
 func (mc *Machine) takeOver(hd *hold) bool {
 	var youngest *hold
 	for _, other := range mc.holds {
-		if !other.Reserve || other.want == 0 || len(other.places) == 0 || !hd.before(other) {
+		if !other.Reserve || other.missing == 0 || len(other.places) == 0 || !hd.before(other) {
 			continue
 		}
 		if youngest == nil || youngest.before(other) {
@@ -118,14 +117,14 @@
 	if youngest == nil {
 		return false
 	}
-	mc.giveBack(youngest)
-	youngest.want += len(youngest.places)
+	mc.releasePlaces(youngest)
+	youngest.missing += len(youngest.places)
 	youngest.places = nil
 	return true
 }
 
-// commit makes the places of the named tasks last. Where one of them has gone,
-// because an older hold took it over or its worker was lost, nothing is committed.
+// commit commits the places of the named tasks. If one of them no longer exists, because an older hold took it over
+// or its worker was lost, nothing is committed.
 func (mc *Machine) commit(now time.Duration, cm *Commit) []Action {
 	hd, ok := mc.holds[cm.ID]
 	delete(mc.holds, cm.ID)
@@ -133,12 +132,12 @@
 		return []Action{{Settled: &Settled{ID: cm.ID}}}
 	}
 	chosen, rest := hd.split(cm.Tasks)
-	whole := len(chosen) == len(cm.Tasks) && !slices.ContainsFunc(chosen, func(pl Place) bool {
+	complete := len(chosen) == len(cm.Tasks) && !slices.ContainsFunc(chosen, func(pl Place) bool {
 		return !mc.ledger.Has(pl.Task)
 	})
-	if !whole {
-		mc.giveBack(hd)
-		return mc.drain(now, []Action{{Settled: &Settled{ID: cm.ID}}})
+	if !complete {
+		mc.releasePlaces(hd)
+		return mc.dispatchWaiting(now, []Action{{Settled: &Settled{ID: cm.ID}}})
 	}
 	var ends time.Duration
 	if hd.Run > 0 {
@@ -146,17 +145,17 @@
 	}
 	for _, pl := range chosen {
 		mc.starting[pl.Task] = true
-		mc.runs(Running{
+		mc.addRunning(Running{
 			ID: pl.Task, Size: hd.Size, Priority: hd.Priority, Repeatable: hd.Repeatable,
 		}, pl.Worker, ends)
 	}
 	for _, pl := range rest {
 		mc.ledger.Release(pl.Task)
 	}
-	return mc.drain(now, []Action{{Settled: &Settled{ID: cm.ID, OK: true, Places: chosen}}})
+	return mc.dispatchWaiting(now, []Action{{Settled: &Settled{ID: cm.ID, OK: true, Places: chosen}}})
 }
 
-// split parts the places of the named tasks from the rest.
+// split separates the places of the named tasks from the others.
 func (hd *hold) split(tasks []string) (chosen, rest []Place) {
 	for _, pl := range hd.places {
 		if slices.Contains(tasks, pl.Task) {
@@ -168,7 +167,7 @@
 	return chosen, rest
 }
 
-func (mc *Machine) giveBack(hd *hold) {
+func (mc *Machine) releasePlaces(hd *hold) {
 	if hd == nil {
 		return
 	}
@@ -178,7 +177,7 @@
 }
 
 func (mc *Machine) release(now time.Duration, rl *Release) []Action {
-	mc.giveBack(mc.holds[rl.ID])
+	mc.releasePlaces(mc.holds[rl.ID])
 	delete(mc.holds, rl.ID)
-	return mc.drain(now, nil)
+	return mc.dispatchWaiting(now, nil)
 }
--- a/policy/owner/owner.go
+++ b/policy/owner/owner.go
@@ -1,8 +1,8 @@
-// Package owner decides for the workers of one node: which worker a lookup
-// goes to, which room a hold gets, what waits and what is refused.
+// Package owner makes the decisions for the workers of one node: which worker runs a lookup, which resources a hold
+// gets, what waits and what is refused.
 //
-// The machine is a step function. It reads no clock and starts no goroutine:
-// equal events give equal actions.
+// It is a deterministic state machine that reads no clock and starts no goroutine: the same events always give the
+// same actions.
 package owner
 
 import (
@@ -13,20 +13,20 @@
 	"tackbeam.example/policy/size"
 )
 
-// Limits of the machine that settings may change.
+// Limits are the configurable limits of the machine.
 type Limits struct {
-	// Queue is the number of lookups that may wait.
+	// Queue is the maximum number of waiting lookups.
 	Queue int `json:"queue"`
 	// Candidates is the number of workers compared for one lookup.
 	Candidates int `json:"candidates"`
-	// Backfill lets short tasks use workers that are kept free for a gang.
+	// Backfill lets short tasks use workers that are reserved for a gang.
 	Backfill bool `json:"backfill"`
 }
 
-// DefaultLimits suit fifty workers of eight slots.
+// DefaultLimits returns limits for about fifty workers with eight slots each.
 func DefaultLimits() Limits { return Limits{Queue: 512, Candidates: 4, Backfill: true} }
 
-// Machine is the decision state of one owner. It is not safe for concurrent use.
+// Machine is the state of one owner. It is not safe for concurrent use.
 type Machine struct {
 	limits  Limits
 	ledger  *ledger.Ledger
@@ -36,7 +36,7 @@
 	holds   map[string]*hold
 	// starting are the tasks that may not have reached their worker yet.
 	starting map[string]bool
-	// running are the committed tasks and what may be done to them.
+	// running are the committed tasks, with what is needed to preempt them.
 	running map[string]*running
 	health  map[string]*health
 	started int
@@ -44,7 +44,7 @@
 	active  int
 }
 
-// queue is the waiting lookups of one workspace, first come first.
+// queue holds the waiting lookups of one workspace in the order of arrival.
 type queue struct {
 	weight float64
 	served float64
@@ -65,19 +65,19 @@
 	}
 }
 
-// Ledger returns the account that the machine decides by, for reading.
+// Ledger returns the ledger of the machine's workers, for reading only.
 func (mc *Machine) Ledger() *ledger.Ledger { return mc.ledger }
 
-// Waiting returns the number of lookups that wait for a slot.
+// Waiting returns the number of waiting lookups.
 func (mc *Machine) Waiting() int { return mc.waiting }
 
-// NeedsTick reports whether something happens by itself as time passes: a hold
-// expires, a waiting lookup is late, or a worker's rest ends.
+// NeedsTick reports whether the passing of time alone can change the state: a hold or a waiting lookup can expire, or a
+// worker's quarantine can end.
 func (mc *Machine) NeedsTick() bool {
 	return len(mc.holds) > 0 || mc.waiting > 0 || mc.ledger.Quarantined() > 0
 }
 
-// Step takes one event and returns the decisions that follow from it.
+// Step processes one event and returns the resulting actions.
 func (mc *Machine) Step(ev Event) []Action {
 	switch {
 	case ev.WorkerUp != nil:
@@ -85,9 +85,9 @@
 	case ev.WorkerGone != nil:
 		return mc.workerGone(ev.At, ev.WorkerGone)
 	case ev.Lookup != nil:
-		return mc.arrive(ev.At, *ev.Lookup)
+		return mc.lookup(ev.At, *ev.Lookup)
 	case ev.LookupDone != nil:
-		return mc.done(ev.At, ev.LookupDone)
+		return mc.lookupDone(ev.At, ev.LookupDone)
 	case ev.Hold != nil:
 		return mc.hold(ev.At, ev.Hold)
 	case ev.Commit != nil:
@@ -101,9 +101,9 @@
 		delete(mc.running, ev.Ended.Task)
 		worker, ok := mc.ledger.Release(ev.Ended.Task)
 		if ok && (ev.Ended.Failed || ev.Ended.Succeeded) {
-			mc.result(ev.At, worker, ev.Ended.Failed)
+			mc.recordResult(ev.At, worker, ev.Ended.Failed)
 		}
-		return mc.drain(ev.At, nil)
+		return mc.dispatchWaiting(ev.At, nil)
 	case ev.Tick != nil:
 		return mc.tick(ev.At)
 	}
@@ -117,7 +117,7 @@
 		keep[rn.ID] = true
 		mc.ledger.Restore(up.Worker.Name, rn.ID, rn.Size, rn.Slots)
 		if rn.Slots == 0 {
-			mc.runs(rn, up.Worker.Name, 0)
+			mc.addRunning(rn, up.Worker.Name, 0)
 		}
 	}
 	for _, hd := range mc.holds {
@@ -125,9 +125,9 @@
 			keep[pl.Task] = true
 		}
 	}
-	gone := mc.ledger.Reconcile(up.Worker.Name, func(id string) bool { return keep[id] || mc.starting[id] })
-	mc.forget(gone)
-	return mc.drain(now, nil)
+	released := mc.ledger.Reconcile(up.Worker.Name, func(id string) bool { return keep[id] || mc.starting[id] })
+	mc.removeRunning(released)
+	return mc.dispatchWaiting(now, nil)
 }
 
 func (mc *Machine) workerGone(now time.Duration, gone *WorkerGone) []Action {
@@ -135,21 +135,20 @@
 		mc.ledger.Leave(gone.Worker)
 		return mc.refuseAll()
 	}
-	mc.forget(mc.ledger.Remove(gone.Worker))
+	mc.removeRunning(mc.ledger.Remove(gone.Worker))
 	delete(mc.health, gone.Worker)
-	return mc.drain(now, mc.refuseAll())
+	return mc.dispatchWaiting(now, mc.refuseAll())
 }
 
-// refuseAll empties the queues once no worker takes anything, so that callers
-// can turn to another owner at once.
+// refuseAll empties the queues if no worker accepts work, so that callers can try another owner immediately.
 func (mc *Machine) refuseAll() []Action {
 	if mc.waiting == 0 || mc.ledger.Load().Workers > 0 {
 		return nil
 	}
 	var ids []string
 	for _, qu := range mc.queues {
-		for _, ar := range qu.items {
-			ids = append(ids, ar.ID)
+		for _, lk := range qu.items {
+			ids = append(ids, lk.ID)
 		}
 	}
 	slices.Sort(ids)
@@ -162,26 +161,26 @@
 	return acts
 }
 
-// arrive sends a lookup at once, lets it wait, or refuses it.
-func (mc *Machine) arrive(now time.Duration, ar Lookup) []Action {
-	if ar.Deadline <= now {
-		return []Action{refuse(ar.ID, ReasonDeadline, 0)}
+// lookup dispatches a lookup, queues it or refuses it.
+func (mc *Machine) lookup(now time.Duration, lk Lookup) []Action {
+	if lk.Deadline <= now {
+		return []Action{refuse(lk.ID, ReasonDeadline, 0)}
 	}
 	if mc.ledger.Load().Workers == 0 {
-		return []Action{refuse(ar.ID, ReasonEmpty, 0)}
+		return []Action{refuse(lk.ID, ReasonEmpty, 0)}
 	}
 	if mc.waiting == 0 {
-		if worker, ok := mc.take(ar); ok {
-			return []Action{{Dispatch: &Dispatch{ID: ar.ID, Worker: worker}}}
+		if worker, ok := mc.assign(lk); ok {
+			return []Action{{Dispatch: &Dispatch{ID: lk.ID, Worker: worker}}}
 		}
 	}
 	if mc.waiting >= mc.limits.Queue {
-		return []Action{refuse(ar.ID, ReasonFull, mc.wait(mc.waiting))}
+		return []Action{refuse(lk.ID, ReasonFull, mc.wait(mc.waiting))}
 	}
-	if wait := mc.wait(mc.waiting); now+wait >= ar.Deadline {
-		return []Action{refuse(ar.ID, ReasonFull, wait)}
+	if wait := mc.wait(mc.waiting); now+wait >= lk.Deadline {
+		return []Action{refuse(lk.ID, ReasonFull, wait)}
 	}
-	mc.enqueue(ar)
+	mc.enqueue(lk)
 	return nil
 }
 
@@ -189,18 +188,18 @@
 	return Action{Refuse: &Refuse{ID: id, Reason: why, RetryAfter: after}}
 }
 
-// take commits room for a lookup on the least loaded candidate.
-func (mc *Machine) take(ar Lookup) (string, bool) {
-	worker, ok := mc.ledger.LeastLoaded(ar.Size, mc.limits.Candidates)
-	if !ok || !mc.ledger.Take(worker, ar.ID, ar.Size, 1) {
+// assign commits resources for a lookup on the least loaded candidate.
+func (mc *Machine) assign(lk Lookup) (string, bool) {
+	worker, ok := mc.ledger.LeastLoaded(lk.Size, mc.limits.Candidates)
+	if !ok || !mc.ledger.Take(worker, lk.ID, lk.Size, 1) {
 		return "", false
 	}
 	mc.active++
-	mc.sizes[ar.ID] = ar.Size
+	mc.sizes[lk.ID] = lk.Size
 	return worker, true
 }
 
-// wait estimates how long n lookups ahead take to be served.
+// wait estimates how long a lookup behind n others waits.
 func (mc *Machine) wait(n int) time.Duration {
 	if mc.active == 0 || mc.service == 0 {
 		return 0
@@ -208,33 +207,33 @@
 	return mc.service * time.Duration(n+1) / time.Duration(mc.active)
 }
 
-func (mc *Machine) enqueue(ar Lookup) {
-	qu, ok := mc.queues[ar.Workspace]
+func (mc *Machine) enqueue(lk Lookup) {
+	qu, ok := mc.queues[lk.Workspace]
 	if !ok {
-		qu = &queue{served: mc.floor()}
-		mc.queues[ar.Workspace] = qu
+		qu = &queue{served: mc.minServed()}
+		mc.queues[lk.Workspace] = qu
 	}
-	qu.weight = max(ar.Weight, minimumWeight)
-	qu.items = append(qu.items, ar)
+	qu.weight = max(lk.Weight, minimumWeight)
+	qu.items = append(qu.items, lk)
 	mc.waiting++
 }
 
-// minimumWeight keeps a workspace of weight zero from dividing by zero.
+// minimumWeight prevents a division by zero for a workspace of weight zero.
 const minimumWeight = 0.001
 
-// floor is the service that a workspace new to the queues starts with, so that
-// it gets its share from now on and nothing for the past.
-func (mc *Machine) floor() float64 {
-	low, found := 0.0, false
+// minServed returns the least service of the queued workspaces. A workspace that is new to the queues starts with it,
+// so that it gets its share from now on, without credit for the past.
+func (mc *Machine) minServed() float64 {
+	least, found := 0.0, false
 	for _, qu := range mc.queues {
-		if !found || qu.served < low {
-			low, found = qu.served, true
+		if !found || qu.served < least {
+			least, found = qu.served, true
 		}
 	}
-	return low
+	return least
 }
 
-// next returns the workspace that is furthest behind its weighted share.
+// next returns the workspace with the least weighted service.
 func (mc *Machine) next() string {
 	best := ""
 	for name, qu := range mc.queues {
@@ -252,24 +251,24 @@
 	return tie
 }
 
-// drain sends waiting lookups for as long as there are free slots.
-func (mc *Machine) drain(now time.Duration, acts []Action) []Action {
+// dispatchWaiting dispatches waiting lookups while there are free slots.
+func (mc *Machine) dispatchWaiting(now time.Duration, acts []Action) []Action {
 	for mc.waiting > 0 {
 		name := mc.next()
 		qu := mc.queues[name]
-		ar := qu.items[0]
-		if ar.Deadline <= now {
+		lk := qu.items[0]
+		if lk.Deadline <= now {
 			mc.pop(name)
-			acts = append(acts, refuse(ar.ID, ReasonDeadline, mc.wait(mc.waiting)))
+			acts = append(acts, refuse(lk.ID, ReasonDeadline, mc.wait(mc.waiting)))
 			continue
 		}
-		worker, ok := mc.take(ar)
+		worker, ok := mc.assign(lk)
 		if !ok {
 			return acts
 		}
 		qu.served += 1 / qu.weight
 		mc.pop(name)
-		acts = append(acts, Action{Dispatch: &Dispatch{ID: ar.ID, Worker: worker}})
+		acts = append(acts, Action{Dispatch: &Dispatch{ID: lk.ID, Worker: worker}})
 	}
 	return acts
 }
@@ -283,9 +282,9 @@
 	}
 }
 
-func (mc *Machine) done(now time.Duration, dn *LookupDone) []Action {
+func (mc *Machine) lookupDone(now time.Duration, dn *LookupDone) []Action {
 	if _, ok := mc.sizes[dn.ID]; !ok {
-		mc.withdraw(dn.ID)
+		mc.removeWaiting(dn.ID)
 		return nil
 	}
 	delete(mc.sizes, dn.ID)
@@ -293,21 +292,21 @@
 	if worker, ok := mc.ledger.Release(dn.ID); ok && dn.Latency > 0 {
 		mc.ledger.Observe(worker, dn.Latency)
 		mc.observe(dn.Latency)
-		mc.result(now, worker, dn.Failed)
+		mc.recordResult(now, worker, dn.Failed)
 	}
-	return mc.drain(now, nil)
+	return mc.dispatchWaiting(now, nil)
 }
 
-// observe folds one latency into the mean service time of this owner.
+// observe adds one latency to the moving average of this owner's service time.
 func (mc *Machine) observe(latency time.Duration) {
 	const weight = 16
 	mc.service += (latency - mc.service) / weight
 }
 
-// withdraw takes a lookup whose caller has gone out of its queue.
-func (mc *Machine) withdraw(id string) {
+// removeWaiting removes a lookup whose caller has disconnected from its queue.
+func (mc *Machine) removeWaiting(id string) {
 	for name, qu := range mc.queues {
-		at := slices.IndexFunc(qu.items, func(ar Lookup) bool { return ar.ID == id })
+		at := slices.IndexFunc(qu.items, func(lk Lookup) bool { return lk.ID == id })
 		if at < 0 {
 			continue
 		}
@@ -323,13 +322,13 @@
 func (mc *Machine) tick(now time.Duration) []Action {
 	var acts []Action
 	for _, id := range mc.expired(now) {
-		mc.giveBack(mc.holds[id])
+		mc.releasePlaces(mc.holds[id])
 		delete(mc.holds, id)
 		acts = append(acts, Action{Expired: &Expired{ID: id}})
 	}
-	mc.wake(now)
-	acts = mc.overdue(now, acts)
-	return mc.drain(now, acts)
+	mc.endQuarantines(now)
+	acts = mc.refuseOverdue(now, acts)
+	return mc.dispatchWaiting(now, acts)
 }
 
 func (mc *Machine) expired(now time.Duration) []string {
@@ -343,18 +342,18 @@
 	return ids
 }
 
-// overdue refuses the waiting lookups whose deadline has passed.
-func (mc *Machine) overdue(now time.Duration, acts []Action) []Action {
+// refuseOverdue refuses the waiting lookups whose deadline has passed.
+func (mc *Machine) refuseOverdue(now time.Duration, acts []Action) []Action {
 	if mc.waiting == 0 {
 		return acts
 	}
-	var late []string
+	var overdue []string
 	for name, qu := range mc.queues {
-		qu.items = slices.DeleteFunc(qu.items, func(ar Lookup) bool {
-			if ar.Deadline > now {
+		qu.items = slices.DeleteFunc(qu.items, func(lk Lookup) bool {
+			if lk.Deadline > now {
 				return false
 			}
-			late = append(late, ar.ID)
+			overdue = append(overdue, lk.ID)
 			mc.waiting--
 			return true
 		})
@@ -362,8 +361,8 @@
 			delete(mc.queues, name)
 		}
 	}
-	slices.Sort(late)
-	for _, id := range late {
+	slices.Sort(overdue)
+	for _, id := range overdue {
 		acts = append(acts, refuse(id, ReasonDeadline, mc.wait(mc.waiting)))
 	}
 	return acts
--- a/policy/owner/preempt.go
+++ b/policy/owner/preempt.go
@@ -8,19 +8,19 @@
 	"tackbeam.example/policy/size"
 )
 
-// running is a committed task and what may be done to it.
+// running is a committed task and whether it may be preempted.
 type running struct {
 	Running
 	worker string
 	order  int
-	// ends is when the task is expected to end; zero is not known.
+	// ends is when the task is expected to end; zero if unknown.
 	ends time.Duration
-	// stopping is set once the task was chosen to make room.
+	// stopping is set once the task is chosen for preemption.
 	stopping bool
 }
 
-// runs notes a committed task.
-func (mc *Machine) runs(rn Running, worker string, ends time.Duration) {
+// addRunning adds a committed task.
+func (mc *Machine) addRunning(rn Running, worker string, ends time.Duration) {
 	if _, known := mc.running[rn.ID]; known {
 		return
 	}
@@ -28,16 +28,15 @@
 	mc.running[rn.ID] = &running{Running: rn, worker: worker, order: mc.started, ends: ends}
 }
 
-// forget drops tasks that the ledger has no room for any more.
-func (mc *Machine) forget(ids []string) {
+// removeRunning removes tasks that no longer have a commitment in the ledger.
+func (mc *Machine) removeRunning(ids []string) {
 	for _, id := range ids {
 		delete(mc.running, id)
 	}
 }
 
-// preempt chooses running tasks of lower priority that may be repeated, and asks
-// for their stop, so that the urgent hold fits when they have ended. While
-// tasks that it chose before have not ended, it chooses no more.
+// preempt chooses repeatable running tasks of lower priority and requests that they are stopped, so that the urgent
+// hold fits once they have ended. As long as a task chosen earlier has not ended, it chooses no more.
 func (mc *Machine) preempt(hd *hold) []Action {
 	for _, id := range hd.victims {
 		if mc.ledger.Has(id) {
@@ -50,7 +49,7 @@
 		return nil
 	}
 	var acts []Action
-	for range hd.want {
+	for range hd.missing {
 		victims := mc.cheapest(hd)
 		if len(victims) == 0 {
 			break
@@ -64,13 +63,13 @@
 	return acts
 }
 
-// unclaimed returns a task that is being stopped for a hold which has found room
-// elsewhere meanwhile, and whose end makes room for this one; nil where there is none.
+// unclaimed returns a task that is being stopped for a hold that has since found resources elsewhere, and whose end
+// frees enough for this hold; nil if there is none.
 func (mc *Machine) unclaimed(hd *hold) *running {
 	claimed := map[string]bool{}
 	for _, other := range mc.holds {
 		for _, id := range other.victims {
-			claimed[id] = claimed[id] || other.want > 0
+			claimed[id] = claimed[id] || other.missing > 0
 		}
 	}
 	var first *running
@@ -86,12 +85,12 @@
 	return first
 }
 
-// passOn gives the room that tasks which are being stopped still make for nobody to
-// the urgent holds that want some, before anybody else asks for it.
-func (mc *Machine) passOn(now time.Duration) {
+// reassignFreed assigns tasks that are being stopped, but no longer for a hold that needs their resources, to urgent
+// holds that lack resources, before other holds can take these.
+func (mc *Machine) reassignFreed(now time.Duration) {
 	var list []*hold
 	for _, hd := range mc.holds {
-		if hd.Urgent && hd.want > 0 {
+		if hd.Urgent && hd.missing > 0 {
 			list = append(list, hd)
 		}
 	}
@@ -105,12 +104,11 @@
 		if rn := mc.unclaimed(hd); rn != nil {
 			hd.victims = append(hd.victims, rn.ID)
 		}
-		mc.earmark(now, hd)
+		mc.reserve(now, hd)
 	}
 }
 
-// cheapest returns the fewest tasks of one worker whose end makes room for one
-// task of the hold.
+// cheapest returns the smallest set of tasks on one worker whose end frees enough for one task of the hold.
 func (mc *Machine) cheapest(hd *hold) []*running {
 	byWorker := map[string][]*running{}
 	for _, rn := range mc.running {
@@ -125,15 +123,15 @@
 			continue
 		}
 		picked := pick(list, free, hd.Size)
-		if picked != nil && (best == nil || less(picked, best)) {
+		if picked != nil && (best == nil || cheaper(picked, best)) {
 			best = picked
 		}
 	}
 	return best
 }
 
-// pick takes tasks, the lowest priority and the youngest first, until the size
-// fits; nil where it never does.
+// pick returns tasks, those of the lowest priority and the youngest first, until the size fits; nil if it does not fit
+// after all of them.
 func pick(list []*running, free, sz size.Size) []*running {
 	slices.SortFunc(list, func(a, b *running) int {
 		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(b.order, a.order))
@@ -147,7 +145,7 @@
 	return nil
 }
 
-// less orders two choices: the shorter first, then the one of younger tasks.
-func less(a, b []*running) bool {
+// cheaper reports whether a has fewer tasks than b or, if as many, younger ones.
+func cheaper(a, b []*running) bool {
 	return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(b[0].order, a[0].order)) < 0
 }
--- a/policy/owner/reserve.go
+++ b/policy/owner/reserve.go
@@ -8,46 +8,46 @@
 	"tackbeam.example/policy/size"
 )
 
-// unknownRun stands for the time left of a task whose run time is not known.
-const unknownRun = time.Minute
+// defaultRemaining is the assumed remaining time of a task whose run time is unknown.
+const defaultRemaining = time.Minute
 
-// prospect is room for one task of a hold on a worker, and when it is expected.
-type prospect struct {
+// opening is a worker on which one task of a hold will fit, and when.
+type opening struct {
 	worker string
 	ready  time.Duration
 	free   float64
 }
 
-// earmark keeps room free for what a hold still wants: where it is expected soonest.
-// It is decided anew at each try; room that has come free in part makes a worker
-// more likely to be chosen again.
-func (mc *Machine) earmark(now time.Duration, hd *hold) {
+// reserve reserves capacity for the tasks of a hold without a place, on the workers where it is expected to be free
+// soonest. The workers are chosen again at each try; one on which a part of the capacity is free already is more
+// likely to be chosen again.
+func (mc *Machine) reserve(now time.Duration, hd *hold) {
 	hd.targets = map[string]size.Size{}
-	if hd.want == 0 {
+	if hd.missing == 0 {
 		return
 	}
-	list := mc.prospects(now, hd)
-	for _, pr := range list[:min(hd.want, len(list))] {
-		hd.targets[pr.worker] = hd.targets[pr.worker].Add(hd.Size)
+	list := mc.openings(now, hd)
+	for _, op := range list[:min(hd.missing, len(list))] {
+		hd.targets[op.worker] = hd.targets[op.worker].Add(hd.Size)
 	}
 }
 
-// prospects lists the room that could serve a hold, the soonest first.
-func (mc *Machine) prospects(now time.Duration, hd *hold) []prospect {
+// openings lists where tasks of a hold will fit, the soonest first.
+func (mc *Machine) openings(now time.Duration, hd *hold) []opening {
 	running := mc.byWorker()
-	var list []prospect
+	var list []opening
 	for _, name := range mc.ledger.Names() {
-		free, open := mc.ledger.Free(name)
-		if !open {
+		free, ok := mc.ledger.Free(name)
+		if !ok {
 			continue
 		}
-		free = free.Sub(mc.kept(hd, name))
+		free = free.Sub(mc.reservedBefore(hd, name))
 		share := free.DominantShare(mc.ledger.Capacity(name))
 		for _, ready := range readyTimes(now, hd, free, running[name]) {
-			list = append(list, prospect{worker: name, ready: ready, free: share})
+			list = append(list, opening{worker: name, ready: ready, free: share})
 		}
 	}
-	slices.SortFunc(list, func(a, b prospect) int {
+	slices.SortFunc(list, func(a, b opening) int {
 		return cmp.Or(cmp.Compare(a.ready, b.ready), cmp.Compare(b.free, a.free), cmp.Compare(a.worker, b.worker))
 	})
 	return list
@@ -62,28 +62,28 @@
 	return list
 }
 
-// kept returns the room on a worker that is kept free for holds that come before.
-func (mc *Machine) kept(hd *hold, worker string) size.Size {
+// reservedBefore returns the capacity on a worker that is reserved for holds that precede hd.
+func (mc *Machine) reservedBefore(hd *hold, worker string) size.Size {
 	var sum size.Size
 	for _, other := range mc.holds {
-		if room, ok := other.targets[worker]; ok && other.ID != hd.ID && !hd.before(other) {
-			sum = sum.Add(room)
+		if reserved, ok := other.targets[worker]; ok && other.ID != hd.ID && !hd.before(other) {
+			sum = sum.Add(reserved)
 		}
 	}
 	return sum
 }
 
-// readyTimes returns when room for one more task of a hold is expected on a worker,
-// then for another one, as its running tasks end.
+// readyTimes returns when a first task of a hold is expected to fit on a worker, then a second one and so on, as its
+// running tasks end.
 func readyTimes(now time.Duration, hd *hold, free size.Size, list []*running) []time.Duration {
 	ends := func(rn *running) time.Duration {
 		switch {
 		case slices.Contains(hd.victims, rn.ID):
 			return now
-		case rn.stopping: // for another hold, whose room it will be
-			return now + 2*unknownRun
+		case rn.stopping: // for another hold, which gets the freed resources
+			return now + 2*defaultRemaining
 		case rn.ends == 0:
-			return now + unknownRun
+			return now + defaultRemaining
 		}
 		return max(now, rn.ends)
 	}
@@ -93,11 +93,11 @@
 	var times []time.Duration
 	at := now
 	for {
-		for hd.Size.Fits(free) && len(times) < hd.want {
+		for hd.Size.Fits(free) && len(times) < hd.missing {
 			times = append(times, at)
 			free = free.Sub(hd.Size)
 		}
-		if len(list) == 0 || len(times) == hd.want {
+		if len(list) == 0 || len(times) == hd.missing {
 			return times
 		}
 		at = ends(list[0])
