--- a/policy/home/bench_test.go
+++ b/policy/home/bench_test.go
@@ -9,17 +9,16 @@
 	"tackbeam.example/policy/size"
 )
 
-// BenchmarkBacklog places one job after another, and ends it, while others wait
-// for room.
+// BenchmarkBacklog places and ends one job after another while others wait for resources or for a time.
 func BenchmarkBacklog(b *testing.B) {
 	cases := map[string]struct {
-		waiting int
-		again   time.Duration
+		waiting    int
+		retryAfter time.Duration
 	}{
-		"100 wait for room":     {100, 0},
-		"10000 wait for room":   {10000, 0},
-		"100 wait for a time":   {100, time.Hour},
-		"10000 wait for a time": {10000, time.Hour},
+		"100 wait for resources":   {100, 0},
+		"10000 wait for resources": {10000, 0},
+		"100 wait for a time":      {100, time.Hour},
+		"10000 wait for a time":    {10000, time.Hour},
 	}
 	for name, tc := range cases {
 		waiting := tc.waiting
@@ -27,7 +26,7 @@
 			mc := home.New(64, home.DefaultRules())
 			mc.Step(home.Event{Capacity: &home.Capacity{Total: size.New(1e9, 1e9, 0), Largest: size.New(64000, 1e6, 0)}})
 			for n := range waiting {
-				submit(mc, n, 64000, tc.again)
+				submit(mc, n, 64000, tc.retryAfter)
 			}
 			n := waiting
 			for b.Loop() {
@@ -42,8 +41,8 @@
 	}
 }
 
-// submit submits a job; what tries and is large finds no room.
-func submit(mc *home.Machine, n int, cores int64, again time.Duration) {
+// submit submits a job. A job of 64 cores, and any that tries after it, finds no resources.
+func submit(mc *home.Machine, n int, cores int64, retryAfter time.Duration) {
 	acts := mc.Step(home.Event{At: time.Second, Submit: &home.Submit{
 		Job: fmt.Sprint("j", n), Workspace: fmt.Sprint("ws", n%380), Tasks: 1, Size: size.New(cores, 64, 0), Priority: 5,
 	}})
@@ -51,7 +50,7 @@
 		var next []home.Action
 		for _, act := range acts {
 			next = append(next, mc.Step(home.Event{At: time.Second, NotPlaced: &home.NotPlaced{
-				Job: act.Try.Job, RetryAt: again,
+				Job: act.Try.Job, RetryAt: retryAfter,
 			}})...)
 		}
 		acts = next
--- a/policy/home/event.go
+++ b/policy/home/event.go
@@ -6,8 +6,8 @@
 	"tackbeam.example/policy/size"
 )
 
-// Event is one input of the machine: the time since the home started and
-// exactly one of the pointers set. It encodes as JSON for the recorder.
+// Event is one input of the machine: the time since the home started, and exactly one non-nil pointer. It is encoded
+// as JSON for the recorder.
 type Event struct {
 	At        time.Duration `json:"at"`
 	Submit    *Submit       `json:"submit,omitempty"`
@@ -30,21 +30,21 @@
 	Priority  int           `json:"priority"`
 	Deadline  time.Duration `json:"deadline"`
 	Workload  string        `json:"workload,omitempty"`
-	// Urgent jobs reserve room from their first try.
+	// Urgent jobs reserve resources from their first try.
 	Urgent bool `json:"urgent,omitempty"`
-	// Waited is how long the job had waited before this event.
+	// Waited is how long the job has waited before this event.
 	Waited time.Duration `json:"waited,omitempty"`
 	// RetryAt is the earliest time of the next try.
 	RetryAt time.Duration `json:"again,omitempty"`
 }
 
-// Resume counts a job that already runs, after its record was taken over.
+// Resume adds a job that already runs, after this home took over its record.
 type Resume struct {
 	Submit
 	Running int `json:"running"`
 }
 
-// Limits sets the weight and the limits of a workspace. A nil limit is none.
+// Limits sets the weight and the limits of a workspace. Nil means no limit.
 type Limits struct {
 	Workspace    string   `json:"workspace"`
 	Weight       float64  `json:"weight"`
@@ -54,56 +54,56 @@
 	Running      *int64   `json:"running,omitempty"`
 }
 
-// Capacity tells the room of the whole cluster.
+// Capacity sets the total capacity of the cluster, the largest capacity of one worker, and the free resources.
 type Capacity struct {
 	Total   size.Size `json:"total"`
 	Largest size.Size `json:"largest"`
 	Free    size.Size `json:"free"`
 }
 
-// Placed says that every task of a job was committed.
+// Placed reports that every task of a job was committed.
 type Placed struct {
 	Job string `json:"job"`
 }
 
-// NotPlaced says that a try found no room. The job waits until Again or, where that
-// is zero, until room may have come free.
+// NotPlaced reports that a try did not find enough resources. The job waits until RetryAt or, if that is zero, until
+// resources may have been freed.
 type NotPlaced struct {
 	Job     string        `json:"job"`
 	RetryAt time.Duration `json:"again"`
 }
 
-// TaskEnded says that one task of a placed job gave its room back.
+// TaskEnded reports that one task of a placed job ended.
 type TaskEnded struct {
 	Job string `json:"job"`
-	// OK is set where the task ran to its end, so that its time can be learned from.
+	// OK is set if the task completed, so that its run time is recorded.
 	OK bool `json:"ok,omitempty"`
 }
 
-// Remove takes a job out: cancelled, ended or given to another home.
+// Remove removes a job that was cancelled, has ended or was handed over to another home.
 type Remove struct {
 	Job string `json:"job"`
 }
 
-// Tick lets time pass and asks for the next tries.
+// Tick advances the time and starts the next tries.
 type Tick struct{}
 
-// Action is one decision of the machine; exactly one pointer is set.
+// Action is one decision of the machine; exactly one pointer is non-nil.
 type Action struct {
 	Try     *Try     `json:"try,omitempty"`
 	Expired *Expired `json:"late,omitempty"`
 }
 
-// Try asks for room for all tasks of a job.
+// Try requests resources for all tasks of a job.
 type Try struct {
 	Job string `json:"job"`
-	// Reserve lets the job keep the room that it finds until it has all.
+	// Reserve lets the job keep the resources that it finds until it has enough for all tasks.
 	Reserve bool `json:"reserve,omitempty"`
-	// Run is how long its tasks are expected to run; zero is not known.
+	// Run is the expected run time of its tasks; zero if unknown.
 	Run time.Duration `json:"run,omitempty"`
 }
 
-// Expired says that a waiting job passed its deadline and left the queue.
+// Expired reports that the deadline of a waiting job has passed and that it was removed from the queue.
 type Expired struct {
 	Job string `json:"job"`
 }
--- a/policy/home/home.go
+++ b/policy/home/home.go
@@ -1,8 +1,8 @@
-// Package home decides for the jobs of the workspaces that one node is home of:
-// in which order they try for room, and which wait behind a limit.
+// Package home makes the decisions for the jobs of the workspaces whose home is one node: in which order they try to
+// get resources, and which are held back by a limit.
 //
-// The machine is a step function. It reads no clock and starts no goroutine:
-// equal events give equal actions.
+// It is a deterministic state machine that reads no clock and starts no goroutine: the same events always give the
+// same actions.
 package home
 
 import (
@@ -13,7 +13,7 @@
 	"tackbeam.example/policy/runtimes"
 )
 
-// Machine is the decision state of one home. It is not safe for concurrent use.
+// Machine is the state of one home. It is not safe for concurrent use.
 type Machine struct {
 	jobs       map[string]*job
 	workspaces map[string]*workspace
@@ -23,26 +23,26 @@
 	rules      Rules
 	reserving  int
 	tries      int
-	atOnce     int
+	maxTries   int
 	submitted  int
 }
 
-// New returns an empty machine that lets atOnce jobs try for room together.
-func New(atOnce int, rl Rules) *Machine {
+// New returns an empty machine in which at most maxTries jobs try to get resources at the same time.
+func New(maxTries int, rl Rules) *Machine {
 	return &Machine{
 		runs:       runtimes.New(),
 		rules:      rl,
 		jobs:       map[string]*job{},
 		workspaces: map[string]*workspace{},
 		queue:      newQueue(),
-		atOnce:     atOnce,
+		maxTries:   maxTries,
 	}
 }
 
 // Waiting returns the number of jobs in the queue.
 func (mc *Machine) Waiting() int { return mc.queue.waiting }
 
-// Step takes one event and returns the decisions that follow from it.
+// Step processes one event and returns the resulting actions.
 func (mc *Machine) Step(ev Event) []Action {
 	switch {
 	case ev.Submit != nil:
@@ -53,7 +53,7 @@
 		mc.workspace(ev.Limits.Workspace).limits = *ev.Limits
 	case ev.Capacity != nil:
 		mc.capacity = *ev.Capacity
-		mc.queue.roomChanged()
+		mc.queue.resourcesFreed()
 		return nil
 	case ev.Placed != nil:
 		mc.placed(ev.At, ev.Placed.Job)
@@ -61,7 +61,7 @@
 		mc.notPlaced(ev.At, ev.NotPlaced)
 	case ev.TaskEnded != nil:
 		mc.taskEnded(ev.At, ev.TaskEnded)
-		return nil // the next tick lets jobs try
+		return nil // the next tick starts tries
 	case ev.Tick != nil:
 		mc.queue.unblock()
 	case ev.Remove != nil:
@@ -100,8 +100,8 @@
 	mc.reserve(jb, false)
 }
 
-// notPlaced puts a job back: until the time it is to try again, or, where none is
-// given, until room for its size may have come free.
+// notPlaced returns a job to the queue, until the given time of its next try or, if there is none, until enough
+// resources may have been freed.
 func (mc *Machine) notPlaced(now time.Duration, np *NotPlaced) {
 	jb, ok := mc.jobs[np.Job]
 	if !ok || jb.state != trying {
@@ -126,7 +126,7 @@
 		mc.runs.Record(jb.Workload, now-jb.started)
 	}
 	mc.workspace(jb.Workspace).charge(jb.Size, -1)
-	mc.queue.roomChanged()
+	mc.queue.resourcesFreed()
 }
 
 func (mc *Machine) remove(id string) {
@@ -139,22 +139,22 @@
 	}
 	if jb.running > 0 {
 		mc.workspace(jb.Workspace).charge(jb.Size, -jb.running)
-		mc.queue.roomChanged()
+		mc.queue.resourcesFreed()
 	}
 	mc.reserve(jb, false)
 	delete(mc.jobs, id)
 	mc.queue.drop(jb)
 }
 
-// advance drops late jobs and lets the next jobs try while tries are free.
+// advance removes jobs past their deadline and starts tries up to the maximum.
 func (mc *Machine) advance(now time.Duration) []Action {
 	var acts []Action
-	for _, jb := range mc.queue.late(now) {
+	for _, jb := range mc.queue.expired(now) {
 		mc.remove(jb.Job)
 		acts = append(acts, Action{Expired: &Expired{Job: jb.Job}})
 	}
-	mc.queue.wake(now)
-	for mc.tries < mc.atOnce {
+	mc.queue.enqueueDue(now)
+	for mc.tries < mc.maxTries {
 		gr := mc.next()
 		if gr == nil {
 			break
@@ -164,19 +164,19 @@
 	return acts
 }
 
-// next returns the group whose first job is to try: the highest priority, then
-// the lowest weighted dominant share of its workspace, then first come first.
+// next returns the group whose first job tries next: by the highest priority, then the lowest weighted dominant share
+// of its workspace, then the order of submission.
 func (mc *Machine) next() *group {
 	var best *group
-	var least float64
+	var bestShare float64
 	for _, gr := range mc.queue.open {
 		jb := gr.jobs[0]
 		if best != nil && jb.Priority < best.jobs[0].Priority || mc.limit(jb) != "" {
 			continue
 		}
 		share := mc.share(jb.Workspace)
-		if best == nil || before(jb, share, best.jobs[0], least) {
-			best, least = gr, share
+		if best == nil || before(jb, share, best.jobs[0], bestShare) {
+			best, bestShare = gr, share
 		}
 	}
 	return best
@@ -195,26 +195,26 @@
 	jb.state = trying
 	jb.running = jb.Tasks
 	mc.workspace(jb.Workspace).charge(jb.Size, jb.Tasks)
-	run, _ := mc.runs.Quantile(jb.Workload, cautious)
+	run, _ := mc.runs.Quantile(jb.Workload, runQuantile)
 	reserve := mc.reserves(now, jb)
 	mc.reserve(jb, reserve)
 	return Action{Try: &Try{Job: jb.Job, Reserve: reserve, Run: run}}
 }
 
-// Explain says why a job waits, in one line, or "" where it does not wait.
+// Explain returns why a job waits, as one line, or "" if it does not wait.
 func (mc *Machine) Explain(now time.Duration, id string) string {
-	why := mc.waitsFor(id)
-	if why == "" {
+	reason := mc.waitReason(id)
+	if reason == "" {
 		return ""
 	}
-	if late := mc.warn(now, mc.jobs[id]); late != "" {
-		return why + "; " + late
+	if warning := mc.deadlineWarning(now, mc.jobs[id]); warning != "" {
+		return reason + "; " + warning
 	}
-	return why
+	return reason
 }
 
-// waitsFor says which limit or what room a waiting job lacks, or "".
-func (mc *Machine) waitsFor(id string) string {
+// waitReason returns which limit a waiting job is held back by or which resources it lacks, or "".
+func (mc *Machine) waitReason(id string) string {
 	jb, ok := mc.jobs[id]
 	if !ok || jb.state != waiting {
 		return ""
@@ -229,9 +229,8 @@
 	return "waits for its turn"
 }
 
-// Infeasible names what forbids a job for ever: the row and column of a limit
-// below the job's own size, or the dimension that no worker has. It returns ""
-// where the job can run.
+// Infeasible returns why a job can never run: the row and column of a limit that is below the job's own size, or the
+// dimension in which the workers are too small. It returns "" if the job can run.
 func (mc *Machine) Infeasible(sb Submit) string {
 	if d, over := sb.Size.Excess(mc.capacity.Largest); over {
 		return fmt.Sprintf("%s: no worker has as much as one task asks for", d)
--- a/policy/home/queue.go
+++ b/policy/home/queue.go
@@ -9,7 +9,7 @@
 	"tackbeam.example/policy/timeline"
 )
 
-// state of a job in the machine.
+// state is the state of a job.
 type state int
 
 const (
@@ -18,7 +18,7 @@
 	placed
 )
 
-// job is one job of the machine.
+// job is a job with its state.
 type job struct {
 	Submit
 	state   state
@@ -26,65 +26,63 @@
 	order   int
 	since   time.Duration
 	started time.Duration
-	// queued is set while the job is in a group, dated while its deadline is in the
-	// timeline of deadlines.
-	queued, dated bool
-	// reserving is set from the first try that reserves until the job starts or goes.
+	// queued is set while the job is in a group, scheduled while its deadline is in the timeline of deadlines.
+	queued, scheduled bool
+	// reserving is set from the first try that reserves until the job is placed or removed.
 	reserving bool
 }
 
-// kind is what decides whether a job may try and finds room: all jobs of a kind
-// fare alike, so only the first of each is looked at.
+// kind is all that determines whether a job is held back by a limit and whether it finds resources. The result is the
+// same for all jobs of a kind, so only the first job of each is examined.
 type kind struct {
 	workspace string
 	size      size.Size
 	tasks     int
 }
 
-// group is the ready jobs of one kind, the highest priority first, then first
-// come first.
+// group holds the queued jobs of one kind, by highest priority, then in the order of submission.
 type group struct {
 	kind kind
 	jobs []*job
-	at   int // in the list of open groups, or of parked ones
-	// parked is set while no job of the kind would find room.
+	at   int // index in the list of open or of parked groups
+	// parked is set while no job of the kind would find resources.
 	parked bool
 }
 
-// blockade is a size that found no room, and a number of tasks.
-type blockade struct {
+// failedTry is the size and the number of tasks of a job that found no resources.
+type failedTry struct {
 	size  size.Size
 	tasks int
 }
 
-// covers reports whether the size or the tasks of a kind are no smaller.
-func (bl blockade) covers(kd kind) bool { return kd.tasks >= bl.tasks && bl.size.Fits(kd.size) }
+// covers reports whether a kind has at least the size and the number of tasks of the failed try.
+func (ft failedTry) covers(kd kind) bool { return kd.tasks >= ft.tasks && ft.size.Fits(kd.size) }
 
-// queue holds the jobs that wait.
+// queue holds the waiting jobs.
 type queue struct {
 	waiting int
 	groups  map[kind]*group
-	// open are the groups whose jobs may try, parked those for which there is no room.
+	// open are the groups whose jobs may try, parked those that would find no resources.
 	open, parked []*group
-	// timers are jobs that wait for a time, deadlines those with a last moment.
+	// timers holds jobs that wait for the time of their next try, deadlines those with a deadline.
 	timers    timeline.Timeline[*job]
 	deadlines timeline.Timeline[*job]
-	blocked   []blockade
-	changed   bool
+	failed    []failedTry
+	freed     bool
 }
 
 func newQueue() queue { return queue{groups: map[kind]*group{}} }
 
-// add lets a job wait, until a time where that is not zero.
-func (qu *queue) add(jb *job, again time.Duration) {
+// add adds a waiting job. It does not try before retryAt, if that is not zero.
+func (qu *queue) add(jb *job, retryAt time.Duration) {
 	jb.state = waiting
 	qu.waiting++
-	if jb.Deadline > 0 && !jb.dated {
-		jb.dated = true
-		qu.plan(&qu.deadlines, jb.Deadline, jb)
+	if jb.Deadline > 0 && !jb.scheduled {
+		jb.scheduled = true
+		qu.schedule(&qu.deadlines, jb.Deadline, jb)
 	}
-	if again > 0 {
-		qu.plan(&qu.timers, again, jb)
+	if retryAt > 0 {
+		qu.schedule(&qu.timers, retryAt, jb)
 		return
 	}
 	qu.enqueue(jb)
@@ -101,12 +99,12 @@
 	if gr.parked && jb.Urgent {
 		qu.move(gr, false)
 	}
-	at, _ := slices.BinarySearchFunc(gr.jobs, jb, inGroup)
+	at, _ := slices.BinarySearchFunc(gr.jobs, jb, compareJobs)
 	gr.jobs = slices.Insert(gr.jobs, at, jb)
 	jb.queued = true
 }
 
-// list puts a group on the list that it belongs to.
+// list adds a group to the list for its state.
 func (qu *queue) list(gr *group) {
 	list := &qu.open
 	if gr.parked {
@@ -116,8 +114,8 @@
 	*list = append(*list, gr)
 }
 
-// deregister takes a group off its list.
-func (qu *queue) deregister(gr *group) {
+// unlist removes a group from its list.
+func (qu *queue) unlist(gr *group) {
 	list := &qu.open
 	if gr.parked {
 		list = &qu.parked
@@ -129,25 +127,25 @@
 	*list = (*list)[:last]
 }
 
-// move parks a group or opens it.
+// move parks or opens a group.
 func (qu *queue) move(gr *group, park bool) {
-	qu.deregister(gr)
+	qu.unlist(gr)
 	gr.parked = park
 	qu.list(gr)
 }
 
-func inGroup(a, b *job) int {
+func compareJobs(a, b *job) int {
 	return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.order, b.order))
 }
 
-// take removes the first job of a group, which is to try.
+// take removes and returns the first job of a group.
 func (qu *queue) take(gr *group) *job {
 	jb := gr.jobs[0]
 	qu.drop(jb)
 	return jb
 }
 
-// drop removes a job that does not wait any more. Its moments pass without effect.
+// drop removes a job that no longer waits. Its entries in the timelines have no effect when they become due.
 func (qu *queue) drop(jb *job) {
 	if jb.state != waiting {
 		return
@@ -159,17 +157,17 @@
 	}
 	jb.queued = false
 	gr := qu.groups[kind{jb.Workspace, jb.Size, jb.Tasks}]
-	if at, ok := slices.BinarySearchFunc(gr.jobs, jb, inGroup); ok {
+	if at, ok := slices.BinarySearchFunc(gr.jobs, jb, compareJobs); ok {
 		gr.jobs = slices.Delete(gr.jobs, at, at+1)
 	}
 	if len(gr.jobs) == 0 {
-		qu.deregister(gr)
+		qu.unlist(gr)
 		delete(qu.groups, gr.kind)
 	}
 }
 
-// wake readies the jobs whose time has come.
-func (qu *queue) wake(now time.Duration) {
+// enqueueDue enqueues the jobs whose time has come.
+func (qu *queue) enqueueDue(now time.Duration) {
 	for {
 		jb, ok := qu.timers.PopDue(now)
 		if !ok {
@@ -181,58 +179,56 @@
 	}
 }
 
-// late returns the waiting jobs whose deadline has passed, the earliest first.
-func (qu *queue) late(now time.Duration) []*job {
+// expired returns the waiting jobs whose deadline has passed, in the order of their deadlines.
+func (qu *queue) expired(now time.Duration) []*job {
 	var list []*job
 	for {
 		jb, ok := qu.deadlines.PopDue(now)
 		if !ok {
 			return list
 		}
-		jb.dated = false
+		jb.scheduled = false
 		if jb.state == waiting {
 			list = append(list, jb)
 		}
 	}
 }
 
-// block parks the kinds that would find no room where a job found none, but for
-// those whose first job is spared.
-func (qu *queue) block(jb *job, spared func(*job) bool) {
-	bl := blockade{jb.Size, jb.Tasks}
-	qu.blocked = append(qu.blocked, bl)
+// block parks the kinds that would find no resources since a job found none, except those whose first job is exempt.
+func (qu *queue) block(jb *job, exempt func(*job) bool) {
+	ft := failedTry{jb.Size, jb.Tasks}
+	qu.failed = append(qu.failed, ft)
 	for _, gr := range slices.Clone(qu.open) {
-		if bl.covers(gr.kind) && !spared(gr.jobs[0]) {
+		if ft.covers(gr.kind) && !exempt(gr.jobs[0]) {
 			qu.move(gr, true)
 		}
 	}
 }
 
-// roomChanged notes that room may have come free.
-func (qu *queue) roomChanged() { qu.changed = true }
+// resourcesFreed records that resources may have been freed.
+func (qu *queue) resourcesFreed() { qu.freed = true }
 
-// unblock opens all kinds again if room may have come free since the last time.
+// unblock opens all groups if resources may have been freed since the last call.
 func (qu *queue) unblock() {
-	if !qu.changed {
+	if !qu.freed {
 		return
 	}
-	qu.blocked, qu.changed = qu.blocked[:0], false
+	qu.failed, qu.freed = qu.failed[:0], false
 	for _, gr := range slices.Clone(qu.parked) {
 		qu.move(gr, false)
 	}
 }
 
 func (qu *queue) isBlocked(kd kind) bool {
-	return slices.ContainsFunc(qu.blocked, func(bl blockade) bool { return bl.covers(kd) })
+	return slices.ContainsFunc(qu.failed, func(ft failedTry) bool { return ft.covers(kd) })
 }
 
-// slack is the number of jobs that do not wait any more which a timeline may keep
-// besides as many as there are waiting jobs.
+// slack is how many entries a timeline may have, in addition to twice the number of waiting jobs, before those of jobs
+// that no longer wait are removed.
 const slack = 1024
 
-// plan adds a job to a timeline. Jobs that do not wait any more are dropped there
-// where they have become many.
-func (qu *queue) plan(tl *timeline.Timeline[*job], at time.Duration, jb *job) {
+// schedule adds a job to a timeline. If the timeline has too many jobs that no longer wait, they are removed first.
+func (qu *queue) schedule(tl *timeline.Timeline[*job], at time.Duration, jb *job) {
 	if tl.Len() > 2*qu.waiting+slack {
 		tl.Retain(func(old *job) bool { return old.state == waiting })
 	}
--- a/policy/home/share.go
+++ b/policy/home/share.go
@@ -2,7 +2,7 @@
 
 import "tackbeam.example/policy/size"
 
-// workspace is the account of one workspace.
+// workspace holds the limits and the usage of one workspace.
 type workspace struct {
 	limits  Limits
 	used    size.Size
@@ -23,14 +23,14 @@
 	ws.running += int64(tasks)
 }
 
-// share returns the weighted dominant share that a workspace uses.
+// share returns the weighted dominant share of a workspace.
 func (mc *Machine) share(name string) float64 {
 	const minimumWeight = 0.001
 	ws := mc.workspace(name)
 	return ws.used.DominantShare(mc.capacity.Total) / max(ws.limits.Weight, minimumWeight)
 }
 
-// limit names the column of the workspace that a job would go over, or "".
+// limit returns the column of the workspace's limit that a job would exceed, or "".
 func (mc *Machine) limit(jb *job) string {
 	const milliPerCore = 1000
 	ws := mc.workspace(jb.Workspace)
