--- /dev/null
+++ b/policy/admission/admission.go
@@ -0,0 +1,45 @@
+// Package admission decides which new jobs a cell refuses because more work is waiting than it can start soon.
+package admission
+
+import "time"
+
+// Limits of the backlog.
+//
+// They apply when the planner cannot keep up with new jobs, for example when a small node plans because
+// the strong ones are down: without limits, jobs then wait for a minute or more.
+const (
+	// maxUrgentBacklog is the longest backlog of urgent work, as the time to start it, at which an urgent job
+	// is accepted: its callers wait for a response within a second or two.
+	maxUrgentBacklog = time.Second
+	// maxBacklog is the longest backlog at which any other job is accepted: its callers can retry later
+	// without harm, and accepted jobs have to start within 14 s of the last job.
+	maxBacklog = 4 * time.Second
+	// minRetryAfter is the shortest delay that a caller is told to wait before it retries.
+	minRetryAfter = time.Second
+	// maxAge is the age up to which a reported backlog is used to refuse jobs: the planner reports it
+	// each second while the backlog is long.
+	maxAge = 3 * time.Second
+)
+
+// Controller holds the last backlog that the planner reported to a node.
+type Controller struct {
+	// urgent and all are how long the planner needs to start the waiting urgent work and all waiting work,
+	// as reported at a time.
+	urgent, all, at time.Duration
+}
+
+// Update records how long the planner needs to start the waiting urgent work, and all waiting work.
+func (c *Controller) Update(now, urgent, all time.Duration) { c.urgent, c.all, c.at = urgent, all, now }
+
+// Refuse reports whether a new job is refused, and after how long its caller should retry: when the excess
+// over the limit has been started. A node without a recent report of the planner accepts the job.
+func (c *Controller) Refuse(now time.Duration, urgent bool) (retryAfter time.Duration, refuse bool) {
+	wait, limit := c.all, maxBacklog
+	if urgent {
+		wait, limit = c.urgent, maxUrgentBacklog
+	}
+	if wait <= limit || now-c.at > maxAge {
+		return 0, false
+	}
+	return max(wait-limit, minRetryAfter), true
+}
