--- a/internal/advisor/advisor.go
+++ b/internal/advisor/advisor.go
@@ -27,7 +27,7 @@
 	// Members returns the nodes that are listed.
 	Members func() []joblog.Member
 	// Local asks the advisor from this node.
-	Local func(ctx context.Context, qn cell.Question) (planner.Answer, error)
+	Local func(ctx context.Context, qn cell.Question) (planner.Advice, error)
 	// Call asks another node.
 	Call func(ctx context.Context, address string, rq peerlink.Request) (peerlink.Reply, error)
 }
@@ -63,10 +63,10 @@
 )
 
 // Advise asks the advisor from the node that is free soonest.
-func (po *Pool) Advise(ctx context.Context, qn cell.Question) (planner.Answer, error) {
+func (po *Pool) Advise(ctx context.Context, qn cell.Question) (planner.Advice, error) {
 	mb, wait, ok := po.choose(qn)
 	if !ok {
-		return planner.Answer{}, fault.New(fault.Full, "the advisor's queues are full")
+		return planner.Advice{}, fault.New(fault.Full, "the advisor's queues are full")
 	}
 	call, cancel := context.WithTimeout(ctx, wait+qn.Takes+slack)
 	defer cancel()
@@ -75,9 +75,9 @@
 		po.note(mb.Node, err)
 		return answer, err
 	}
-	reply, err := po.parts.Call(call, mb.Peers, peerlink.Request{Advise: &qn})
+	reply, err := po.parts.Call(call, mb.PeerAddr, peerlink.Request{Advise: &qn})
 	po.note(mb.Node, err)
-	return planner.Answer{Tickets: reply.Tickets, Valid: reply.Valid}, err
+	return planner.Advice{Tickets: reply.Tickets, ValidFor: reply.Valid}, err
 }
 
 // choose takes the node whose queue is shortest, this one among equals. Questions that
--- a/internal/advisor/advisor_test.go
+++ b/internal/advisor/advisor_test.go
@@ -28,7 +28,7 @@
 				queues := map[string]chan struct{}{}
 				var members []joblog.Member
 				for _, node := range []string{"a", "b", "c", "d", "e", "f", "g"}[:count] {
-					members = append(members, joblog.Member{Node: node, Peers: node})
+					members = append(members, joblog.Member{Node: node, PeerAddr: node})
 					queues[node] = make(chan struct{}, 1)
 				}
 				ask := func(node string, takes time.Duration) {
@@ -38,9 +38,9 @@
 				}
 				pool := advisor.New(advisor.Parts{
 					Clock: clock, Node: "a", Members: func() []joblog.Member { return members },
-					Local: func(_ context.Context, qn cell.Question) (planner.Answer, error) {
+					Local: func(_ context.Context, qn cell.Question) (planner.Advice, error) {
 						ask("a", qn.Takes)
-						return planner.Answer{}, nil
+						return planner.Advice{}, nil
 					},
 					Call: func(_ context.Context, address string, rq peerlink.Request) (peerlink.Reply, error) {
 						ask(address, rq.Advise.Takes)
@@ -80,17 +80,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				var members []joblog.Member
 				for n := range tt.nodes {
-					members = append(members, joblog.Member{Node: fmt.Sprintf("n%02d", n), Peers: "p"})
+					members = append(members, joblog.Member{Node: fmt.Sprintf("n%02d", n), PeerAddr: "p"})
 				}
 				put := make(chan struct{}, tt.nodes)
-				ask := func() (planner.Answer, error) {
+				ask := func() (planner.Advice, error) {
 					put <- struct{}{}
 					time.Sleep(time.Second)
-					return planner.Answer{}, nil
+					return planner.Advice{}, nil
 				}
 				pool := advisor.New(advisor.Parts{
 					Clock: clockwork.NewRealClock(), Node: "n00", Members: func() []joblog.Member { return members },
-					Local: func(context.Context, cell.Question) (planner.Answer, error) { return ask() },
+					Local: func(context.Context, cell.Question) (planner.Advice, error) { return ask() },
 					Call: func(context.Context, string, peerlink.Request) (peerlink.Reply, error) {
 						_, err := ask()
 						return peerlink.Reply{}, err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -14,8 +14,8 @@
 
 // Target is one life of a worker.
 type Target struct {
-	Address string
-	Life    life.Life
+	Address     string
+	Incarnation life.Life
 }
 
 // Hold renews the lease of what runs on a worker and asks what runs there.
@@ -23,8 +23,8 @@
 	Token uint64
 	// Deadline on the worker's clock up to which runs may go on; 0 leaves it as it is.
 	Deadline time.Duration
-	// Noted is the last end that need not be reported any more.
-	Noted int
+	// Acked is the last end that need not be reported any more.
+	Acked int
 	// Wait is how long the worker may wait for an end to report.
 	Wait time.Duration
 }
@@ -33,10 +33,10 @@
 type Report struct {
 	// Clock is the worker's steady clock when it answered.
 	Clock time.Duration
-	// Born is when the life that answers began, in milliseconds since 1970; 0 where it does not say.
-	Born int64
-	Runs []cell.Run
-	Ends []cell.End
+	// StartedAt is when the life that answers began, in milliseconds since 1970; 0 where it does not say.
+	StartedAt int64
+	Runs      []cell.Run
+	Ends      []cell.End
 }
 
 // Agents carries orders to workers. The fields are seams: an adapter sets them for
@@ -57,8 +57,8 @@
 var (
 	// ErrFenced means that the worker has seen a higher fencing token.
 	ErrFenced = errors.New("the worker follows a later planner")
-	// ErrOtherLife means that another incarnation answers at the worker's address.
-	ErrOtherLife = errors.New("the worker's incarnation is over")
-	// ErrLost means that the order may have been carried out, or may be yet.
-	ErrLost = errors.New("the worker did not answer")
+	// ErrOtherIncarnation means that another incarnation answers at the worker's address.
+	ErrOtherIncarnation = errors.New("the worker's incarnation is over")
+	// ErrNoAnswer means that the order may have been carried out, or may be yet.
+	ErrNoAnswer = errors.New("the worker did not answer")
 )
--- a/internal/cellnode/cellnode.go
+++ b/internal/cellnode/cellnode.go
@@ -40,12 +40,12 @@
 	Limit *connlimit.Limit
 	// WorkersPrefix is where the store lists the workers.
 	WorkersPrefix string
-	DecodeWorker  func(item kv.Item) (planner.Entry, error)
+	DecodeWorker  func(item kv.Item) (planner.WorkerEntry, error)
 	// ConfigKey is where the store has the configuration.
 	ConfigKey    string
 	DecodeConfig func(item kv.Item) (*routes.Config, error)
 	// Advise asks the advisor from this node; nil where there is none.
-	Advise func(ctx context.Context, qn cell.Question) (planner.Answer, error)
+	Advise func(ctx context.Context, qn cell.Question) (planner.Advice, error)
 }
 
 // Times of a node.
@@ -109,10 +109,10 @@
 	nd.health.OnReturn(nd.config.Refresh)
 	nd.measureConfig()
 	nd.relay = &relay.Relay{Node: ad.Site.Node, Members: nd.term.Members, Call: nd.link.Call}
-	nd.planner = planner.New(planner.Parts{
+	nd.planner = planner.New(planner.Options{
 		Clock: clock, Log: log, Store: st, Agents: ad.Agents, Site: ad.Site, Meters: nd.meters,
 		WorkersPrefix: ad.WorkersPrefix, DecodeWorker: ad.DecodeWorker,
-		Advise: nd.pool.Advise, Queue: nd.table.Queue, Workspace: nd.table.Workspace, Serves: nd.table.Serves,
+		Advise: nd.pool.Advise, Queue: nd.table.Queue, Workspace: nd.table.Workspace, ServiceInUse: nd.table.Serves,
 	})
 	return nd
 }
--- a/internal/cellnode/cellnode_test.go
+++ b/internal/cellnode/cellnode_test.go
@@ -68,8 +68,8 @@
 		Site:  &site.Site{Node: name, Peers: peers, Writes: 400, Bounds: site.Bounds{KeepEnded: time.Minute}},
 		Store: dp.store.Client(name), Agents: dp.fleet.Agents(),
 		WorkersPrefix: workersPrefix, ConfigKey: configKey,
-		DecodeWorker: func(item kv.Item) (planner.Entry, error) {
-			return planner.Entry{Worker: cell.Worker{
+		DecodeWorker: func(item kv.Item) (planner.WorkerEntry, error) {
+			return planner.WorkerEntry{Worker: cell.Worker{
 				ID: life.Life(strings.TrimPrefix(item.Key, workersPrefix)), Service: "svc", Capacity: size.New(8000, 8000, 0),
 			}}, nil
 		},
--- a/internal/cellnode/config.go
+++ b/internal/cellnode/config.go
@@ -26,7 +26,7 @@
 	if !nd.table.Set(cf) {
 		return false
 	}
-	nd.planner.Reroute()
+	nd.planner.ApplySettings()
 	return true
 }
 
--- a/internal/cellnode/door.go
+++ b/internal/cellnode/door.go
@@ -10,10 +10,10 @@
 )
 
 // noteBacklog takes in how far the planner is behind.
-func (nd *Node) noteBacklog(behind joblog.Behind) {
+func (nd *Node) noteBacklog(behind joblog.BacklogSize) {
 	nd.doorMu.Lock()
 	defer nd.doorMu.Unlock()
-	nd.door.Note(nd.clock.Since(nd.began), behind.Urgent, behind.All)
+	nd.door.Note(nd.clock.Since(nd.began), behind.Urgent, behind.Total)
 }
 
 // admits returns the answer to a job that is refused, or nil for one that is taken.
--- a/internal/cellnode/door_test.go
+++ b/internal/cellnode/door_test.go
@@ -24,7 +24,7 @@
 		return nd.Submit(t.Context(), routes.Caller{}, &work.Job{ID: id, Spec: id, Queue: queue, Steps: []work.Step{{Count: 1, Need: size.New(1000, 1000, 0)}}})
 	}
 	say := func(wait time.Duration) {
-		raw, err := joblog.Encode(joblog.Behind{Urgent: wait, All: wait})
+		raw, err := joblog.Encode(joblog.BacklogSize{Urgent: wait, Total: wait})
 		is.NoErr(err)
 		dp.store.Set(joblog.Backlog, raw)
 	}
--- a/internal/cellnode/requests.go
+++ b/internal/cellnode/requests.go
@@ -89,7 +89,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	return nd.link.Call(ctx, el.Peers, rq)
+	return nd.link.Call(ctx, el.PeerAddr, rq)
 }
 
 // tellTimeout bounds the telling of a batch: later the planner's copy of the journal shows it,
@@ -98,16 +98,16 @@
 
 // written tells the planner of a batch that the journal has. Its copy of the journal shows
 // the batch an answer of the store later, which takes 4 ms, or 0.4 s from a slow store.
-func (nd *Node) written(wr joblog.Written) {
+func (nd *Node) written(wr joblog.WrittenBatch) {
 	err := nd.tell(wr)
 	if err != nil {
 		nd.log.Info("Planner was not told of a batch; it sees it in the journal.", "key", wr.Key, "reason", err.Error())
 	}
 }
 
-func (nd *Node) tell(wr joblog.Written) error {
+func (nd *Node) tell(wr joblog.WrittenBatch) error {
 	if nd.term.Leading() {
-		return nd.planner.Written(wr)
+		return nd.planner.AddBatch(wr)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 	defer cancel()
@@ -125,7 +125,7 @@
 		return nd.tellConfig(ctx, *rq.Config)
 	case rq.Advise != nil:
 		answer, err := nd.advise(ctx, *rq.Advise)
-		return peerlink.Reply{Tickets: answer.Tickets, Valid: answer.Valid}, err
+		return peerlink.Reply{Tickets: answer.Tickets, Valid: answer.ValidFor}, err
 	}
 	return nd.fromPlanner(ctx, rq)
 }
@@ -170,20 +170,20 @@
 func (nd *Node) fromPlanner(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
 	switch {
 	case rq.State != "":
-		phase, err := nd.planner.State(ctx, rq.State, rq.Caller.Workspace.Name)
+		phase, err := nd.planner.JobPhase(ctx, rq.State, rq.Caller.Workspace.Name)
 		return peerlink.Reply{Phase: phase}, err
 	case rq.Pending != "":
 		count, err := nd.planner.Pending(rq.Pending)
 		return peerlink.Reply{Pending: count}, err
 	case rq.Written != nil:
-		return peerlink.Reply{}, nd.planner.Written(*rq.Written)
+		return peerlink.Reply{}, nd.planner.AddBatch(*rq.Written)
 	}
 	return peerlink.Reply{}, fault.New(fault.BadRequest, "request asks for nothing")
 }
 
-func (nd *Node) advise(ctx context.Context, qn cell.Question) (planner.Answer, error) {
+func (nd *Node) advise(ctx context.Context, qn cell.Question) (planner.Advice, error) {
 	if nd.adapter.Advise == nil {
-		return planner.Answer{}, fault.New(fault.Unavailable, "the deployment has no advisor")
+		return planner.Advice{}, fault.New(fault.Unavailable, "the deployment has no advisor")
 	}
 	return nd.adapter.Advise(ctx, qn)
 }
--- a/internal/feed/bed_test.go
+++ b/internal/feed/bed_test.go
@@ -124,7 +124,7 @@
 		}
 		bd.nodes = append(bd.nodes, &node{
 			bed: bd, reset: make(chan struct{}), up: link{mbps: mbps}, down: link{mbps: mbps},
-			member: joblog.Member{Node: fmt.Sprintf("n%04d", n), Peers: fmt.Sprint(n), Link: mbps},
+			member: joblog.Member{Node: fmt.Sprintf("n%04d", n), PeerAddr: fmt.Sprint(n), Link: mbps},
 		})
 	}
 	for _, nd := range bd.nodes {
--- a/internal/feed/peers.go
+++ b/internal/feed/peers.go
@@ -103,7 +103,7 @@
 	call, cancel := context.WithTimeout(ctx, hold+nodeFirstByte)
 	defer cancel()
 	sent := fd.clock.Now()
-	an, err := fd.opts.Ask(call, mb.Peers, qn)
+	an, err := fd.opts.Ask(call, mb.PeerAddr, qn)
 	if err != nil {
 		return an, err
 	}
--- a/internal/home/forget.go
+++ b/internal/home/forget.go
@@ -52,7 +52,7 @@
 	now := hm.Member.Map().Age
 	var gone []nodemsg.Record
 	for id, en := range hm.jobs {
-		if en.rec.State != job.Done || en.frozen || now <= en.rec.EndedAge+keepSteps {
+		if en.rec.State != job.Done || en.frozen || now <= en.rec.EndedMapAge+keepSteps {
 			continue
 		}
 		gone = append(gone, nodemsg.Record{Key: id, Version: en.rec.Version + 1})
--- a/internal/home/place.go
+++ b/internal/home/place.go
@@ -260,7 +260,7 @@
 	return hm.scatter(groups, func(ctx context.Context, node string, group []nodemsg.Place) []nodemsg.Fate {
 		cm := nodemsg.Commit{
 			ID: holdID(rec), Size: rec.Size, Prepared: len(rec.Places) > 1,
-			Payload: rec.Payload, Places: group, Priority: rec.Priority, Repeatable: rec.Repeatable, Resume: rec.Saved,
+			Payload: rec.Payload, Places: group, Priority: rec.Priority, Repeatable: rec.Repeatable, Resume: rec.SavedWork,
 		}
 		if node == hm.Member.Node().Name {
 			return hm.Local.Commit(ctx, cm).Fates
--- a/internal/home/see.go
+++ b/internal/home/see.go
@@ -172,7 +172,7 @@
 // caller holds the lock.
 func (hm *Home) retry(en *entry) {
 	if attempt.Began(en.statuses) {
-		en.rec.Begun++
+		en.rec.StartedAttempts++
 	}
 	if failed(en.statuses) {
 		en.rec.Failures++
@@ -181,7 +181,7 @@
 		hm.settle(en, job.Ran, job.ResultFailed, "every attempt failed")
 		return
 	}
-	en.rec.Saved = en.common()
+	en.rec.SavedWork = en.common()
 	en.toAck = append(en.toAck, en.rec.Places...)
 	en.rec.State = job.Waiting
 	en.rec.Places, en.statuses, en.saved = nil, nil, nil
@@ -193,7 +193,7 @@
 // begin makes the entry ready for an attempt, whose tasks go on from what was saved.
 func (en *entry) begin() {
 	en.statuses = make([]attempt.Status, len(en.rec.Places))
-	en.saved = slices.Repeat([]time.Duration{en.rec.Saved}, len(en.rec.Places))
+	en.saved = slices.Repeat([]time.Duration{en.rec.SavedWork}, len(en.rec.Places))
 }
 
 // noteSaved notes the work that a task's last checkpoint saved.
@@ -212,7 +212,7 @@
 		}
 	}
 	if least == math.MaxInt64 {
-		return en.rec.Saved
+		return en.rec.SavedWork
 	}
 	return least
 }
--- a/internal/home/settle.go
+++ b/internal/home/settle.go
@@ -21,7 +21,7 @@
 // settleWaiting ends a job that waits. It was not run, unless an attempt before
 // this wait began. The caller holds the lock.
 func (hm *Home) settleWaiting(en *entry, reason string) {
-	if en.rec.Begun > 0 {
+	if en.rec.StartedAttempts > 0 {
 		hm.settle(en, job.Unknown, "", reason+", and an earlier attempt had begun")
 		return
 	}
@@ -40,7 +40,7 @@
 	rec := en.rec
 	rec.State, rec.Answer, rec.Result, rec.Reason = job.Done, an, result, reason
 	rec.EndedAt = hm.Clock.Now()
-	rec.EndedAge = hm.Member.Map().Age
+	rec.EndedMapAge = hm.Member.Map().Age
 	rec.Payload = nil
 	rec.Version++
 	raw, err := rec.Encode()
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -53,7 +53,7 @@
 	Down func() bool
 	// Written is called, beside the callers' answers, with each batch that the store has; nil
 	// calls nobody.
-	Written func(wr joblog.Written)
+	Written func(wr joblog.WrittenBatch)
 }
 
 // Intake is one node's intake.
@@ -208,7 +208,7 @@
 // commit writes a batch under a key that only it uses, so that a try whose answer
 // was lost can be told from one that failed.
 func (in *Intake) commit(key string, bt *batch) error {
-	bt.At = bootclock.Wall(in.clock)
+	bt.CreatedAt = bootclock.Wall(in.clock)
 	raw, err := joblog.Encode(&bt.Batch)
 	if err != nil {
 		return fault.New(fault.Internal, "batch cannot be written: %v", err)
@@ -224,7 +224,7 @@
 		in.log.Info("Batch is written.", "key", key, "ids", bt.ids(),
 			"revision", revision, "took", age.String())
 		if err == nil && in.opts.Written != nil {
-			go in.opts.Written(joblog.Written{Key: key, Revision: revision, Batch: bt.Batch}) // bounded by its call
+			go in.opts.Written(joblog.WrittenBatch{Key: key, Revision: revision, Batch: bt.Batch}) // bounded by its call
 		}
 		return nil
 	case errors.Is(err, kv.ErrRefused):
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -67,14 +67,14 @@
 	PlacedAt   time.Time       `cbor:"21,keyasint,omitzero"`
 	EndedAt    time.Time       `cbor:"22,keyasint,omitzero"`
 	Cancelled  bool            `cbor:"23,keyasint,omitempty"`
-	// Begun counts the attempts that began and did not succeed.
-	Begun int `cbor:"24,keyasint,omitempty"`
+	// StartedAttempts counts the attempts that began and did not succeed.
+	StartedAttempts int `cbor:"24,keyasint,omitempty"`
 	// Failures counts the attempts in which a task failed or was lost.
 	Failures int `cbor:"25,keyasint,omitempty"`
-	// Saved is the work that a next attempt need not do again.
-	Saved time.Duration `cbor:"26,keyasint,omitempty"`
-	// EndedAge is the age of the cluster map when the job ended.
-	EndedAge uint64 `cbor:"27,keyasint,omitempty"`
+	// SavedWork is the work that a next attempt need not do again.
+	SavedWork time.Duration `cbor:"26,keyasint,omitempty"`
+	// EndedMapAge is the age of the cluster map when the job ended.
+	EndedMapAge uint64 `cbor:"27,keyasint,omitempty"`
 }
 
 // New returns the record of a job that was just submitted.
@@ -117,7 +117,7 @@
 func (rc Record) Rules() attempt.Rules {
 	return attempt.Rules{
 		Together: rc.Class == "gang", Repeatable: rc.Repeatable, Cancelled: rc.Cancelled,
-		Begun: rc.Begun > 0,
+		Begun: rc.StartedAttempts > 0,
 	}
 }
 
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -18,8 +18,8 @@
 	Prefix  = "tackbeam/"
 	Members = Prefix + "m/"
 	Leader  = Members + "leader"
-	// Reigns holds the number of the latest reign, which outlasts the leader's key.
-	Reigns = Members + "reigns"
+	// TermNumber holds the number of the latest reign, which outlasts the leader's key.
+	TermNumber = Members + "reigns"
 	// Backlog is where a planner that is behind says so.
 	Backlog = Members + "backlog"
 	Nodes   = Members + "n/"
@@ -33,16 +33,16 @@
 	Cancels []string   `cbor:"2,keyasint,omitempty"`
 	// Void marks a key that was taken so that a lost write can never take it.
 	Void bool `cbor:"3,keyasint,omitempty"`
-	// At is the time of day, since 1970, at which the node began the batch: how old its jobs
+	// CreatedAt is the time of day, since 1970, at which the node began the batch: how old its jobs
 	// are. Clocks may differ by seconds, so it only orders what waits.
-	At time.Duration `cbor:"4,keyasint,omitempty"`
+	CreatedAt time.Duration `cbor:"4,keyasint,omitempty"`
 	// Cancellers are the workspaces whose callers sent the cancels, by the jobs' ids; a cancel that is not
 	// here may be of any job.
 	Cancellers map[string]string `cbor:"5,keyasint,omitempty"`
 }
 
-// Written is a batch that the store has, with its key and the revision of its write.
-type Written struct {
+// WrittenBatch is a batch that the store has, with its key and the revision of its write.
+type WrittenBatch struct {
 	Key      string `cbor:"1,keyasint"`
 	Revision uint64 `cbor:"2,keyasint"`
 	Batch    Batch  `cbor:"3,keyasint"`
@@ -55,10 +55,10 @@
 // Age is how long ago the batch was begun, at a time of day since 1970, and 0 where that is
 // not known.
 func (bt *Batch) Age(wall time.Duration) time.Duration {
-	if bt.At == 0 {
+	if bt.CreatedAt == 0 {
 		return 0
 	}
-	return min(max(wall-bt.At, 0), mostAge)
+	return min(max(wall-bt.CreatedAt, 0), mostAge)
 }
 
 // BatchKey is the key of a node's nth batch in one incarnation of the node.
@@ -83,26 +83,26 @@
 // Election is the value of the leader's key.
 type Election struct {
 	Node string `cbor:"1,keyasint"`
-	// Peers is the address at which other nodes reach it.
-	Peers string `cbor:"2,keyasint"`
+	// PeerAddr is the address at which other nodes reach it.
+	PeerAddr string `cbor:"2,keyasint"`
 	// Number counts the planners of the cell, from 1.
 	Number int `cbor:"3,keyasint"`
 	// Nonce tells apart the incarnations of one node.
 	Nonce string `cbor:"4,keyasint"`
 }
 
-// Behind is the value of the backlog's key.
-type Behind struct {
-	// All is how long the planner needs to start what waits, Urgent for the urgent part of it.
-	All    time.Duration `cbor:"1,keyasint,omitempty"`
+// BacklogSize is the value of the backlog's key.
+type BacklogSize struct {
+	// Total is how long the planner needs to start what waits, Urgent for the urgent part of it.
+	Total  time.Duration `cbor:"1,keyasint,omitempty"`
 	Urgent time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
 // Member is the value of a node's key.
 type Member struct {
-	Node  string `cbor:"1,keyasint"`
-	Peers string `cbor:"2,keyasint"`
-	Hall  string `cbor:"3,keyasint"`
+	Node     string `cbor:"1,keyasint"`
+	PeerAddr string `cbor:"2,keyasint"`
+	Hall     string `cbor:"3,keyasint"`
 	// Processors is the node's share of a core, 0 where it is not known.
 	Processors float64 `cbor:"4,keyasint,omitempty"`
 	// Link is the bandwidth of the node's link in Mbit/s, 0 where it is not known.
--- a/internal/joblog/joblog_test.go
+++ b/internal/joblog/joblog_test.go
@@ -21,7 +21,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			bt := joblog.Batch{At: tt.at}
+			bt := joblog.Batch{CreatedAt: tt.at}
 			is.New(t).Equal(bt.Age(wall), tt.want)
 		})
 	}
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -37,7 +37,7 @@
 	// Relayed has the node answer as it would answer a caller of its own.
 	Relayed bool `cbor:"6,keyasint,omitempty"`
 	// Written tells the planner of a batch that the journal has.
-	Written *joblog.Written `cbor:"7,keyasint,omitempty"`
+	Written *joblog.WrittenBatch `cbor:"7,keyasint,omitempty"`
 	// Config asks for the configuration.
 	Config *feed.Question `cbor:"8,keyasint,omitempty"`
 	// Caller is whose call State, Pending, Submit or Cancel is.
--- a/internal/peerlink/silence_test.go
+++ b/internal/peerlink/silence_test.go
@@ -155,7 +155,7 @@
 	pr.path.Silence()
 	re := relay.Relay{
 		Node: "near", Call: pr.near.Call,
-		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", Peers: pr.path.Address()}} },
+		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", PeerAddr: pr.path.Address()}} },
 	}
 	began := time.Now()
 	_, done, err := re.Do(t.Context(), peerlink.Request{Submit: &work.Job{ID: "j"}})
@@ -216,10 +216,10 @@
 	pr.path.Silence()
 	pool := advisor.New(advisor.Parts{
 		Clock: clockwork.NewRealClock(), Node: "near", Call: pr.near.Call,
-		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", Peers: pr.path.Address()}} },
-		Local: func(ctx context.Context, _ cell.Question) (planner.Answer, error) {
+		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", PeerAddr: pr.path.Address()}} },
+		Local: func(ctx context.Context, _ cell.Question) (planner.Advice, error) {
 			<-ctx.Done() // another node is to answer
-			return planner.Answer{}, ctx.Err()
+			return planner.Advice{}, ctx.Err()
 		},
 	})
 	began := time.Now()
--- a/internal/planner/backlog.go
+++ b/internal/planner/backlog.go
@@ -33,10 +33,10 @@
 	}
 	ld.saidBacklog, ld.behind = now, behind
 	ld.log.Info("Planner is behind.", "urgent", urgent.String(), "all", all.String())
-	ld.spawn(func() { ld.writeBacklog(joblog.Behind{Urgent: urgent, All: all}) })
+	ld.spawn(func() { ld.writeBacklog(joblog.BacklogSize{Urgent: urgent, Total: all}) })
 }
 
-func (ld *lead) writeBacklog(behind joblog.Behind) {
+func (ld *lead) writeBacklog(behind joblog.BacklogSize) {
 	raw, err := joblog.Encode(behind)
 	if err != nil {
 		ld.log.Error(err, "Backlog cannot be written.")
--- a/internal/planner/bed_test.go
+++ b/internal/planner/bed_test.go
@@ -156,19 +156,19 @@
 	}
 	nd := &node{meters: metrics.NewRegistry()}
 	clock := nd.newClock(bd)
-	nd.planner = planner.New(planner.Parts{
+	nd.planner = planner.New(planner.Options{
 		Clock: clock, Log: bd.log(name), Store: st, Agents: agents, Meters: nd.meters,
 		Site:          &site.Site{Bounds: site.Bounds{KeepEnded: 2 * time.Minute}},
 		WorkersPrefix: workersPrefix,
-		DecodeWorker: func(item kv.Item) (planner.Entry, error) {
+		DecodeWorker: func(item kv.Item) (planner.WorkerEntry, error) {
 			id := strings.TrimPrefix(item.Key, workersPrefix)
 			if string(item.Value) == unreadable {
-				return planner.Entry{}, errors.New("the entry cannot be read")
+				return planner.WorkerEntry{}, errors.New("the entry cannot be read")
 			}
 			return decodeEntry(id, string(item.Value)), nil
 		},
-		Serves: func(service string) bool { return bd.serves.Load() == service },
-		Queue:  func(string) (work.Queue, bool) { return bd.settings, bd.settings.Name != "" },
+		ServiceInUse: func(service string) bool { return bd.serves.Load() == service },
+		Queue:        func(string) (work.Queue, bool) { return bd.settings, bd.settings.Name != "" },
 		Workspace: func(name string) (work.Workspace, bool) {
 			ws, ok := bd.workspaces[name]
 			return ws, ok
@@ -190,8 +190,8 @@
 }
 
 // decodeEntry reads a worker's entry: words, some of which have another after them.
-func decodeEntry(id, value string) planner.Entry {
-	en := planner.Entry{Worker: cell.Worker{ID: life.Of(id, 0), Service: "svc"}}
+func decodeEntry(id, value string) planner.WorkerEntry {
+	en := planner.WorkerEntry{Worker: cell.Worker{ID: life.Of(id, 0), Service: "svc"}}
 	capacity := int64(usualRoom)
 	words := strings.Fields(value)
 	for at, word := range words {
@@ -245,7 +245,7 @@
 	var last any
 	for waited := time.Duration(0); waited < within; waited += step {
 		if nd := bd.leader(); nd != nil {
-			phase, err := nd.planner.State(bd.t.Context(), id, "")
+			phase, err := nd.planner.JobPhase(bd.t.Context(), id, "")
 			if err == nil && phase == want {
 				return
 			}
--- a/internal/planner/lead.go
+++ b/internal/planner/lead.go
@@ -61,7 +61,7 @@
 
 // lead is one reign.
 type lead struct {
-	parts Parts
+	parts Options
 	clock clockwork.Clock
 	log   logr.Logger
 	reign term.Reign
@@ -116,7 +116,7 @@
 	group       sync.WaitGroup
 }
 
-func newLead(pt Parts, log logr.Logger, reign term.Reign) *lead {
+func newLead(pt Options, log logr.Logger, reign term.Reign) *lead {
 	// runsAReign is more than the starts of one task in one reign: numbers of runs
 	// rise over reigns although starts are not journaled.
 	const runsAReign = 64
--- a/internal/planner/lives.go
+++ b/internal/planner/lives.go
@@ -19,7 +19,7 @@
 // note takes in whether a call to the worker was answered.
 func (se *session) note(err error) {
 	ld := se.lead
-	lost := errors.Is(err, agent.ErrLost)
+	lost := errors.Is(err, agent.ErrNoAnswer)
 	ld.losses.note(!lost)
 	if lost {
 		ld.mu.Lock()
@@ -40,14 +40,14 @@
 }
 
 // matches reports whether an entry is of the session's life, as far as both say.
-func (se *session) matches(en Entry) bool {
+func (se *session) matches(en WorkerEntry) bool {
 	born := en.ID.Born()
 	return born == 0 || born == se.born || se.born == 0 && !se.answered
 }
 
 // expect takes in an entry of another life than the one that answered: it is asked at once, and gets
 // no runs until it has answered as either.
-func (se *session) expect(en Entry) {
+func (se *session) expect(en WorkerEntry) {
 	ld := se.lead
 	if en.ID.Born() < se.born {
 		ld.log.Info("Entry of an earlier life of a worker is passed over.", "worker", se.life, "entry", en.ID)
@@ -68,16 +68,16 @@
 func (se *session) accepts(report agent.Report) bool {
 	ld := se.lead
 	switch {
-	case report.Born == 0 || report.Born == se.born:
+	case report.StartedAt == 0 || report.StartedAt == se.born:
 		return true
 	case se.born == 0 && !se.answered:
-		se.born = report.Born
+		se.born = report.StartedAt
 		return true
-	case se.answered && report.Born < se.born:
-		ld.log.Info("Report of an earlier life of a worker is passed over.", "worker", se.life, "born", report.Born)
+	case se.answered && report.StartedAt < se.born:
+		ld.log.Info("Report of an earlier life of a worker is passed over.", "worker", se.life, "born", report.StartedAt)
 		return false
 	}
-	next := life.Of(se.life.ID(), report.Born)
+	next := life.Of(se.life.ID(), report.StartedAt)
 	ld.log.Info("Worker has begun again under its id.", "worker", next, "before", se.life,
 		"clock", report.Clock.String(), "clock_before", se.clock.String())
 	se.replace(next)
--- a/internal/planner/lives_test.go
+++ b/internal/planner/lives_test.go
@@ -385,7 +385,7 @@
 	time.Sleep(40 * time.Second)
 	for n := range jobs {
 		id := fmt.Sprint("j", n)
-		phase, err := bd.leader().planner.State(t.Context(), id, "")
+		phase, err := bd.leader().planner.JobPhase(t.Context(), id, "")
 		switch {
 		case phase == cell.Succeeded:
 		case phase == cell.Failed && bd.fleet.Losses(id) >= mostLosses:
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -57,7 +57,7 @@
 
 // written takes in a batch that its node told of. Before the journal has been read whole, that
 // shows it soon enough.
-func (ld *lead) written(wr joblog.Written) {
+func (ld *lead) written(wr joblog.WrittenBatch) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	if ld.loaded {
--- a/internal/planner/look.go
+++ b/internal/planner/look.go
@@ -32,7 +32,7 @@
 func (se *session) look() {
 	ld := se.lead
 	ld.mu.Lock()
-	hold := agent.Hold{Token: se.token, Noted: se.noted()}
+	hold := agent.Hold{Token: se.token, Acked: se.noted()}
 	ld.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ld.ctx, holdSlack)
 	defer cancel()
--- a/internal/planner/manyworkers_test.go
+++ b/internal/planner/manyworkers_test.go
@@ -43,10 +43,10 @@
 	wrapped.Hold = func(ctx context.Context, to agent.Target, hold agent.Hold) (agent.Report, error) {
 		pr.mu.Lock()
 		span := callTime
-		if !pr.connected[to.Life] {
+		if !pr.connected[to.Incarnation] {
 			span = connectTime
 		}
-		pr.connected[to.Life] = true
+		pr.connected[to.Incarnation] = true
 		pr.mu.Unlock()
 		pr.use(span)
 		return ag.Hold(ctx, to, hold)
--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -64,7 +64,7 @@
 			ld.cell.Started(now, sr)
 		case err == nil:
 			ld.cell.Refused(now, sr, refusal)
-		case tries == 1 && (errors.Is(err, agent.ErrOtherLife) || errors.Is(err, agent.ErrFenced)):
+		case tries == 1 && (errors.Is(err, agent.ErrOtherIncarnation) || errors.Is(err, agent.ErrFenced)):
 			// Another life has answered the only try: the run never was there, and what ended
 			// the worker is not to be attributed to it.
 			ld.cell.Refused(now, sr, cell.RefusedLate)
@@ -117,7 +117,7 @@
 
 // orderFailed draws the consequences of an order's error beyond the order itself.
 func (ld *lead) orderFailed(se *session, err error) {
-	if !se.fenced(err) && errors.Is(err, agent.ErrOtherLife) {
+	if !se.fenced(err) && errors.Is(err, agent.ErrOtherIncarnation) {
 		ld.after(func(now time.Duration) { se.dead(now) })
 	}
 }
@@ -190,7 +190,7 @@
 		case err != nil:
 			ld.cell.Unadvised(now, qn)
 		default:
-			ld.cell.Advised(now, qn, answer.Tickets, answer.Valid)
+			ld.cell.Advised(now, qn, answer.Tickets, answer.ValidFor)
 		}
 	})
 	if busy {
--- a/internal/planner/patience.go
+++ b/internal/planner/patience.go
@@ -55,9 +55,9 @@
 // After a try without an answer a refusal does not tell that the run never was there.
 func (pt *patience) repeat(may func() bool, send func(wait time.Duration) (cell.Refusal, error)) (cell.Refusal, error) {
 	refusal, err := send(pt.wait())
-	for try := 1; try < startTries && errors.Is(err, agent.ErrLost) && may(); try++ {
+	for try := 1; try < startTries && errors.Is(err, agent.ErrNoAnswer) && may(); try++ {
 		if refusal, err = send(pt.wait()); err == nil && refusal != "" {
-			return "", errors.Wrapf(agent.ErrLost, "refused as %s after a try without an answer", refusal)
+			return "", errors.Wrapf(agent.ErrNoAnswer, "refused as %s after a try without an answer", refusal)
 		}
 	}
 	return refusal, err
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -23,22 +23,22 @@
 	"tackbeam.example/tackbeam/internal/term"
 )
 
-// Entry is one worker in the list of workers, by the life that wrote it.
-type Entry struct {
+// WorkerEntry is one worker in the list of workers, by the life that wrote it.
+type WorkerEntry struct {
 	cell.Worker
 	Address string
 	Hall    string
 }
 
-// Answer is what the advisor said: the workers that may run a step, with tickets
+// Advice is what the advisor said: the workers that may run a step, with tickets
 // that are good for a time.
-type Answer struct {
-	Tickets []cell.Ticket
-	Valid   time.Duration
+type Advice struct {
+	Tickets  []cell.Ticket
+	ValidFor time.Duration
 }
 
-// Parts are the services that a planner uses. The fields are seams.
-type Parts struct {
+// Options are the services that a planner uses. The fields are seams.
+type Options struct {
 	Clock  clockwork.Clock
 	Log    logr.Logger
 	Store  *kv.Store
@@ -48,11 +48,11 @@
 	// WorkersPrefix is where the store has the list of workers, DecodeWorker reads
 	// one entry of it.
 	WorkersPrefix string
-	DecodeWorker  func(item kv.Item) (Entry, error)
+	DecodeWorker  func(item kv.Item) (WorkerEntry, error)
 	// Advise asks the advisor through the node that is free soonest.
-	Advise func(ctx context.Context, qn cell.Question) (Answer, error)
-	// Serves reports whether the configuration sends any queue to a service.
-	Serves func(service string) bool
+	Advise func(ctx context.Context, qn cell.Question) (Advice, error)
+	// ServiceInUse reports whether the configuration sends any queue to a service.
+	ServiceInUse func(service string) bool
 	// Queue returns the present settings of a queue, or false where its route is gone.
 	Queue func(name string) (work.Queue, bool)
 	// Workspace returns the present settings of a workspace, or false where the configuration lacks it.
@@ -61,7 +61,7 @@
 
 // Planner answers for the cell while this node leads it.
 type Planner struct {
-	parts Parts
+	parts Options
 	log   logr.Logger
 
 	mu   sync.Mutex
@@ -69,7 +69,7 @@
 }
 
 // New returns a planner that does not lead.
-func New(pt Parts) *Planner {
+func New(pt Options) *Planner {
 	return &Planner{parts: pt, log: pt.Log.WithName("planner")}
 }
 
@@ -104,9 +104,9 @@
 	return fault.New(fault.Unavailable, "%s; ask again", why).After(comeBack)
 }
 
-// State returns the phase of a job of a workspace, or of any where that is empty. It answers NotFound only
+// JobPhase returns the phase of a job of a workspace, or of any where that is empty. It answers NotFound only
 // where the journal has been read whole, and waits a little for the end of a job that runs.
-func (pl *Planner) State(ctx context.Context, id, workspace string) (cell.Phase, error) {
+func (pl *Planner) JobPhase(ctx context.Context, id, workspace string) (cell.Phase, error) {
 	ld, err := pl.current()
 	if err != nil {
 		return "", err
@@ -123,8 +123,8 @@
 	return ld.pending(queue)
 }
 
-// Written takes in a batch that the journal has, before the journal's copy here shows it.
-func (pl *Planner) Written(wr joblog.Written) error {
+// AddBatch takes in a batch that the journal has, before the journal's copy here shows it.
+func (pl *Planner) AddBatch(wr joblog.WrittenBatch) error {
 	ld, err := pl.current()
 	if err != nil {
 		return err
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// Reroute takes the present settings of the queues over into the jobs that wait, and those of the workspaces.
-func (pl *Planner) Reroute() {
+// ApplySettings takes the present settings of the queues over into the jobs that wait, and those of the workspaces.
+func (pl *Planner) ApplySettings() {
 	if ld, err := pl.current(); err == nil {
 		ld.reroute()
 	}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -23,7 +23,7 @@
 		nd := bd.addNode("n1")
 		bd.submit(nd, "a", 4)
 		bd.await("a", cell.Succeeded, 3*time.Second)
-		if _, err := nd.planner.State(t.Context(), "b", ""); !fault.Is(err, fault.NotFound) {
+		if _, err := nd.planner.JobPhase(t.Context(), "b", ""); !fault.Is(err, fault.NotFound) {
 			t.Errorf("state of a job that nobody submitted: %v", err)
 		}
 	})
@@ -41,7 +41,7 @@
 		plans := metrics.GetOrRegisterCounter("planner.plans", nd.meters)
 		before := plans.Count()
 		for range 1000 {
-			nd.planner.Reroute()
+			nd.planner.ApplySettings()
 			time.Sleep(time.Millisecond)
 		}
 		if count := plans.Count() - before; count < 100 || count > 250 {
@@ -218,7 +218,7 @@
 		defer bd.end()
 		nd := bd.addNode("n1")
 		time.Sleep(time.Second)
-		if _, err := nd.planner.State(t.Context(), "b", ""); !fault.Is(err, fault.NotFound) {
+		if _, err := nd.planner.JobPhase(t.Context(), "b", ""); !fault.Is(err, fault.NotFound) {
 			t.Errorf("state of an unknown job: %v", err)
 		}
 		bd.store.SetFault(func(_, call string) memkv.Fault {
@@ -228,7 +228,7 @@
 			return memkv.None
 		})
 		time.Sleep(3 * time.Second)
-		if _, err := nd.planner.State(t.Context(), "b", ""); !fault.Is(err, fault.Unavailable) {
+		if _, err := nd.planner.JobPhase(t.Context(), "b", ""); !fault.Is(err, fault.Unavailable) {
 			t.Errorf("state of an unknown job with an old journal: %v", err)
 		}
 		if _, err := nd.planner.Pending("q"); !fault.Is(err, fault.Unavailable) {
--- a/internal/planner/reigns_test.go
+++ b/internal/planner/reigns_test.go
@@ -126,7 +126,7 @@
 	const within = 12 * time.Second // callers are served again that long after a fault
 	began := time.Now()
 	for time.Since(began) < within {
-		if _, err := first.planner.State(t.Context(), "none", ""); fault.Is(err, fault.NotFound) {
+		if _, err := first.planner.JobPhase(t.Context(), "none", ""); fault.Is(err, fault.NotFound) {
 			t.Log("ready after", time.Since(began))
 			return
 		}
@@ -204,7 +204,7 @@
 	if !ok || leader == nil || bd.nodes[el.Node] != leader || leader.reign().Token <= after {
 		return false
 	}
-	_, err := leader.planner.State(bd.t.Context(), "none", "")
+	_, err := leader.planner.JobPhase(bd.t.Context(), "none", "")
 	return fault.Is(err, fault.NotFound)
 }
 
--- a/internal/planner/roster.go
+++ b/internal/planner/roster.go
@@ -19,12 +19,12 @@
 	// unread are the keys of those that cannot be read.
 	unread map[string]bool
 	// unasked are those of services that neither the configuration nor a job names.
-	unasked map[string]Entry
+	unasked map[string]WorkerEntry
 }
 
 func (as *aside) init() {
 	as.unread = map[string]bool{}
-	as.unasked = map[string]Entry{}
+	as.unasked = map[string]WorkerEntry{}
 }
 
 // drop forgets an entry that is gone, or names a worker by now.
@@ -70,7 +70,7 @@
 }
 
 // enter lists a worker if it is known, or if tasks may have to run on workers of its service.
-func (ld *lead) enter(key string, en Entry) {
+func (ld *lead) enter(key string, en WorkerEntry) {
 	if ld.present[en.ID.ID()] != nil || ld.inherited(en.ID) || ld.serves(en.Service) {
 		ld.list(en)
 		return
@@ -83,7 +83,7 @@
 
 // serves reports whether the configuration or a job names the service.
 func (ld *lead) serves(service string) bool {
-	return ld.parts.Serves(service) || ld.cell.Serving(service)
+	return ld.parts.ServiceInUse(service) || ld.cell.Serving(service)
 }
 
 // relist lists the workers whose services have come into use.
@@ -106,7 +106,7 @@
 }
 
 // list takes in an entry of a worker to use.
-func (ld *lead) list(en Entry) {
+func (ld *lead) list(en WorkerEntry) {
 	se, ok := ld.present[en.ID.ID()]
 	switch {
 	case !ok:
@@ -124,25 +124,25 @@
 }
 
 // begin begins to hold a life of a worker that is listed.
-func (ld *lead) begin(en Entry) {
+func (ld *lead) begin(en WorkerEntry) {
 	ld.cell.PutWorker(ld.now(), en.Worker)
 	ld.tellListed(en)
 	ld.hold(en)
 }
 
-func (ld *lead) tellListed(en Entry) {
+func (ld *lead) tellListed(en WorkerEntry) {
 	ld.log.Info("Worker is listed.", "worker", en.ID, "address", en.Address, "draining", en.Draining)
 }
 
 // hold begins a session with a life of a worker.
-func (ld *lead) hold(en Entry) {
+func (ld *lead) hold(en WorkerEntry) {
 	se := newSession(ld, en)
 	ld.sessions[se.life], ld.present[se.life.ID()] = se, se
 	ld.spawn(func() { se.run(ld.ctx) })
 }
 
 // update takes in a later entry of the life that is there.
-func (ld *lead) update(se *session, en Entry) {
+func (ld *lead) update(se *session, en WorkerEntry) {
 	en.ID, se.other = se.life, nil
 	if _, listed := ld.cell.Listed(se.life); !listed {
 		ld.tellListed(en)
--- a/internal/planner/roster_test.go
+++ b/internal/planner/roster_test.go
@@ -63,7 +63,7 @@
 		time.Sleep(time.Second)
 		bd.submit(nd, "b", 1)
 		bd.await("a", cell.Succeeded, 10*time.Second) // longer than the worker's lease
-		if phase, err := nd.planner.State(t.Context(), "b", ""); phase != cell.Queued {
+		if phase, err := nd.planner.JobPhase(t.Context(), "b", ""); phase != cell.Queued {
 			t.Errorf("the job handed in meanwhile is %q, %v", phase, err)
 		}
 		bd.store.Set(workersPrefix+"w1", nil)
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -38,13 +38,13 @@
 type session struct {
 	lead  *lead
 	life  life.Life
-	entry Entry
+	entry WorkerEntry
 	// token is that of all orders of the session.
 	token uint64
 	// born is when the life began, 0 while nobody has said so.
 	born int64
 	// other is an entry of another life, nil where there is none.
-	other *Entry
+	other *WorkerEntry
 
 	// answered is set once the worker has answered this planner.
 	answered bool
@@ -63,7 +63,7 @@
 	looking bool
 }
 
-func newSession(ld *lead, en Entry) *session {
+func newSession(ld *lead, en WorkerEntry) *session {
 	return &session{lead: ld, life: en.ID, born: en.ID.Born(), entry: en, token: ld.fence(en.ID.ID())}
 }
 
@@ -71,7 +71,7 @@
 func (se *session) target() agent.Target {
 	se.lead.mu.Lock()
 	defer se.lead.mu.Unlock()
-	return agent.Target{Address: se.entry.Address, Life: se.life}
+	return agent.Target{Address: se.entry.Address, Incarnation: se.life}
 }
 
 // extend returns a deadline a lease from now on the worker's clock, at the least.
@@ -143,7 +143,7 @@
 // overlooked reports whether a hold's error draws no consequence but another hold: where many
 // calls are lost, one is no sign of its worker.
 func (se *session) overlooked(err error) bool {
-	if !errors.Is(err, agent.ErrLost) {
+	if !errors.Is(err, agent.ErrNoAnswer) {
 		se.missed = 0
 		return false
 	}
@@ -162,7 +162,7 @@
 	}
 	ld.effort.holds++
 	_, waits := ld.cell.Noted(se.life)
-	hold, slack = agent.Hold{Token: se.token, Noted: se.noted()}, holdSlack
+	hold, slack = agent.Hold{Token: se.token, Acked: se.noted()}, holdSlack
 	if se.answered && !se.silent {
 		// A worker that is silent is only asked: a lease that is renewed without an
 		// answer would never surely be over.
@@ -221,7 +221,7 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	now := ld.now()
-	if errors.Is(err, agent.ErrOtherLife) {
+	if errors.Is(err, agent.ErrOtherIncarnation) {
 		se.dead(now)
 		ld.kick()
 		return
--- a/internal/planner/settings_test.go
+++ b/internal/planner/settings_test.go
@@ -36,7 +36,7 @@
 				nd := bd.addNode("n1")
 				bd.submit(nd, "a", 2)
 				bd.submit(nd, "b", 8)
-				nd.planner.Reroute()
+				nd.planner.ApplySettings()
 				bd.await("a", cell.Succeeded, 5*time.Second)
 				bd.await("b", cell.Succeeded, 5*time.Second)
 			})
--- a/internal/planner/state_test.go
+++ b/internal/planner/state_test.go
@@ -37,7 +37,7 @@
 				}
 				time.Sleep(run - tc.before)
 				began := bd.clock.Now()
-				phase, err := nd.planner.State(t.Context(), "a", "")
+				phase, err := nd.planner.JobPhase(t.Context(), "a", "")
 				if took := bd.clock.Since(began); phase != tc.want || err != nil || took > tc.within {
 					t.Errorf("answered %q, %v after %v, want %q within %v", phase, err, took, tc.want, tc.within)
 				}
--- a/internal/planner/suspension_test.go
+++ b/internal/planner/suspension_test.go
@@ -31,13 +31,13 @@
 				nd := bd.addNode("n1")
 				bd.submit(nd, "a", 60)
 				time.Sleep(500 * time.Millisecond)
-				if phase, err := nd.planner.State(t.Context(), "a", ""); phase != cell.Running || err != nil {
+				if phase, err := nd.planner.JobPhase(t.Context(), "a", ""); phase != cell.Running || err != nil {
 					t.Fatalf("before: %s, %v", phase, err)
 				}
 				bd.cutOff("n1") // the lease cannot be proven yet
 				began := len(bd.fleet.Starts())
 				nd.suspended.Store(int64(tt.away))
-				_, err := nd.planner.State(t.Context(), "a", "")
+				_, err := nd.planner.JobPhase(t.Context(), "a", "")
 				if tt.answers != (err == nil) || !tt.answers && !fault.Is(err, fault.Unavailable) {
 					t.Errorf("on waking: %v", err)
 				}
--- a/internal/planner/takeover_test.go
+++ b/internal/planner/takeover_test.go
@@ -225,7 +225,7 @@
 		bd.submit(second, "a-younger", 8)
 		first.cancel()
 		bd.await("b-older", cell.Succeeded, 3*run)
-		if phase, err := second.planner.State(t.Context(), "a-younger", ""); err != nil || phase == cell.Succeeded {
+		if phase, err := second.planner.JobPhase(t.Context(), "a-younger", ""); err != nil || phase == cell.Succeeded {
 			t.Errorf("the younger job is %s before the older one (%v)", phase, err)
 		}
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -56,7 +56,7 @@
 func (re *Relay) try(ctx context.Context, mb joblog.Member, rq peerlink.Request) (peerlink.Reply, error) {
 	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return re.Call(call, mb.Peers, rq)
+	return re.Call(call, mb.PeerAddr, rq)
 }
 
 // unable reports whether a node surely has not carried a request out, for a reason that another
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -41,7 +41,7 @@
 			re := relay.Relay{
 				Node: "a",
 				Members: func() []joblog.Member {
-					list := []joblog.Member{{Node: "a", Peers: "a"}, {Node: "b", Peers: "b"}, {Node: "c", Peers: "c"}, {Node: "d", Peers: "d"}}
+					list := []joblog.Member{{Node: "a", PeerAddr: "a"}, {Node: "b", PeerAddr: "b"}, {Node: "c", PeerAddr: "c"}, {Node: "d", PeerAddr: "d"}}
 					return list[:tt.nodes]
 				},
 				Call: func(_ context.Context, address string, rq peerlink.Request) (peerlink.Reply, error) {
--- a/internal/standin/memworkers/crash.go
+++ b/internal/standin/memworkers/crash.go
@@ -64,7 +64,7 @@
 	case wk.life == crashed:
 		return ErrCut
 	case wk.life == replaced:
-		return agent.ErrOtherLife
+		return agent.ErrOtherIncarnation
 	}
 	return nil
 }
--- a/internal/standin/memworkers/lives.go
+++ b/internal/standin/memworkers/lives.go
@@ -12,7 +12,7 @@
 )
 
 // ErrCut means that a call met a connection that had ended with an earlier life of its worker.
-var ErrCut = errors.Wrap(agent.ErrLost, "the worker's connections ended")
+var ErrCut = errors.Wrap(agent.ErrNoAnswer, "the worker's connections ended")
 
 // Add adds a worker, or begins another life of one that has ended, under the id that it had. It knows
 // nothing of what was before.
--- a/internal/standin/memworkers/memworkers.go
+++ b/internal/standin/memworkers/memworkers.go
@@ -153,7 +153,7 @@
 	fl.mu.Unlock()
 	if fault != None {
 		<-ctx.Done()
-		return agent.ErrLost
+		return agent.ErrNoAnswer
 	}
 	return err
 }
@@ -197,18 +197,18 @@
 		var report agent.Report
 		var changed chan struct{}
 		waits := false
-		err := fl.deliver(ctx, to.Life.ID(), "hold", func(wk *worker) error {
+		err := fl.deliver(ctx, to.Incarnation.ID(), "hold", func(wk *worker) error {
 			if asked == nil {
 				asked = wk
 			}
 			if wk != asked {
-				return agent.ErrLost // its connections ended with it
+				return agent.ErrNoAnswer // its connections ended with it
 			}
 			if err := wk.admit(hd.Token); err != nil {
 				return err
 			}
 			wk.deadline = max(wk.deadline, hd.Deadline)
-			fl.note(wk, hd.Noted)
+			fl.note(wk, hd.Acked)
 			report = fl.report(wk)
 			changed = fl.changed
 			waits = len(wk.runs) > 0
@@ -230,7 +230,7 @@
 		case <-changed:
 		case <-next:
 		case <-ctx.Done():
-			return report, agent.ErrLost
+			return report, agent.ErrNoAnswer
 		}
 	}
 }
@@ -248,7 +248,7 @@
 
 func (fl *Fleet) report(wk *worker) agent.Report {
 	const whole = 100
-	report := agent.Report{Clock: fl.now(wk), Born: wk.began.UnixMilli(), Ends: slices.Clone(wk.ends)}
+	report := agent.Report{Clock: fl.now(wk), StartedAt: wk.began.UnixMilli(), Ends: slices.Clone(wk.ends)}
 	for name, rn := range wk.runs {
 		percent := int(whole * fl.clock.Since(rn.began) / fl.run)
 		report.Runs = append(report.Runs, cell.Run{Task: name, Number: rn.number, Percent: percent})
@@ -260,7 +260,7 @@
 	ctx context.Context, to agent.Target, token uint64, deadline time.Duration, sr cell.Start,
 ) (cell.Refusal, error) {
 	var refusal cell.Refusal
-	err := fl.deliver(ctx, to.Life.ID(), "start", func(wk *worker) error {
+	err := fl.deliver(ctx, to.Incarnation.ID(), "start", func(wk *worker) error {
 		if err := wk.admit(token); err != nil {
 			return err
 		}
@@ -287,7 +287,7 @@
 		})
 		fl.starts = append(fl.starts, sr)
 		if fl.crash.by(sr) {
-			fl.clock.AfterFunc(crashAfter, func() { fl.Crash(to.Life.ID()) })
+			fl.clock.AfterFunc(crashAfter, func() { fl.Crash(to.Incarnation.ID()) })
 		}
 		return nil
 	})
@@ -318,7 +318,7 @@
 }
 
 func (fl *Fleet) stop(ctx context.Context, to agent.Target, token uint64, sp cell.Stop) error {
-	return fl.deliver(ctx, to.Life.ID(), "stop", func(wk *worker) error {
+	return fl.deliver(ctx, to.Incarnation.ID(), "stop", func(wk *worker) error {
 		if err := wk.admit(token); err != nil {
 			return err
 		}
@@ -331,5 +331,5 @@
 }
 
 func (fl *Fleet) pace(ctx context.Context, to agent.Target, token uint64, _ cell.Pace) error {
-	return fl.deliver(ctx, to.Life.ID(), "pace", func(wk *worker) error { return wk.admit(token) })
+	return fl.deliver(ctx, to.Incarnation.ID(), "pace", func(wk *worker) error { return wk.admit(token) })
 }
--- a/internal/term/election.go
+++ b/internal/term/election.go
@@ -23,7 +23,7 @@
 	held := tm.leaderAt // on the earlier lease, 0 where nobody has it
 	vacant := tm.loaded && (held == 0 || tm.inherits()) && tm.lease != 0 && !tm.resigned &&
 		!tm.abstaining() && tm.deferral() <= 0
-	el := joblog.Election{Node: tm.opts.Node, Peers: tm.opts.Peers, Number: tm.highest + 1, Nonce: tm.nonce}
+	el := joblog.Election{Node: tm.opts.Node, PeerAddr: tm.opts.Peers, Number: tm.highest + 1, Nonce: tm.nonce}
 	lease := tm.lease
 	tm.mu.Unlock()
 	if !vacant {
@@ -40,7 +40,7 @@
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: held}},
 		Puts: []kv.Put{
 			{Key: joblog.Leader, Value: raw, Lease: lease},
-			{Key: joblog.Reigns, Value: []byte(strconv.Itoa(el.Number))},
+			{Key: joblog.TermNumber, Value: []byte(strconv.Itoa(el.Number))},
 		},
 	})
 	switch {
@@ -125,7 +125,7 @@
 
 func (tm *Term) take(item kv.Item) {
 	switch {
-	case item.Key == joblog.Reigns:
+	case item.Key == joblog.TermNumber:
 		if number, err := strconv.Atoi(string(item.Value)); err == nil {
 			tm.highest = max(tm.highest, number)
 		}
@@ -152,10 +152,10 @@
 		return
 	}
 	if item.Gone {
-		tm.opts.Backlog(joblog.Behind{})
+		tm.opts.Backlog(joblog.BacklogSize{})
 		return
 	}
-	behind, err := joblog.Decode[joblog.Behind](item.Value)
+	behind, err := joblog.Decode[joblog.BacklogSize](item.Value)
 	if err != nil {
 		tm.log.Error(err, "The backlog's key cannot be read.")
 		return
--- a/internal/term/lease.go
+++ b/internal/term/lease.go
@@ -52,7 +52,7 @@
 // list writes the node's key.
 func (tm *Term) list(ctx context.Context) {
 	raw, err := joblog.Encode(joblog.Member{
-		Node: tm.opts.Node, Peers: tm.opts.Peers, Hall: tm.opts.Hall, Processors: tm.opts.Processors, Link: tm.opts.Link,
+		Node: tm.opts.Node, PeerAddr: tm.opts.Peers, Hall: tm.opts.Hall, Processors: tm.opts.Processors, Link: tm.opts.Link,
 	})
 	if err != nil {
 		tm.log.Error(err, "Node could not be listed.")
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -38,7 +38,7 @@
 	TTL time.Duration
 	// Backlog is called with how far the planner is behind, each time it says so;
 	// nil where nobody wants to know. It must not call back.
-	Backlog func(behind joblog.Behind)
+	Backlog func(behind joblog.BacklogSize)
 	// Lead is run while this node is the planner; it ends when its context does.
 	Lead func(ctx context.Context, reign Reign)
 }
