--- a/internal/cellnode/cellnode.go
+++ b/internal/cellnode/cellnode.go
@@ -67,7 +67,7 @@
 	table   *routes.Table
 	config  *feed.Feed
 	intake  *intake.Intake
-	term    *term.Term
+	term    *term.Elector
 	planner *planner.Planner
 	link    *peerlink.Link
 	pool    *advisor.Pool
@@ -88,20 +88,20 @@
 	nd.health = kvhealth.New(clock, log, nd.meters)
 	st := nd.health.Wrap(ad.Store)
 	nd.term = term.New(clock, log, st, term.Options{
-		Node: ad.Site.Node, Peers: ad.Site.Peers, Hall: ad.Site.Hall, Processors: ad.Site.Processors, Link: ad.Site.Link,
-		TTL: max(termTTL, ad.Site.Bounds.MinLease), Reads: ad.Site.Reads,
-		Backlog: nd.noteBacklog,
-		Lead:    func(ctx context.Context, reign term.Reign) { nd.planner.Lead(ctx, reign) },
+		Node: ad.Site.Node, PeerAddr: ad.Site.Peers, Hall: ad.Site.Hall, Processors: ad.Site.Processors, Link: ad.Site.Link,
+		TTL: max(termTTL, ad.Site.Bounds.MinLease), ReadRate: ad.Site.Reads,
+		OnBacklog: nd.noteBacklog,
+		Lead:      func(ctx context.Context, reign term.Term) { nd.planner.Lead(ctx, reign) },
 	})
 	nd.intake = intake.New(clock, log, st, intake.Options{
-		Node: ad.Site.Node, Writes: ad.Site.Writes, Down: nd.health.Down,
-		Nodes: func() int { return len(nd.term.Members()) }, Written: nd.written,
+		Node: ad.Site.Node, WriteRate: ad.Site.Writes, StoreDown: nd.health.Down,
+		NodeCount: func() int { return len(nd.term.Members()) }, OnWritten: nd.written,
 	})
 	nd.link = peerlink.New(log, nd.handle).WithLimit(ad.Limit)
 	nd.registerConnectionGauges()
 	nd.config = feed.New(clock, log, st, feed.Options{
-		Key: ad.ConfigKey, Decode: ad.DecodeConfig, InForce: nd.configure,
-		Node: ad.Site.Node, Link: ad.Site.Link, Members: nd.term.Members, Ask: nd.askConfig,
+		Key: ad.ConfigKey, Decode: ad.DecodeConfig, Activate: nd.configure,
+		Node: ad.Site.Node, Link: ad.Site.Link, Members: nd.term.Members, Request: nd.askConfig,
 	})
 	nd.pool = advisor.New(advisor.Parts{
 		Clock: clock, Node: ad.Site.Node, Members: nd.term.Members, Local: nd.advise, Call: nd.link.Call,
@@ -112,7 +112,7 @@
 	nd.planner = planner.New(planner.Parts{
 		Clock: clock, Log: log, Store: st, Agents: ad.Agents, Site: ad.Site, Meters: nd.meters,
 		WorkersPrefix: ad.WorkersPrefix, DecodeWorker: ad.DecodeWorker,
-		Advise: nd.pool.Advise, Queue: nd.table.Queue, Workspace: nd.table.Workspace, Serves: nd.table.Serves,
+		Advise: nd.pool.Advise, Queue: nd.table.Queue, Workspace: nd.table.Workspace, Serves: nd.table.HasService,
 	})
 	return nd
 }
--- a/internal/cellnode/cellnode_test.go
+++ b/internal/cellnode/cellnode_test.go
@@ -76,7 +76,7 @@
 		DecodeConfig: func(item kv.Item) (*routes.Config, error) {
 			cf := &routes.Config{Version: item.Revision, Routes: []routes.Route{{Host: "h", Prefix: "/", Queue: queue}}}
 			for at, key := range strings.Fields(string(item.Value))[1:] { // after the version
-				cf.Guarded = true
+				cf.KeyRequired = true
 				cf.Workspaces = append(cf.Workspaces, routes.Workspace{
 					Workspace: work.Workspace{Name: "ws" + strconv.Itoa(at), Limit: size.New(4000, 0, 0)},
 					Keys:      []apikey.Digest{apikey.Of([]byte(key))},
--- a/internal/cellnode/config.go
+++ b/internal/cellnode/config.go
@@ -96,20 +96,20 @@
 }
 
 // askConfig asks another node for the configuration.
-func (nd *Node) askConfig(ctx context.Context, address string, qn feed.Question) (feed.Answer, error) {
+func (nd *Node) askConfig(ctx context.Context, address string, qn feed.Request) (feed.Response, error) {
 	reply, err := nd.link.Call(ctx, address, peerlink.Request{Config: &qn})
 	switch {
 	case err != nil:
-		return feed.Answer{}, err
+		return feed.Response{}, err
 	case reply.Config == nil:
-		return feed.Answer{}, fault.New(fault.Internal, "node %s did not tell of the configuration", address)
+		return feed.Response{}, fault.New(fault.Internal, "node %s did not tell of the configuration", address)
 	}
 	return *reply.Config, nil
 }
 
 // tellConfig tells another node of the configuration.
-func (nd *Node) tellConfig(ctx context.Context, qn feed.Question) (peerlink.Reply, error) {
-	an, err := nd.config.Answer(ctx, qn)
+func (nd *Node) tellConfig(ctx context.Context, qn feed.Request) (peerlink.Reply, error) {
+	an, err := nd.config.Serve(ctx, qn)
 	if err != nil {
 		return peerlink.Reply{}, err
 	}
--- a/internal/clustermap/clustermap.go
+++ b/internal/clustermap/clustermap.go
@@ -25,8 +25,8 @@
 	Leaving     bool   `cbor:"7,keyasint,omitempty"`
 }
 
-// Log returns the name of the journal that the node writes.
-func (nd Node) Log() string { return nd.Name + "-" + nd.Incarnation }
+// JournalName returns the name of the journal that the node writes.
+func (nd Node) JournalName() string { return nd.Name + "-" + nd.Incarnation }
 
 // Rack is a rack of workers and its owner. Epoch is the epoch of the map in
 // which the owner got it.
@@ -164,9 +164,9 @@
 	return cp, added
 }
 
-// Confirm returns the map with the former journals of the partitions forgotten,
+// ConfirmTakeover returns the map with the former journals of the partitions forgotten,
 // where the node got them in the epochs given, and whether anything changed.
-func (mp *Map) Confirm(name string, parts map[int]uint64) (*Map, bool) {
+func (mp *Map) ConfirmTakeover(name string, parts map[int]uint64) (*Map, bool) {
 	cp := mp.next()
 	changed := false
 	for part, epoch := range parts {
@@ -179,8 +179,8 @@
 	return cp, changed
 }
 
-// Older returns the map one step of age later, unless it has left the age given.
-func (mp *Map) Older(age uint64) (*Map, bool) {
+// AdvanceAge returns the map one step of age later, unless it has left the age given.
+func (mp *Map) AdvanceAge(age uint64) (*Map, bool) {
 	if mp.Age != age {
 		return mp, false
 	}
@@ -189,11 +189,11 @@
 	return cp, true
 }
 
-// Logs returns the journals that somebody still writes or needs.
-func (mp *Map) Logs() map[string]bool {
+// JournalNames returns the journals that somebody still writes or needs.
+func (mp *Map) JournalNames() map[string]bool {
 	logs := map[string]bool{}
 	for _, nd := range mp.Nodes {
-		logs[nd.Log()] = true
+		logs[nd.JournalName()] = true
 	}
 	for _, hm := range mp.Homes {
 		for _, log := range hm.Former {
@@ -235,7 +235,7 @@
 		return
 	}
 	hm.Node = ""
-	if !slices.Contains(hm.Former, nd.Log()) {
-		hm.Former = append(hm.Former, nd.Log())
+	if !slices.Contains(hm.Former, nd.JournalName()) {
+		hm.Former = append(hm.Former, nd.JournalName())
 	}
 }
--- a/internal/clustermap/clustermap_test.go
+++ b/internal/clustermap/clustermap_test.go
@@ -54,7 +54,7 @@
 	mp = mp.Join(again)
 	is.True(mp.Racks["h0/r0"].Epoch > before)     // the new incarnation fences the old one
 	is.Equal(mp.Homes[0].Former, []string{"a-a"}) // and reads the old one's journal
-	mp, changed := mp.Confirm("a", map[int]uint64{0: mp.Homes[0].Epoch})
+	mp, changed := mp.ConfirmTakeover("a", map[int]uint64{0: mp.Homes[0].Epoch})
 	is.True(changed)
 	is.Equal(len(mp.Homes[0].Former), 0)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -158,7 +158,7 @@
 	if len(mp.Active()) == 0 {
 		return false
 	}
-	log := dm.member.Node().Log()
+	log := dm.member.Node().JournalName()
 	for _, hm := range mp.Homes {
 		for _, former := range hm.Former {
 			if former == log {
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -123,7 +123,7 @@
 			Node: clustermap.Node{
 				Name: st.Node, Peer: addr, HTTP: st.HTTP.Listen, Region: st.Region, Hall: st.Hall,
 			},
-			Beat: st.Member.Beat, Suspect: st.Member.Suspect, Lease: st.Store.Lease,
+			HeartbeatInterval: st.Member.Beat, SuspectAfter: st.Member.Suspect, LeaseTTL: st.Store.Lease,
 		}), nil
 	}}
 }
@@ -156,8 +156,8 @@
 			if fd.Err() != nil {
 				return nil, fd.Err()
 			}
-			tb = table.New(dm.clock, dm.log, cl, pr, mb.Others)
-			mb.Behind(tb.CatchUp)
+			tb = table.New(dm.clock, dm.log, cl, pr, mb.FreshAddresses)
+			mb.OnTableDiffers(tb.CatchUp)
 			return tb, nil
 		},
 		Start: func(ctx context.Context) error { return tb.Start(ctx) },
@@ -329,7 +329,7 @@
 			kernel.Find(fd, nameVMs, &ls)
 			kernel.Find(fd, nameMember, &mb)
 			if fd.Err() == nil {
-				mb.Fill(dm.fillBeat)
+				mb.SetHeartbeatFiller(dm.fillBeat)
 			}
 			return nameJoin, fd.Err()
 		},
--- a/internal/feed/answer.go
+++ b/internal/feed/answer.go
@@ -8,24 +8,24 @@
 	"tackbeam.example/tackbeam/internal/routediff"
 )
 
-// Question asks another node's feed for what the asker's copy lacks.
-type Question struct {
+// Request asks another node's feed for what the asker's copy lacks.
+type Request struct {
 	// Have is the revision of the asker's copy; 0 where it has none.
 	Have uint64 `cbor:"1,keyasint,omitempty"`
-	// Hold is how long the answer may be held back until there is a later version.
-	Hold time.Duration `cbor:"2,keyasint,omitempty"`
+	// MaxWait is how long the answer may be held back until there is a later version.
+	MaxWait time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
-// Answer is what another node's feed knows.
-type Answer struct {
+// Response is what another node's feed knows.
+type Response struct {
 	// Changes lead from what the asker has to the answering node's copy, in order.
 	Changes []*routediff.Diff `cbor:"1,keyasint,omitempty"`
 	// Revision is that of the copy; up to At there was no later one, as of Age ago.
 	Revision uint64        `cbor:"2,keyasint"`
 	At       uint64        `cbor:"3,keyasint"`
 	Age      time.Duration `cbor:"4,keyasint"`
-	// Coming is set where the answering node is a reader that would have a later version soon.
-	Coming bool `cbor:"5,keyasint,omitempty"`
+	// Reader is set where the answering node is a reader that would have a later version soon.
+	Reader bool `cbor:"5,keyasint,omitempty"`
 }
 
 // What other nodes are sent.
@@ -38,22 +38,22 @@
 	routeBytes = 72
 )
 
-// Answer answers another node.
-func (fd *Feed) Answer(ctx context.Context, qn Question) (Answer, error) {
+// Serve answers another node.
+func (fd *Feed) Serve(ctx context.Context, qn Request) (Response, error) {
 	fd.await(ctx, qn)
 	reads := fd.reads()
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
 	if fd.copy == nil {
-		return Answer{}, fault.New(fault.Unavailable, "no configuration here yet")
+		return Response{}, fault.New(fault.Unavailable, "no configuration here yet")
 	}
-	an := Answer{Revision: fd.copy.Revision, At: fd.at, Age: fd.clock.Since(fd.asOf)}
-	an.Coming = reads && !fd.down
+	an := Response{Revision: fd.copy.Revision, At: fd.at, Age: fd.clock.Since(fd.asOf)}
+	an.Reader = reads && !fd.down
 	if qn.Have < fd.copy.Revision {
 		an.Changes = fd.since(qn.Have)
 	}
 	if !fd.admit(an.Changes) {
-		return Answer{}, fault.New(fault.Full, "too many nodes are sent the configuration").After(mostSending)
+		return Response{}, fault.New(fault.Full, "too many nodes are sent the configuration").After(mostSending)
 	}
 	return an, nil
 }
@@ -81,8 +81,8 @@
 }
 
 // await waits for a version that is later than the asker's, for as long as it says.
-func (fd *Feed) await(ctx context.Context, qn Question) {
-	over := fd.clock.After(min(qn.Hold, hold))
+func (fd *Feed) await(ctx context.Context, qn Request) {
+	over := fd.clock.After(min(qn.MaxWait, hold))
 	for {
 		fd.mu.Lock()
 		later, here := fd.later, fd.copy != nil && fd.copy.Revision > qn.Have
--- a/internal/feed/bed_test.go
+++ b/internal/feed/bed_test.go
@@ -186,7 +186,7 @@
 		nd.bed.t.Fatal(err)
 	}
 	nd.feed = feed.New(clock, logr.Discard(), nd.store(), feed.Options{
-		Key: key, Node: nd.member.Node, Link: nd.member.Link, Members: nd.bed.members, Ask: nd.ask,
+		Key: key, Node: nd.member.Node, Link: nd.member.Link, Members: nd.bed.members, Request: nd.ask,
 		Decode: func(item kv.Item) (*routes.Config, error) {
 			time.Sleep(time.Duration(len(item.Value)) * time.Second / decodePace)
 			known := nd.bed.find(item.Value)
@@ -196,7 +196,7 @@
 			cf := *known
 			return &cf, nil
 		},
-		InForce: func(cf *routes.Config) bool {
+		Activate: func(cf *routes.Config) bool {
 			nd.set(func() { nd.taken = cf })
 			return true
 		},
@@ -267,10 +267,10 @@
 }
 
 // ask puts a question to the feed of the node with an address.
-func (nd *node) ask(ctx context.Context, address string, qn feed.Question) (feed.Answer, error) {
+func (nd *node) ask(ctx context.Context, address string, qn feed.Request) (feed.Response, error) {
 	var at int
 	if _, err := fmt.Sscan(address, &at); err != nil {
-		return feed.Answer{}, err
+		return feed.Response{}, err
 	}
 	other := nd.bed.nodes[at]
 	nd.mu.Lock()
@@ -284,9 +284,9 @@
 	}
 	if silent {
 		wait(ctx, reset, time.Now().Add(time.Hour))
-		return feed.Answer{}, fault.New(fault.Unavailable, "no answer")
+		return feed.Response{}, fault.New(fault.Unavailable, "no answer")
 	}
-	an, err := other.feed.Answer(ctx, qn)
+	an, err := other.feed.Serve(ctx, qn)
 	if err != nil {
 		return an, err
 	}
@@ -294,7 +294,7 @@
 	if err != nil {
 		return an, err
 	}
-	var sent feed.Answer
+	var sent feed.Response
 	if err := cbor.Unmarshal(raw, &sent); err != nil {
 		return an, err
 	}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -39,16 +39,16 @@
 	// Key is where the store has the configuration.
 	Key    string
 	Decode func(item kv.Item) (*routes.Config, error)
-	// InForce puts a version in force, and reports whether it is now.
-	InForce func(cf *routes.Config) bool
+	// Activate puts a version in force, and reports whether it is now.
+	Activate func(cf *routes.Config) bool
 	// Node is the name of this node, Link the bandwidth of its link in Mbit/s; 0 where that is not
 	// known.
 	Node string
 	Link float64
 	// Members returns the nodes that are listed, as far as this node knows.
 	Members func() []joblog.Member
-	// Ask puts a question to the feed of another node.
-	Ask func(ctx context.Context, address string, qn Question) (Answer, error)
+	// Request puts a question to the feed of another node.
+	Request func(ctx context.Context, address string, qn Request) (Response, error)
 }
 
 // Times and sizes.
--- a/internal/feed/peers.go
+++ b/internal/feed/peers.go
@@ -45,7 +45,7 @@
 	}
 	source := sources[(max(place, 0)+fd.asked)%len(sources)]
 	an, err := fd.askNode(ctx, source, fd.patient())
-	if !an.Coming {
+	if !an.Reader {
 		fd.asked++
 	}
 	if err != nil && !errors.Is(err, errNoLater) {
@@ -98,12 +98,12 @@
 }
 
 // askNode asks one node, and takes in what it knows.
-func (fd *Feed) askNode(ctx context.Context, mb joblog.Member, hold time.Duration) (Answer, error) {
-	qn := Question{Have: fd.revision(), Hold: hold}
+func (fd *Feed) askNode(ctx context.Context, mb joblog.Member, hold time.Duration) (Response, error) {
+	qn := Request{Have: fd.revision(), MaxWait: hold}
 	call, cancel := context.WithTimeout(ctx, hold+nodeFirstByte)
 	defer cancel()
 	sent := fd.clock.Now()
-	an, err := fd.opts.Ask(call, mb.Peers, qn)
+	an, err := fd.opts.Request(call, mb.Peers, qn)
 	if err != nil {
 		return an, err
 	}
@@ -129,7 +129,7 @@
 // agree takes over what another node knows of the version that is the copy now: up to which
 // revision there was no later one, and as of when. It reports whether the copy lacks nothing
 // that this node knows of.
-func (fd *Feed) agree(an Answer, had uint64, asOf time.Time) bool {
+func (fd *Feed) agree(an Response, had uint64, asOf time.Time) bool {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
 	if fd.copy == nil || fd.copy.Revision != an.Revision {
--- a/internal/feed/take.go
+++ b/internal/feed/take.go
@@ -30,7 +30,7 @@
 		return
 	}
 	cf.Revision = item.Revision
-	df := routediff.Whole(cf)
+	df := routediff.Full(cf)
 	if old != nil {
 		df = routediff.Between(old, cf)
 	}
@@ -68,7 +68,7 @@
 	close(fd.later)
 	fd.later = make(chan struct{})
 	fd.mu.Unlock()
-	if !fd.opts.InForce(cf) {
+	if !fd.opts.Activate(cf) {
 		fd.log.Info("Configuration is no later than the one in force.", "version", cf.Version, "revision", cf.Revision)
 		return
 	}
@@ -78,7 +78,7 @@
 
 // since returns what leads from a revision to the copy. The caller holds the lock.
 func (fd *Feed) since(revision uint64) []*routediff.Diff {
-	size, whole := 0, routediff.Whole(fd.copy)
+	size, whole := 0, routediff.Full(fd.copy)
 	for at := len(fd.changes) - 1; at >= 0; at-- {
 		if size += fd.changes[at].Size(); size > whole.Size() {
 			break // the whole is shorter
--- a/internal/home/forget.go
+++ b/internal/home/forget.go
@@ -38,7 +38,7 @@
 	}
 	ctx, cancel := context.WithTimeout(hm.ctx, handTimeout)
 	defer cancel()
-	err := hm.Member.Change(ctx, func(mp *clustermap.Map) (*clustermap.Map, bool) { return mp.Older(value) })
+	err := hm.Member.Change(ctx, func(mp *clustermap.Map) (*clustermap.Map, bool) { return mp.AdvanceAge(value) })
 	if err != nil {
 		hm.Log.V(1).Info("Age of the map did not move.", "cause", err.Error())
 	}
--- a/internal/home/handover.go
+++ b/internal/home/handover.go
@@ -106,7 +106,7 @@
 ) ([]nodemsg.Record, error) {
 	mp := hm.Member.Map()
 	for _, nd := range mp.Nodes {
-		if nd.Log() == log {
+		if nd.JournalName() == log {
 			return hm.fetch(nd, nodemsg.HandPartition{Partition: part, Epoch: epoch, Log: log})
 		}
 	}
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -135,7 +135,7 @@
 		pacer:   loop.NewPacer(),
 	}
 	hm.ctx, hm.cancel = context.WithCancel(context.Background())
-	hm.journal = journal.New(pt.Clock, pt.Log, pt.Store, pt.Member.Node().Log())
+	hm.journal = journal.New(pt.Clock, pt.Log, pt.Store, pt.Member.Node().JournalName())
 	pt.Member.Subscribe(hm.onMap)
 	pt.Table.Subscribe(hm.onTable)
 	hm.handle()
@@ -226,7 +226,7 @@
 	room, _ := hm.Local.Room()
 	total, free, largest, count := room.Capacity, room.Free, room.Biggest, room.Workers
 	for _, vw := range hm.Member.Peers() {
-		rm := vw.Room()
+		rm := vw.Summary()
 		total = total.Add(rm.Capacity)
 		free = free.Add(rm.Free)
 		largest = largest.Max(rm.Biggest)
--- a/internal/home/partition.go
+++ b/internal/home/partition.go
@@ -47,7 +47,7 @@
 	nd := hm.Member.Node()
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
-	if hm.journal.Name() != nd.Log() {
+	if hm.journal.Name() != nd.JournalName() {
 		hm.rejoin(nd)
 	}
 	var fresh []int
@@ -66,7 +66,7 @@
 			hm.freeze(i)
 			pt.state, pt.epoch = foreign, 0
 		case !mine:
-			hm.dropTaken(i, assigned.Former, nd.Log())
+			hm.dropTaken(i, assigned.Former, nd.JournalName())
 		}
 	}
 	if len(fresh) > 0 {
@@ -79,7 +79,7 @@
 func (hm *Home) rejoin(nd clustermap.Node) {
 	old := hm.journal
 	go old.Stop()
-	hm.journal = journal.New(hm.Clock, hm.Log, hm.Store, nd.Log())
+	hm.journal = journal.New(hm.Clock, hm.Log, hm.Store, nd.JournalName())
 	for i := range hm.parts {
 		hm.freeze(i)
 		hm.parts[i] = partition{}
@@ -277,7 +277,7 @@
 		ctx, cancel := context.WithTimeout(hm.ctx, handTimeout)
 		err := hm.Member.Change(ctx, func(mp *clustermap.Map) (*clustermap.Map, bool) {
 			before = mp
-			return mp.Confirm(nd.Name, done)
+			return mp.ConfirmTakeover(nd.Name, done)
 		})
 		cancel()
 		if err == nil {
@@ -291,8 +291,8 @@
 
 // eraseUnused erases the journals that were needed before and are not now.
 func (hm *Home) eraseUnused(before *clustermap.Map) {
-	needed := hm.Member.Map().Logs()
-	for log := range before.Logs() {
+	needed := hm.Member.Map().JournalNames()
+	for log := range before.JournalNames() {
 		if needed[log] {
 			continue
 		}
--- a/internal/home/place.go
+++ b/internal/home/place.go
@@ -116,8 +116,8 @@
 	room, _ := hm.Local.Room()
 	list := []gather.Owner{{Name: own, Room: room, Have: len(have[own]), Near: true}}
 	for _, vw := range hm.Member.Peers() {
-		if name := vw.Node().Name; vw.Heard() && !vw.Node().Leaving {
-			list = append(list, gather.Owner{Name: name, Room: vw.Room(), Have: len(have[name])})
+		if name := vw.Node().Name; vw.Reachable() && !vw.Node().Leaving {
+			list = append(list, gather.Owner{Name: name, Room: vw.Summary(), Have: len(have[name])})
 		}
 	}
 	return list
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -45,15 +45,15 @@
 // Options of an intake.
 type Options struct {
 	Node string
-	// Nodes returns how many nodes share the store's rate.
-	Nodes func() int
-	// Writes is the store's rate for all nodes, a second.
-	Writes float64
-	// Down reports that the store is away: nothing is sent then.
-	Down func() bool
-	// Written is called, beside the callers' answers, with each batch that the store has; nil
+	// NodeCount returns how many nodes share the store's rate.
+	NodeCount func() int
+	// WriteRate is the store's rate for all nodes, a second.
+	WriteRate float64
+	// StoreDown reports that the store is away: nothing is sent then.
+	StoreDown func() bool
+	// OnWritten is called, beside the callers' answers, with each batch that the store has; nil
 	// calls nobody.
-	Written func(wr joblog.Written)
+	OnWritten func(wr joblog.Written)
 }
 
 // Intake is one node's intake.
@@ -128,7 +128,7 @@
 }
 
 func (in *Intake) write(ctx context.Context, bytes int, add func(*batch)) error {
-	if in.opts.Down() {
+	if in.opts.StoreDown() {
 		return away()
 	}
 	in.mu.Lock()
@@ -171,10 +171,10 @@
 // pause keeps all nodes together within half of the store's rate.
 func (in *Intake) pause() time.Duration {
 	const share = 0.5
-	if in.opts.Writes <= 0 {
+	if in.opts.WriteRate <= 0 {
 		return gap
 	}
-	return max(gap, time.Duration(float64(in.opts.Nodes())/(in.opts.Writes*share)*float64(time.Second)))
+	return max(gap, time.Duration(float64(in.opts.NodeCount())/(in.opts.WriteRate*share)*float64(time.Second)))
 }
 
 func (in *Intake) flush(group *sync.WaitGroup) {
@@ -185,7 +185,7 @@
 		in.mu.Unlock()
 		return
 	}
-	if in.opts.Down() { // found while the batch gathered
+	if in.opts.StoreDown() { // found while the batch gathered
 		in.mu.Unlock()
 		bt.err = away()
 		close(bt.done)
@@ -223,8 +223,8 @@
 	case err == nil || errors.Is(err, kv.ErrConflict): // only this batch uses the key
 		in.log.Info("Batch is written.", "key", key, "ids", bt.ids(),
 			"revision", revision, "took", age.String())
-		if err == nil && in.opts.Written != nil {
-			go in.opts.Written(joblog.Written{Key: key, Revision: revision, Batch: bt.Batch}) // bounded by its call
+		if err == nil && in.opts.OnWritten != nil {
+			go in.opts.OnWritten(joblog.Written{Key: key, Revision: revision, Batch: bt.Batch}) // bounded by its call
 		}
 		return nil
 	case errors.Is(err, kv.ErrRefused):
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -28,7 +28,7 @@
 		store := memkv.New(clock)
 		var down atomic.Bool
 		in := intake.New(clock, logr.Discard(), store.Client("n1"), intake.Options{
-			Node: "n1", Writes: 10, Nodes: func() int { return 1 }, Down: down.Load,
+			Node: "n1", WriteRate: 10, NodeCount: func() int { return 1 }, StoreDown: down.Load,
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -23,14 +23,14 @@
 // Node returns the node's entry in the map.
 func (vw View) Node() clustermap.Node { return vw.node }
 
-// Heard reports whether the node was heard of late.
-func (vw View) Heard() bool { return vw.heard }
+// Reachable reports whether the node was heard of late.
+func (vw View) Reachable() bool { return vw.heard }
 
-// Room returns the digest of the node's ledger.
-func (vw View) Room() ledger.Room { return vw.beat.Room }
+// Summary returns the digest of the node's ledger.
+func (vw View) Summary() ledger.Room { return vw.beat.Room }
 
-// Beat returns the node's last heartbeat.
-func (vw View) Beat() nodemsg.Beat { return vw.beat }
+// Heartbeat returns the node's last heartbeat.
+func (vw View) Heartbeat() nodemsg.Beat { return vw.beat }
 
 // Peers returns the other nodes of the map, by name.
 func (mb *Member) Peers() []View {
@@ -57,10 +57,10 @@
 	return addrs
 }
 
-// Others returns the peer addresses of the other nodes, by name, after it has read
+// FreshAddresses returns the peer addresses of the other nodes, by name, after it has read
 // the map anew: this node may not have been told yet of a member that has joined.
 // Where the store does not answer, they are those that this node knows of.
-func (mb *Member) Others(ctx context.Context) map[string]string {
+func (mb *Member) FreshAddresses(ctx context.Context) map[string]string {
 	if err := mb.readMap(ctx); err != nil {
 		mb.log.Info("Map cannot be read, a new member may be passed over.", "cause", err.Error())
 	}
@@ -68,11 +68,11 @@
 }
 
 func (mb *Member) hears(ps *peerState) bool {
-	return ps.beat.Node != "" && mb.clock.Since(ps.heard) < mb.opts.Suspect
+	return ps.beat.Node != "" && mb.clock.Since(ps.heard) < mb.opts.SuspectAfter
 }
 
-// Alone reports whether there are other nodes and none was heard of late.
-func (mb *Member) Alone() bool {
+// Isolated reports whether there are other nodes and none was heard of late.
+func (mb *Member) Isolated() bool {
 	views := mb.Peers()
 	for _, vw := range views {
 		if vw.heard {
@@ -95,10 +95,10 @@
 	return at
 }
 
-// LastCertain returns when this node was last certain that no known member can have
+// MembershipConfirmedAt returns when this node was last certain that no known member can have
 // taken it out: it reached the store, or every other member heard it. A node that
 // hears only some of the others may be on the side of a split without the store.
-func (mb *Member) LastCertain() time.Time {
+func (mb *Member) MembershipConfirmedAt() time.Time {
 	at := mb.store.LastOK()
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -134,7 +134,7 @@
 
 // beatLoop exchanges heartbeats with every other node.
 func (mb *Member) beatLoop(ctx context.Context) {
-	loop.Every(ctx, mb.clock, mb.opts.Beat, func() { mb.beatAll(ctx) })
+	loop.Every(ctx, mb.clock, mb.opts.HeartbeatInterval, func() { mb.beatAll(ctx) })
 }
 
 // beatAll calls the nodes that come after this one by name; they answer with
@@ -145,7 +145,7 @@
 	for _, vw := range mb.Peers() {
 		mb.mu.Lock()
 		ps := mb.peers[vw.node.Name]
-		quiet := ps != nil && mb.clock.Since(ps.heard) > patience*mb.opts.Beat/2
+		quiet := ps != nil && mb.clock.Since(ps.heard) > patience*mb.opts.HeartbeatInterval/2
 		mb.mu.Unlock()
 		if vw.node.Name > own.Node || quiet {
 			go mb.beat(ctx, vw.node, own, quiet)
@@ -181,7 +181,7 @@
 }
 
 func (mb *Member) beat(ctx context.Context, nd clustermap.Node, own nodemsg.Beat, quiet bool) {
-	call, cancel := context.WithTimeout(ctx, mb.opts.Suspect)
+	call, cancel := context.WithTimeout(ctx, mb.opts.SuspectAfter)
 	defer cancel()
 	got, err := peer.Call[nodemsg.Beat, nodemsg.Beat](call, mb.peer, nd.Peer, nodemsg.KindBeat, own)
 	if err == nil {
@@ -243,7 +243,7 @@
 
 // catchUp reads the map because another node has a newer one.
 func (mb *Member) catchUp() {
-	ctx, cancel := context.WithTimeout(context.Background(), mb.opts.Suspect)
+	ctx, cancel := context.WithTimeout(context.Background(), mb.opts.SuspectAfter)
 	defer cancel()
 	if err := mb.readMap(ctx); err != nil {
 		mb.log.V(1).Info("Newer map cannot be read yet.", "cause", err.Error())
@@ -257,11 +257,11 @@
 	if gone.Name == "" || mb.store.Down() {
 		return
 	}
-	if mb.clock.Since(mb.heardAt(gone.Name)) < mb.opts.Suspect+time.Duration(rank)*mb.opts.Beat {
+	if mb.clock.Since(mb.heardAt(gone.Name)) < mb.opts.SuspectAfter+time.Duration(rank)*mb.opts.HeartbeatInterval {
 		return
 	}
 	go func() {
-		call, cancel := context.WithTimeout(ctx, mb.opts.Suspect)
+		call, cancel := context.WithTimeout(ctx, mb.opts.SuspectAfter)
 		defer cancel()
 		err := mb.Change(call, func(mp *clustermap.Map) (*clustermap.Map, bool) {
 			if !mp.Has(gone) {
@@ -297,7 +297,7 @@
 	names := mb.current.Active()
 	for name, ps := range mb.peers {
 		nd := mb.current.Nodes[name]
-		if mb.live[nd.Log()] || mb.clock.Since(ps.heard) < mb.opts.Suspect || mb.heardByOther(name) {
+		if mb.live[nd.JournalName()] || mb.clock.Since(ps.heard) < mb.opts.SuspectAfter || mb.heardByOther(name) {
 			continue
 		}
 		rank := 0
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -39,10 +39,10 @@
 
 // Options of a member.
 type Options struct {
-	Node    clustermap.Node
-	Beat    time.Duration
-	Suspect time.Duration
-	Lease   time.Duration
+	Node              clustermap.Node
+	HeartbeatInterval time.Duration
+	SuspectAfter      time.Duration
+	LeaseTTL          time.Duration
 }
 
 // peerState is what this node has heard of another.
@@ -103,11 +103,11 @@
 	return mb
 }
 
-// Fill sets the function that completes this node's heartbeats.
-func (mb *Member) Fill(fill func(*nodemsg.Beat)) { mb.fill = fill }
+// SetHeartbeatFiller sets the function that completes this node's heartbeats.
+func (mb *Member) SetHeartbeatFiller(fill func(*nodemsg.Beat)) { mb.fill = fill }
 
-// Behind sets the function called with the address of a node whose table differs.
-func (mb *Member) Behind(behind func(addr string)) { mb.behind = behind }
+// OnTableDiffers sets the function called with the address of a node whose table differs.
+func (mb *Member) OnTableDiffers(behind func(addr string)) { mb.behind = behind }
 
 // Subscribe calls act with each new map, one at a time, in order. The function
 // must not change the map itself; it may start a goroutine that does.
@@ -117,9 +117,9 @@
 	mb.subs = append(mb.subs, act)
 }
 
-// OnSilence calls act with the name of each node that has not been heard for too
+// OnUnreachable calls act with the name of each node that has not been heard for too
 // long, once for each silence, and of each that left the map.
-func (mb *Member) OnSilence(act func(name string)) {
+func (mb *Member) OnUnreachable(act func(name string)) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	mb.silence = append(mb.silence, act)
--- a/internal/member/watch.go
+++ b/internal/member/watch.go
@@ -13,8 +13,8 @@
 // leaseLoop renews this node's lease of the store, three times in its length.
 func (mb *Member) leaseLoop(ctx context.Context) {
 	const renewals = 3
-	loop.Every(ctx, mb.clock, mb.opts.Lease/renewals, func() {
-		call, cancel := context.WithTimeout(ctx, mb.opts.Lease/renewals)
+	loop.Every(ctx, mb.clock, mb.opts.LeaseTTL/renewals, func() {
+		call, cancel := context.WithTimeout(ctx, mb.opts.LeaseTTL/renewals)
 		defer cancel()
 		if err := mb.renew(call); err != nil {
 			mb.log.V(1).Info("Lease was not renewed.", "cause", err.Error())
@@ -27,15 +27,15 @@
 func (mb *Member) renew(ctx context.Context) error {
 	mb.mu.Lock()
 	id := mb.lease
-	key := livePrefix + mb.node.Log()
+	key := livePrefix + mb.node.JournalName()
 	mb.mu.Unlock()
 	if id != "" {
-		_, ok, err := mb.store.Grant(ctx, id, mb.opts.Lease)
+		_, ok, err := mb.store.Grant(ctx, id, mb.opts.LeaseTTL)
 		if err != nil || ok {
 			return err
 		}
 	}
-	id, _, err := mb.store.Grant(ctx, "", mb.opts.Lease)
+	id, _, err := mb.store.Grant(ctx, "", mb.opts.LeaseTTL)
 	if err != nil {
 		return err
 	}
--- a/internal/mirror/busy_test.go
+++ b/internal/mirror/busy_test.go
@@ -38,7 +38,7 @@
 				}
 				tl := &tale{}
 				mr := mirror.New(clock, logr.Discard(), cut, mirror.Options{
-					Prefix: "a/", Wait: time.Second, Pause: 250 * time.Millisecond, Changed: tl.add,
+					Prefix: "a/", Wait: time.Second, Pause: 250 * time.Millisecond, OnChange: tl.add,
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -24,11 +24,11 @@
 	Wait time.Duration
 	// Pause follows each answer of a watch, so that changes gather. Pace, where it is set, returns it anew
 	// each time.
-	Pause time.Duration
-	Pace  func() time.Duration
-	// Changed is called with the keys that changed since the last call, in the order of
+	Pause     time.Duration
+	PauseFunc func() time.Duration
+	// OnChange is called with the keys that changed since the last call, in the order of
 	// their changes, and then, with Gone set, those that were removed. Whole says that all keys were read.
-	Changed func(items []kv.Item, whole bool)
+	OnChange func(items []kv.Item, whole bool)
 }
 
 // Mirror is one copy.
@@ -138,7 +138,7 @@
 		delete(mr.keys, key)
 		fresh = append(fresh, kv.Item{Key: key, Gone: true})
 	}
-	mr.opts.Changed(fresh, true)
+	mr.opts.OnChange(fresh, true)
 	mr.behind = false
 	mr.answered(reading.Began())
 	return reading.At(), nil
@@ -172,8 +172,8 @@
 
 // pause is the time between two watches.
 func (mr *Mirror) pause() time.Duration {
-	if mr.opts.Pace != nil {
-		return mr.opts.Pace()
+	if mr.opts.PauseFunc != nil {
+		return mr.opts.PauseFunc()
 	}
 	return mr.opts.Pause
 }
@@ -205,7 +205,7 @@
 		fresh = append(fresh, item)
 	}
 	if len(fresh) > 0 {
-		mr.opts.Changed(fresh, false)
+		mr.opts.OnChange(fresh, false)
 	}
 	if mr.behind = len(events.Items) >= manyEvents; !mr.behind {
 		mr.answered(sent)
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -47,7 +47,7 @@
 	clock := clockwork.NewRealClock() // the bubble's
 	tl := &tale{}
 	mr := mirror.New(clock, logr.Discard(), st.Client("n"), mirror.Options{
-		Prefix: "a/", Wait: 2 * time.Second, Changed: tl.add,
+		Prefix: "a/", Wait: 2 * time.Second, OnChange: tl.add,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
--- a/internal/mirror/pages_test.go
+++ b/internal/mirror/pages_test.go
@@ -75,7 +75,7 @@
 				}
 				tl := &tale{}
 				mr := mirror.New(clockwork.NewRealClock(), logr.Discard(), client, mirror.Options{
-					Prefix: "a/", Wait: 2 * time.Second, Changed: tl.add,
+					Prefix: "a/", Wait: 2 * time.Second, OnChange: tl.add,
 				})
 				defer run(t, mr)()
 				began := time.Now()
@@ -113,7 +113,7 @@
 		})
 		tl := &tale{}
 		mr := mirror.New(clock, logr.Discard(), st.Client("n"), mirror.Options{
-			Prefix: "a/", Wait: 2 * time.Second, Changed: tl.add,
+			Prefix: "a/", Wait: 2 * time.Second, OnChange: tl.add,
 		})
 		began := time.Now()
 		defer run(t, mr)()
--- a/internal/owner/keeper.go
+++ b/internal/owner/keeper.go
@@ -199,9 +199,9 @@
 	plain := kp.plain
 	ow.mu.Unlock()
 	if plain {
-		return ow.Clock.Since(ow.Member.LastCertain()) > selfFence
+		return ow.Clock.Since(ow.Member.MembershipConfirmedAt()) > selfFence
 	}
-	return ow.Member.Alone() && ow.Clock.Since(ow.Member.LastContact()) > selfFence
+	return ow.Member.Isolated() && ow.Clock.Since(ow.Member.LastContact()) > selfFence
 }
 
 func (ow *Owner) onLeaving(kp *keeper) {
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -39,7 +39,7 @@
 	// Written tells the planner of a batch that the journal has.
 	Written *joblog.Written `cbor:"7,keyasint,omitempty"`
 	// Config asks for the configuration.
-	Config *feed.Question `cbor:"8,keyasint,omitempty"`
+	Config *feed.Request `cbor:"8,keyasint,omitempty"`
 	// Caller is whose call State, Pending, Submit or Cancel is.
 	Caller routes.Caller `cbor:"9,keyasint,omitzero"`
 }
@@ -56,7 +56,7 @@
 	Valid time.Duration `cbor:"4,keyasint,omitempty"`
 	Fault *fault.Error  `cbor:"5,keyasint,omitempty"`
 	// Config is what the node knows of the configuration.
-	Config *feed.Answer `cbor:"6,keyasint,omitempty"`
+	Config *feed.Response `cbor:"6,keyasint,omitempty"`
 }
 
 // writeWait is what a slow store takes for a write.
@@ -72,7 +72,7 @@
 	case rq.writes():
 		return writeWait
 	case rq.Config != nil:
-		return rq.Config.Hold
+		return rq.Config.MaxWait
 	}
 	return 0
 }
--- a/internal/planner/backlog.go
+++ b/internal/planner/backlog.go
@@ -22,7 +22,7 @@
 // tellBacklog writes how far the planner is behind to the store, where all nodes see it. The caller
 // holds the lock.
 func (ld *lead) tellBacklog(now time.Duration) {
-	if now-ld.saidBacklog < backlogEvery || !ld.reign.Proven() {
+	if now-ld.saidBacklog < backlogEvery || !ld.reign.LeaseHeld() {
 		return
 	}
 	urgent, all := ld.cell.Backlog(now)
--- a/internal/planner/bed_test.go
+++ b/internal/planner/bed_test.go
@@ -60,18 +60,18 @@
 
 type node struct {
 	planner *planner.Planner
-	term    *term.Term
+	term    *term.Elector
 	intake  *intake.Intake
 	cancel  context.CancelFunc
 	meters  metrics.Registry
 	// latest is the node's latest reign; it begins one while tests look.
-	latest atomic.Pointer[term.Reign]
+	latest atomic.Pointer[term.Term]
 	// suspended is for how long the node's VM was suspended.
 	suspended atomic.Int64
 }
 
 // reign returns the node's latest reign.
-func (nd *node) reign() term.Reign { return *nd.latest.Load() }
+func (nd *node) reign() term.Term { return *nd.latest.Load() }
 
 // newClock returns the node's clock: steady time goes on in the bubble, what suspensions add to the
 // time of day and to the time since boot is the test's.
@@ -174,12 +174,12 @@
 			return ws, ok
 		},
 	})
-	nd.term = term.New(clock, bd.log(name), st, term.Options{Node: name, Processors: processors, TTL: 2 * time.Second, Lead: func(ctx context.Context, reign term.Reign) {
+	nd.term = term.New(clock, bd.log(name), st, term.Options{Node: name, Processors: processors, TTL: 2 * time.Second, Lead: func(ctx context.Context, reign term.Term) {
 		nd.latest.Store(&reign)
 		nd.planner.Lead(ctx, reign)
 	}})
 	nd.intake = intake.New(clock, bd.log(name), st, intake.Options{
-		Node: name, Nodes: func() int { return 2 }, Down: func() bool { return false },
+		Node: name, NodeCount: func() int { return 2 }, StoreDown: func() bool { return false },
 	})
 	ctx, cancel := context.WithCancel(bd.t.Context())
 	nd.cancel = cancel
--- a/internal/planner/fence.go
+++ b/internal/planner/fence.go
@@ -21,7 +21,7 @@
 func (ld *lead) fence(id string) uint64 {
 	count := ld.fences[id]
 	if count == mostSessions {
-		ld.reign.Depose("worker " + id + " has begun again too often for one reign")
+		ld.reign.StepDown("worker " + id + " has begun again too often for one reign")
 	}
 	ld.fences[id] = min(count+1, mostSessions)
 	return ld.reign.Token<<sessionBits | count
@@ -38,7 +38,7 @@
 	ended := se.ended
 	ld.mu.Unlock()
 	if !ended {
-		ld.reign.Depose("worker " + string(se.life) + " follows a later planner")
+		ld.reign.StepDown("worker " + string(se.life) + " follows a later planner")
 	}
 	return true
 }
--- a/internal/planner/lead.go
+++ b/internal/planner/lead.go
@@ -64,7 +64,7 @@
 	parts Parts
 	clock clockwork.Clock
 	log   logr.Logger
-	reign term.Reign
+	reign term.Term
 	began time.Time
 
 	// jobs follows the batches of the journal, workers the list of workers.
@@ -116,7 +116,7 @@
 	group       sync.WaitGroup
 }
 
-func newLead(pt Parts, log logr.Logger, reign term.Reign) *lead {
+func newLead(pt Parts, log logr.Logger, reign term.Term) *lead {
 	// runsAReign is more than the starts of one task in one reign: numbers of runs
 	// rise over reigns although starts are not journaled.
 	const runsAReign = 64
@@ -156,11 +156,11 @@
 	}
 	ld.jobs = mirror.New(ld.clock, ld.log, ld.parts.Store, mirror.Options{
 		Prefix: joblog.Batches, Wait: journalWait, Pause: gather,
-		Changed: func(items []kv.Item, whole bool) { ld.takeBatches(items, whole, old) },
+		OnChange: func(items []kv.Item, whole bool) { ld.takeBatches(items, whole, old) },
 	})
 	ld.workers = mirror.New(ld.clock, ld.log, ld.parts.Store, mirror.Options{
 		Prefix: ld.parts.WorkersPrefix, Wait: listWait, Pause: gatherWorkers,
-		Changed: ld.takeWorkers,
+		OnChange: ld.takeWorkers,
 	})
 	ld.spawn(func() { ld.jobs.Run(ctx) })
 	ld.spawn(func() {
@@ -187,7 +187,7 @@
 	if !ld.loaded {
 		return notReady("the planner reads the journal")
 	}
-	if !ld.reign.Proven() {
+	if !ld.reign.LeaseHeld() {
 		return notReady("the planner's lease is not proven")
 	}
 	return nil
--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -78,7 +78,7 @@
 }
 
 // mayStart reports whether the reign may start tasks now.
-func (ld *lead) mayStart() bool { return ld.ctx.Err() == nil && ld.reign.Proven() && ld.knowsRoom() }
+func (ld *lead) mayStart() bool { return ld.ctx.Err() == nil && ld.reign.LeaseHeld() && ld.knowsRoom() }
 
 func text(err error) string {
 	if err == nil {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -74,7 +74,7 @@
 }
 
 // Lead plans until the context ends.
-func (pl *Planner) Lead(ctx context.Context, reign term.Reign) {
+func (pl *Planner) Lead(ctx context.Context, reign term.Term) {
 	ld := newLead(pl.parts, pl.log.WithValues("token", reign.Token), reign)
 	pl.set(ld)
 	defer pl.set(nil)
--- a/internal/planner/records.go
+++ b/internal/planner/records.go
@@ -110,7 +110,7 @@
 func (ld *lead) commit(ctx context.Context, key string, recs []cell.Record) bool {
 	raw, err := joblog.Encode(recs)
 	if err != nil {
-		ld.reign.Depose("records cannot be encoded: " + err.Error())
+		ld.reign.StepDown("records cannot be encoded: " + err.Error())
 		return false
 	}
 	txn := kv.Txn{
@@ -124,7 +124,7 @@
 	case errors.Is(err, kv.ErrConflict) && written(items, key):
 		return true // by an earlier try whose answer was lost
 	case errors.Is(err, kv.ErrConflict):
-		ld.reign.Depose("the leader's key has changed")
+		ld.reign.StepDown("the leader's key has changed")
 	}
 	return false
 }
--- a/internal/planner/reigns_test.go
+++ b/internal/planner/reigns_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	yield := func(nd *node) { nd.reign().Yield("test") }
-	depose := func(nd *node) { nd.reign().Depose("test") }
+	depose := func(nd *node) { nd.reign().StepDown("test") }
 	cases := map[string]struct {
 		end   func(nd *node)
 		fault func(client, call string) memkv.Fault
@@ -216,7 +216,7 @@
 // next planner had begun, in both cases.
 func TestEndedReignIsNotProven(t *testing.T) {
 	cases := map[string]func(bd *bed, nd *node){
-		"deposed":    func(_ *bed, nd *node) { nd.reign().Depose("test") },
+		"deposed":    func(_ *bed, nd *node) { nd.reign().StepDown("test") },
 		"lease lost": func(bd *bed, _ *node) { bd.store.Revoke() },
 	}
 	for name, end := range cases {
@@ -227,8 +227,8 @@
 				defer bd.end()
 				first, _ := bd.addPair()
 				old := first.reign()
-				is.True(old.Proven())
-				is.True(old.SinceProof() < time.Second)
+				is.True(old.LeaseHeld())
+				is.True(old.SinceRenewal() < time.Second)
 				end(bd, first)
 				const within = 3 * time.Second // the lease's time, and some
 				began := time.Now()
@@ -236,9 +236,9 @@
 					time.Sleep(10 * time.Millisecond)
 				}
 				is.True(answers(bd, first, old.Token)) // a later planner
-				is.True(bd.leader().reign().Proven())
-				is.True(!old.Proven())                  // it would start tasks under the old token
-				is.True(old.SinceProof() > time.Minute) // it would renew the workers' leases
+				is.True(bd.leader().reign().LeaseHeld())
+				is.True(!old.LeaseHeld())                 // it would start tasks under the old token
+				is.True(old.SinceRenewal() > time.Minute) // it would renew the workers' leases
 			})
 		})
 	}
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -77,7 +77,7 @@
 // extend returns a deadline a lease from now on the worker's clock, at the least.
 // The caller holds the lock.
 func (se *session) extend(now time.Duration) time.Duration {
-	if !se.answered || se.lead.reign.SinceProof() > unproven {
+	if !se.answered || se.lead.reign.SinceRenewal() > unproven {
 		return se.deadline
 	}
 	se.deadline = max(se.deadline, se.clock+(now-se.heard)+se.lead.lease)
--- a/internal/routediff/routediff.go
+++ b/internal/routediff/routediff.go
@@ -22,31 +22,31 @@
 	// are gone.
 	Put     []routes.Route `cbor:"5,keyasint,omitempty"`
 	Removed []string       `cbor:"6,keyasint,omitempty"`
-	// Guarded is that of the result.
-	Guarded bool `cbor:"7,keyasint,omitempty"`
+	// KeyRequired is that of the result.
+	KeyRequired bool `cbor:"7,keyasint,omitempty"`
 	// PutWorkspaces and RemovedWorkspaces are the same of the workspaces; one with a key more or less
 	// is told of as a whole.
 	PutWorkspaces     []routes.Workspace `cbor:"8,keyasint,omitempty"`
 	RemovedWorkspaces []string           `cbor:"9,keyasint,omitempty"`
 }
 
-// Whole returns the diff that brings a version to a node that has none.
-func Whole(cf *routes.Config) *Diff {
+// Full returns the diff that brings a version to a node that has none.
+func Full(cf *routes.Config) *Diff {
 	return &Diff{
 		To: cf.Revision, Version: cf.Version, Limits: cf.Limits, Put: cf.Routes,
-		Guarded: cf.Guarded, PutWorkspaces: cf.Workspaces,
+		KeyRequired: cf.KeyRequired, PutWorkspaces: cf.Workspaces,
 	}
 }
 
 // Between returns what leads from one version to another. Where two routes of one of them have
 // one name it brings all.
 func Between(old, cf *routes.Config) *Diff {
-	df := &Diff{From: old.Revision, To: cf.Revision, Version: cf.Version, Limits: cf.Limits, Guarded: cf.Guarded}
+	df := &Diff{From: old.Revision, To: cf.Revision, Version: cf.Version, Limits: cf.Limits, KeyRequired: cf.KeyRequired}
 	var ok, also bool
 	df.Put, df.Removed, ok = changed(old.Routes, cf.Routes, routeName, func(a, b *routes.Route) bool { return *a == *b })
 	df.PutWorkspaces, df.RemovedWorkspaces, also = changed(old.Workspaces, cf.Workspaces, workspaceName, (*routes.Workspace).Equal)
 	if !ok || !also {
-		return Whole(cf)
+		return Full(cf)
 	}
 	return df
 }
@@ -87,7 +87,7 @@
 
 // Apply returns what the diff makes of a version, which stays as it is; nil is none.
 func (df *Diff) Apply(old *routes.Config) (*routes.Config, error) {
-	out := &routes.Config{Revision: df.To, Version: df.Version, Limits: df.Limits, Guarded: df.Guarded}
+	out := &routes.Config{Revision: df.To, Version: df.Version, Limits: df.Limits, KeyRequired: df.KeyRequired}
 	switch {
 	case df.From == 0:
 		out.Routes, out.Workspaces = df.Put, df.PutWorkspaces
--- a/internal/routediff/routediff_test.go
+++ b/internal/routediff/routediff_test.go
@@ -77,7 +77,7 @@
 		_, err := df.Apply(old)
 		is.True(err != nil)
 	}
-	cf, err := routediff.Whole(version(7, "s", "b")).Apply(nil)
+	cf, err := routediff.Full(version(7, "s", "b")).Apply(nil)
 	is.NoErr(err)
 	is.Equal(cf.Revision, uint64(7))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -69,7 +69,7 @@
 		clock: clock, member: mb, peer: pr, meter: mt, local: local,
 		away: map[string]map[uint64]context.CancelFunc{},
 	}
-	mb.OnSilence(rt.giveUp)
+	mb.OnUnreachable(rt.giveUp)
 	return rt
 }
 
@@ -209,13 +209,13 @@
 	var list []target
 	owners := rt.member.Map().Owners()
 	for _, vw := range rt.member.Peers() {
-		room := vw.Room()
-		if tried[vw.Node().Name] || !vw.Heard() || !owners[vw.Node().Name] {
+		room := vw.Summary()
+		if tried[vw.Node().Name] || !vw.Reachable() || !owners[vw.Node().Name] {
 			continue
 		}
 		list = append(list, target{
 			name: vw.Node().Name, addr: vw.Node().Peer, hall: vw.Node().Hall,
-			free: room.FreeSlots - vw.Beat().Waiting - len(rt.away[vw.Node().Name]), size: room.Workers,
+			free: room.FreeSlots - vw.Heartbeat().Waiting - len(rt.away[vw.Node().Name]), size: room.Workers,
 		})
 	}
 	return list
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -46,9 +46,9 @@
 	Revision uint64
 	Routes   []Route
 	Limits   Limits
-	// Guarded is set where calls need the API key of a workspace, unless their route is public.
-	Guarded    bool
-	Workspaces []Workspace
+	// KeyRequired is set where calls need the API key of a workspace, unless their route is public.
+	KeyRequired bool
+	Workspaces  []Workspace
 }
 
 // Table is the version in force. It is safe for concurrent use.
@@ -138,10 +138,10 @@
 	Workspace work.Workspace `cbor:"2,keyasint"`
 }
 
-// Guarded reports whether calls of a route need an API key.
-func (tb *Table) Guarded(rt *Route) bool {
+// KeyRequired reports whether calls of a route need an API key.
+func (tb *Table) KeyRequired(rt *Route) bool {
 	now := tb.inForce.Load()
-	return now != nil && now.config.Guarded && !rt.Public
+	return now != nil && now.config.KeyRequired && !rt.Public
 }
 
 // Caller returns the caller with an API key, or false where no workspace has the key.
@@ -177,8 +177,8 @@
 	return out
 }
 
-// Serves reports whether any queue's tasks run on workers of a service.
-func (tb *Table) Serves(service string) bool {
+// HasService reports whether any queue's tasks run on workers of a service.
+func (tb *Table) HasService(service string) bool {
 	now := tb.inForce.Load()
 	return now != nil && now.index.services[service]
 }
--- a/internal/term/crowd_test.go
+++ b/internal/term/crowd_test.go
@@ -74,12 +74,12 @@
 type crowd struct {
 	rated  *rated
 	store  *kv.Store
-	nodes  []*term.Term
+	nodes  []*term.Elector
 	cancel context.CancelFunc
 	// cancels end the nodes one by one.
 	cancels []context.CancelFunc
 	// latest is the reign that began last.
-	latest atomic.Pointer[term.Reign]
+	latest atomic.Pointer[term.Term]
 }
 
 func newCrowd(t *testing.T, nodes, writes, reads int) *crowd {
@@ -93,8 +93,8 @@
 	for n := range nodes {
 		name := fmt.Sprintf("n%03d", n)
 		tm := term.New(clock, logr.Discard(), store.Client(name), term.Options{
-			Node: name, Peers: name, Processors: 0.4, TTL: 1200 * time.Millisecond, Reads: float64(reads),
-			Lead: func(ctx context.Context, rg term.Reign) {
+			Node: name, PeerAddr: name, Processors: 0.4, TTL: 1200 * time.Millisecond, ReadRate: float64(reads),
+			Lead: func(ctx context.Context, rg term.Term) {
 				cw.latest.Store(&rg)
 				<-ctx.Done()
 			},
@@ -104,10 +104,10 @@
 		go tm.Run(own)
 		go feed.New(clock, logr.Discard(), store.Client(name), feed.Options{
 			Key: "config", Node: name, Members: tm.Members,
-			Decode:  func(kv.Item) (*routes.Config, error) { return &routes.Config{Version: 1}, nil },
-			InForce: func(*routes.Config) bool { return true },
-			Ask: func(context.Context, string, feed.Question) (feed.Answer, error) {
-				return feed.Answer{}, errors.New("no other node is asked here")
+			Decode:   func(kv.Item) (*routes.Config, error) { return &routes.Config{Version: 1}, nil },
+			Activate: func(*routes.Config) bool { return true },
+			Request: func(context.Context, string, feed.Request) (feed.Response, error) {
+				return feed.Response{}, errors.New("no other node is asked here")
 			},
 		}).Run(ctx)
 		cw.nodes = append(cw.nodes, tm)
@@ -218,7 +218,7 @@
 		const looks = 100
 		unproven := 0
 		for range looks {
-			if !rg.Proven() {
+			if !rg.LeaseHeld() {
 				unproven++
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/internal/term/election.go
+++ b/internal/term/election.go
@@ -18,12 +18,12 @@
 
 // campaign takes the leader's key where nobody has it, or where this node had it on an
 // earlier lease: nobody plans by that, and its addresses are this process's now.
-func (tm *Term) campaign(ctx context.Context) {
+func (tm *Elector) campaign(ctx context.Context) {
 	tm.mu.Lock()
 	held := tm.leaderAt // on the earlier lease, 0 where nobody has it
 	vacant := tm.loaded && (held == 0 || tm.inherits()) && tm.lease != 0 && !tm.resigned &&
 		!tm.abstaining() && tm.deferral() <= 0
-	el := joblog.Election{Node: tm.opts.Node, Peers: tm.opts.Peers, Number: tm.highest + 1, Nonce: tm.nonce}
+	el := joblog.Election{Node: tm.opts.Node, Peers: tm.opts.PeerAddr, Number: tm.highest + 1, Nonce: tm.nonce}
 	lease := tm.lease
 	tm.mu.Unlock()
 	if !vacant {
@@ -57,7 +57,7 @@
 
 // inherits reports whether the leader's key is this node's from an earlier lease. The
 // caller holds the lock.
-func (tm *Term) inherits() bool {
+func (tm *Elector) inherits() bool {
 	return tm.leader.Node == tm.opts.Node && tm.leader.Nonce != tm.nonce
 }
 
@@ -75,7 +75,7 @@
 
 // deferral returns how long to leave the planner's place to a stronger node. The caller
 // holds the lock.
-func (tm *Term) deferral() time.Duration {
+func (tm *Elector) deferral() time.Duration {
 	if tm.leaderAt > 0 || !tm.loaded || tm.stronger() == "" {
 		return 0
 	}
@@ -84,7 +84,7 @@
 
 // stronger returns the name of a node with much more of a processor, or "". The caller
 // holds the lock.
-func (tm *Term) stronger() string {
+func (tm *Elector) stronger() string {
 	for _, mb := range tm.members {
 		if mb.Processors > muchStronger*tm.opts.Processors {
 			return mb.Node
@@ -95,7 +95,7 @@
 
 // giveWay has a node that plans, because no stronger one was listed, give its place up
 // when one is. It does so rarely: one that is listed may still be unable to plan.
-func (tm *Term) giveWay() {
+func (tm *Elector) giveWay() {
 	tm.mu.Lock()
 	name := tm.stronger()
 	now := tm.clock.Now()
@@ -109,7 +109,7 @@
 }
 
 // changed takes in changes of the members' keys.
-func (tm *Term) changed(items []kv.Item, reset bool) {
+func (tm *Elector) changed(items []kv.Item, reset bool) {
 	tm.mu.Lock()
 	for _, item := range items {
 		tm.take(item)
@@ -123,7 +123,7 @@
 	tm.wake.Give()
 }
 
-func (tm *Term) take(item kv.Item) {
+func (tm *Elector) take(item kv.Item) {
 	switch {
 	case item.Key == joblog.Reigns:
 		if number, err := strconv.Atoi(string(item.Value)); err == nil {
@@ -147,12 +147,12 @@
 }
 
 // takeBacklog takes in how far the planner is behind; where its key is gone, it is not.
-func (tm *Term) takeBacklog(item kv.Item) {
-	if tm.opts.Backlog == nil {
+func (tm *Elector) takeBacklog(item kv.Item) {
+	if tm.opts.OnBacklog == nil {
 		return
 	}
 	if item.Gone {
-		tm.opts.Backlog(joblog.Behind{})
+		tm.opts.OnBacklog(joblog.Behind{})
 		return
 	}
 	behind, err := joblog.Decode[joblog.Behind](item.Value)
@@ -160,10 +160,10 @@
 		tm.log.Error(err, "The backlog's key cannot be read.")
 		return
 	}
-	tm.opts.Backlog(behind)
+	tm.opts.OnBacklog(behind)
 }
 
-func (tm *Term) takeLeader(item kv.Item) {
+func (tm *Elector) takeLeader(item kv.Item) {
 	if item.Gone || item.Revision == 0 {
 		if tm.leaderAt > 0 && (item.Revision == 0 || item.Revision >= tm.leaderAt) {
 			tm.leaderAt, tm.vacated = 0, tm.clock.Now()
@@ -186,7 +186,7 @@
 }
 
 // follow begins or ends this node's reign as the leader's key says.
-func (tm *Term) follow() {
+func (tm *Elector) follow() {
 	tm.mu.Lock()
 	rg := tm.reign
 	reigns := rg != nil && rg.token == tm.leaderAt && tm.holdsKey() && !tm.resigned
@@ -203,20 +203,20 @@
 // mayBegin reports whether a reign may begin under the leader's key. A node that abstains
 // begins none, but goes on with one that it has: it was alone when that began. The caller
 // holds the lock.
-func (tm *Term) mayBegin() bool {
+func (tm *Elector) mayBegin() bool {
 	return tm.reign == nil && tm.holdsKey() && !tm.resigned && !tm.spent() && !tm.abstaining()
 }
 
 // holdsKey reports whether the leader's key is this node's, on its present lease. The
 // caller holds the lock.
-func (tm *Term) holdsKey() bool {
+func (tm *Elector) holdsKey() bool {
 	return tm.leaderAt > 0 && tm.leader.Nonce == tm.nonce && tm.lease != 0
 }
 
 // spent reports whether a reign under the leader's key has begun. There is one for each
 // token: a second would find the records' keys written and take them for its own. The
 // caller holds the lock.
-func (tm *Term) spent() bool { return tm.latest != nil && tm.latest.token == tm.leaderAt }
+func (tm *Elector) spent() bool { return tm.latest != nil && tm.latest.token == tm.leaderAt }
 
 // vacantMost is for how long a node leaves the planner's place to others that do not take it: where all
 // of them abstain, nobody would plan. Others take it within deferFor and the time of a candidacy.
@@ -224,7 +224,7 @@
 
 // abstaining reports whether the node leaves the planner's place to others, where there
 // are any that take it. The caller holds the lock.
-func (tm *Term) abstaining() bool {
+func (tm *Elector) abstaining() bool {
 	now := tm.clock.Now()
 	return now.Before(tm.abstains) && len(tm.members) > 1 && now.Sub(tm.vacated) < vacantMost
 }
@@ -232,7 +232,7 @@
 // idle returns the token of a leader's key that is this node's though it does not plan by
 // it and will not, or 0. While the last reign ends it may write yet, for half of the
 // lease's time at most. The caller holds the lock.
-func (tm *Term) idle() uint64 {
+func (tm *Elector) idle() uint64 {
 	if !tm.holdsKey() || tm.reign != nil || !tm.spent() && !tm.abstaining() {
 		return 0
 	}
@@ -246,7 +246,7 @@
 // looks, whatever ended the reign: as long as the lease is renewed the key stays, and
 // without a planner nothing else brings a change. If the key cannot be removed, the lease
 // is left to run out, so that the place is free after one and a half times its time.
-func (tm *Term) layDown(ctx context.Context) {
+func (tm *Elector) layDown(ctx context.Context) {
 	tm.mu.Lock()
 	token, lease := tm.idle(), tm.lease
 	tm.mu.Unlock()
@@ -270,7 +270,7 @@
 }
 
 // begin begins a reign, where the key and the lease still say so.
-func (tm *Term) begin() {
+func (tm *Elector) begin() {
 	tm.mu.Lock()
 	defer tm.mu.Unlock()
 	if !tm.mayBegin() {
@@ -281,12 +281,12 @@
 	before := tm.latest
 	tm.reign, tm.latest = rg, rg
 	tm.log.Info("This node plans.", "token", rg.token, "reign", tm.leader.Number)
-	arg := Reign{
+	arg := Term{
 		Token: rg.token, Number: tm.leader.Number,
-		SinceProof: func() time.Duration { return tm.sinceProof(rg) },
-		Proven:     func() bool { return tm.sinceProof(rg) < tm.opts.TTL },
-		Depose:     tm.depose,
-		Yield:      func(reason string) { tm.yield(reason, abstain) },
+		SinceRenewal: func() time.Duration { return tm.sinceProof(rg) },
+		LeaseHeld:    func() bool { return tm.sinceProof(rg) < tm.opts.TTL },
+		StepDown:     tm.depose,
+		Yield:        func(reason string) { tm.yield(reason, abstain) },
 	}
 	go func() {
 		defer tm.wake.Give() // the leader's key may be this node's still
@@ -303,7 +303,7 @@
 
 // sinceProof returns how long ago the last renewal that was answered was sent, of the lease
 // that a reign rests on. A reign that was deposed has no proof, whatever lease the node has.
-func (tm *Term) sinceProof(rg *reign) time.Duration {
+func (tm *Elector) sinceProof(rg *reign) time.Duration {
 	tm.mu.Lock()
 	defer tm.mu.Unlock()
 	if tm.reign != rg || tm.lease != rg.lease {
@@ -314,7 +314,7 @@
 
 // depose ends the reign. It does not wait for its work: whoever follows the members' keys
 // or renews the lease must go on, and the next reign waits for the end by itself.
-func (tm *Term) depose(reason string) {
+func (tm *Elector) depose(reason string) {
 	tm.mu.Lock()
 	rg := tm.reign
 	tm.mu.Unlock()
@@ -324,7 +324,7 @@
 }
 
 // deposeReign ends rg if it is still the current reign; otherwise it does nothing.
-func (tm *Term) deposeReign(rg *reign, reason string) {
+func (tm *Elector) deposeReign(rg *reign, reason string) {
 	tm.mu.Lock()
 	current := tm.reign == rg
 	if current {
@@ -342,7 +342,7 @@
 
 // stop ends the reign and waits until its work has ended, which may write its last
 // records yet.
-func (tm *Term) stop(ctx context.Context, reason string) {
+func (tm *Elector) stop(ctx context.Context, reason string) {
 	tm.depose(reason)
 	tm.mu.Lock()
 	rg := tm.latest
@@ -361,7 +361,7 @@
 
 // yield gives the planner's place up for another node, where there is one. This node is
 // no candidate for a time; the next step lays the leader's key down.
-func (tm *Term) yield(reason string, abstain time.Duration) {
+func (tm *Elector) yield(reason string, abstain time.Duration) {
 	tm.mu.Lock()
 	token, alone := tm.leaderAt, len(tm.members) < 2
 	rg := tm.reign
--- a/internal/term/follow_test.go
+++ b/internal/term/follow_test.go
@@ -18,7 +18,7 @@
 	const elections = 5000
 	for range elections {
 		tm := New(clockwork.NewRealClock(), logr.Discard(), &kv.Store{}, Options{
-			Node: "n1", Lead: func(ctx context.Context, _ Reign) { <-ctx.Done() },
+			Node: "n1", Lead: func(ctx context.Context, _ Term) { <-ctx.Done() },
 		})
 		tm.lease, tm.loaded = 1, true
 		raw, err := joblog.Encode(joblog.Election{Node: "n1", Number: 1, Nonce: tm.nonce})
--- a/internal/term/lease.go
+++ b/internal/term/lease.go
@@ -27,7 +27,7 @@
 const grantTimeout = 400 * time.Millisecond
 
 // join gets a lease and lists the node.
-func (tm *Term) join(ctx context.Context) time.Duration {
+func (tm *Elector) join(ctx context.Context) time.Duration {
 	sent := tm.clock.Now()
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
@@ -50,9 +50,9 @@
 const listTimeout = 150 * time.Millisecond
 
 // list writes the node's key.
-func (tm *Term) list(ctx context.Context) {
+func (tm *Elector) list(ctx context.Context) {
 	raw, err := joblog.Encode(joblog.Member{
-		Node: tm.opts.Node, Peers: tm.opts.Peers, Hall: tm.opts.Hall, Processors: tm.opts.Processors, Link: tm.opts.Link,
+		Node: tm.opts.Node, Peers: tm.opts.PeerAddr, Hall: tm.opts.Hall, Processors: tm.opts.Processors, Link: tm.opts.Link,
 	})
 	if err != nil {
 		tm.log.Error(err, "Node could not be listed.")
@@ -81,7 +81,7 @@
 
 // renew sends a renewal of the lease when one is due. It does not wait: an answer may
 // be lost, and others sent after it still come in time.
-func (tm *Term) renew(ctx context.Context) {
+func (tm *Elector) renew(ctx context.Context) {
 	tm.mu.Lock()
 	lease, due, listed := tm.lease, tm.nextRenewal(), tm.listed
 	sent := tm.clock.Now()
@@ -100,7 +100,7 @@
 }
 
 // keep sends one renewal and takes its outcome in.
-func (tm *Term) keep(ctx context.Context, lease uint64, sent time.Time) {
+func (tm *Elector) keep(ctx context.Context, lease uint64, sent time.Time) {
 	call, cancel := context.WithTimeout(ctx, tm.opts.TTL)
 	defer cancel()
 	err := tm.store.Keep(call, lease)
@@ -118,7 +118,7 @@
 
 // nextRenewal is when the next renewal is to be sent: some time after the last that was answered, and soon after
 // one that was not. The caller holds the lock.
-func (tm *Term) nextRenewal() time.Time {
+func (tm *Elector) nextRenewal() time.Time {
 	due := tm.proof.Add(tm.renewEvery())
 	if again := tm.attempt.Add(tm.ttl / retries); again.After(due) {
 		return again
@@ -128,7 +128,7 @@
 
 // dropLease clears the given lease and ends the reign that depends on it. It does nothing
 // if that is no longer the node's current lease.
-func (tm *Term) dropLease(lease uint64, reason string) {
+func (tm *Elector) dropLease(lease uint64, reason string) {
 	tm.mu.Lock()
 	if tm.lease != lease {
 		tm.mu.Unlock()
@@ -146,7 +146,7 @@
 
 // untilNext returns the time until the next renewal is due, or a candidacy that was left
 // to a stronger node.
-func (tm *Term) untilNext() time.Duration {
+func (tm *Elector) untilNext() time.Duration {
 	tm.mu.Lock()
 	defer tm.mu.Unlock()
 	if tm.lease == 0 {
--- a/internal/term/pace.go
+++ b/internal/term/pace.go
@@ -19,15 +19,15 @@
 
 // share returns the time between two calls of each node by which all of them together use a part of the store's
 // rate, 0 where that is not known. The caller holds the lock.
-func (tm *Term) share(part float64) time.Duration {
-	if tm.opts.Reads <= 0 {
+func (tm *Elector) share(part float64) time.Duration {
+	if tm.opts.ReadRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(len(tm.members)) / (part * tm.opts.Reads) * float64(time.Second))
+	return time.Duration(float64(len(tm.members)) / (part * tm.opts.ReadRate) * float64(time.Second))
 }
 
 // pace is the pause between two looks at the members' keys.
-func (tm *Term) pace() time.Duration {
+func (tm *Elector) pace() time.Duration {
 	tm.mu.Lock()
 	defer tm.mu.Unlock()
 	if tm.stand() < firstToHear {
@@ -38,7 +38,7 @@
 
 // wantedTTL is how long the node's lease should last. The nodes that are the first to plan keep short ones, so
 // that a dead planner is noticed soon; of many others the renewals would use the store's rate up.
-func (tm *Term) wantedTTL() time.Duration {
+func (tm *Elector) wantedTTL() time.Duration {
 	tm.mu.Lock()
 	defer tm.mu.Unlock()
 	if tm.stand() < firstToHear {
@@ -53,7 +53,7 @@
 // lengthens reports whether the node asks for another lease now, since the one that it has is much shorter than
 // it should be. Nodes that learn of each other together wait for a random time, or their calls would be over the
 // store's rate.
-func (tm *Term) lengthens() bool {
+func (tm *Elector) lengthens() bool {
 	const much = 1.5
 	wanted := tm.wantedTTL()
 	tm.mu.Lock()
@@ -71,7 +71,7 @@
 
 // renewEvery is the time between two renewals. A planner has to prove its lease as often as if that was short. The
 // caller holds the lock.
-func (tm *Term) renewEvery() time.Duration {
+func (tm *Elector) renewEvery() time.Duration {
 	if tm.reign != nil {
 		return min(tm.ttl, tm.opts.TTL) / renewals
 	}
@@ -80,7 +80,7 @@
 
 // stand is how many other members come before this node as planners: those with more of a processor, and of
 // equal ones those that come first by name. The caller holds the lock.
-func (tm *Term) stand() int {
+func (tm *Elector) stand() int {
 	count := 0
 	for _, mb := range tm.members {
 		stronger := mb.Processors > tm.opts.Processors
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -24,38 +24,38 @@
 
 // Options of a term.
 type Options struct {
-	Node  string
-	Peers string
-	Hall  string
+	Node     string
+	PeerAddr string
+	Hall     string
 	// Processors is the node's share of a core; nodes with much less than others leave
 	// the planner's place to them.
 	Processors float64
 	// Link is the bandwidth of the node's link in Mbit/s.
 	Link float64
-	// Reads is the store's rate of reading calls for all nodes, a second; 0 where it is not known.
-	Reads float64
+	// ReadRate is the store's rate of reading calls for all nodes, a second; 0 where it is not known.
+	ReadRate float64
 	// TTL of the lease: a planner that dies is replaced after that.
 	TTL time.Duration
-	// Backlog is called with how far the planner is behind, each time it says so;
+	// OnBacklog is called with how far the planner is behind, each time it says so;
 	// nil where nobody wants to know. It must not call back.
-	Backlog func(behind joblog.Behind)
+	OnBacklog func(behind joblog.Behind)
 	// Lead is run while this node is the planner; it ends when its context does.
-	Lead func(ctx context.Context, reign Reign)
+	Lead func(ctx context.Context, reign Term)
 }
 
-// Reign is one node's time as the planner.
-type Reign struct {
+// Term is one node's time as the planner.
+type Term struct {
 	// Token is the fencing token.
 	Token uint64
 	// Number counts the planners of the cell, from 1.
 	Number int
-	// Proven reports whether the reign goes on and its lease surely holds.
-	Proven func() bool
-	// SinceProof is how long ago the last renewal that was answered was sent; after the
+	// LeaseHeld reports whether the reign goes on and its lease surely holds.
+	LeaseHeld func() bool
+	// SinceRenewal is how long ago the last renewal that was answered was sent; after the
 	// reign's end it is longer than any time.
-	SinceProof func() time.Duration
-	// Depose ends the reign, for a reason that the log gets.
-	Depose func(reason string)
+	SinceRenewal func() time.Duration
+	// StepDown ends the reign, for a reason that the log gets.
+	StepDown func(reason string)
 	// Yield does so for another node to plan, where there is one.
 	Yield func(reason string)
 }
@@ -64,8 +64,8 @@
 // that the network has dropped is noticed after that and a second.
 const watchWait = 2 * time.Second
 
-// Term is one node's membership and candidacy.
-type Term struct {
+// Elector is one node's membership and candidacy.
+type Elector struct {
 	opts   Options
 	clock  clockwork.Clock
 	log    logr.Logger
@@ -129,13 +129,13 @@
 }
 
 // New returns a node that is no member yet.
-func New(clock clockwork.Clock, log logr.Logger, st *kv.Store, opts Options) *Term {
-	tm := &Term{
+func New(clock clockwork.Clock, log logr.Logger, st *kv.Store, opts Options) *Elector {
+	tm := &Elector{
 		opts: opts, clock: clock, log: log.WithName("term"), store: st,
 		wake: wake.New(), members: map[string]joblog.Member{}, nonce: newNonce(),
 	}
 	tm.mirror = mirror.New(clock, log, st, mirror.Options{
-		Prefix: joblog.Members, Wait: watchWait, Pace: tm.pace, Changed: tm.changed,
+		Prefix: joblog.Members, Wait: watchWait, PauseFunc: tm.pace, OnChange: tm.changed,
 	})
 	return tm
 }
@@ -146,21 +146,21 @@
 }
 
 // Leader returns who the planner is, and false where none is known.
-func (tm *Term) Leader() (joblog.Election, bool) {
+func (tm *Elector) Leader() (joblog.Election, bool) {
 	tm.mu.Lock()
 	defer tm.mu.Unlock()
 	return tm.leader, tm.leaderAt > 0
 }
 
 // Leading reports whether this node is the planner.
-func (tm *Term) Leading() bool {
+func (tm *Elector) Leading() bool {
 	tm.mu.Lock()
 	defer tm.mu.Unlock()
 	return tm.reign != nil
 }
 
 // Members returns the nodes that are listed.
-func (tm *Term) Members() []joblog.Member {
+func (tm *Elector) Members() []joblog.Member {
 	tm.mu.Lock()
 	defer tm.mu.Unlock()
 	list := make([]joblog.Member, 0, len(tm.members))
@@ -171,7 +171,7 @@
 }
 
 // Run keeps the membership until the context ends.
-func (tm *Term) Run(ctx context.Context) {
+func (tm *Elector) Run(ctx context.Context) {
 	go tm.mirror.Run(ctx)
 	for ctx.Err() == nil {
 		pause := tm.step(ctx)
@@ -185,7 +185,7 @@
 }
 
 // Resign ends a reign in order and takes the node off the members' list.
-func (tm *Term) Resign(ctx context.Context) {
+func (tm *Elector) Resign(ctx context.Context) {
 	tm.mu.Lock()
 	tm.resigned = true
 	lease := tm.lease
@@ -200,7 +200,7 @@
 }
 
 // step does what is due and returns when to look again.
-func (tm *Term) step(ctx context.Context) time.Duration {
+func (tm *Elector) step(ctx context.Context) time.Duration {
 	tm.mu.Lock()
 	resigned, lease := tm.resigned, tm.lease
 	tm.mu.Unlock()
