--- a/internal/home/place.go
+++ b/internal/home/place.go
@@ -116,8 +116,8 @@
 	room, _ := hm.Local.Room()
 	list := []ranking.Owner{{Name: own, Summary: room, Placed: len(have[own]), Local: true}}
 	for _, vw := range hm.Member.Peers() {
-		if name := vw.Node().Name; vw.Heard() && !vw.Node().Leaving {
-			list = append(list, ranking.Owner{Name: name, Summary: vw.Room(), Placed: len(have[name])})
+		if name := vw.Node().Name; vw.Reachable() && !vw.Node().Leaving {
+			list = append(list, ranking.Owner{Name: name, Summary: vw.Summary(), Placed: len(have[name])})
 		}
 	}
 	return list
