--- a/internal/advisor/advisor.go
+++ b/internal/advisor/advisor.go
@@ -27,7 +27,7 @@
 	// Members returns the nodes that are listed.
 	Members func() []joblog.Member
 	// Local asks the advisor from this node.
-	Local func(ctx context.Context, qn cell.Question) (planner.Answer, error)
+	Local func(ctx context.Context, qn cell.AdviceRequest) (planner.Answer, error)
 	// Call asks another node.
 	Call func(ctx context.Context, address string, rq peerlink.Request) (peerlink.Reply, error)
 }
@@ -63,7 +63,7 @@
 )
 
 // Advise asks the advisor from the node that is free soonest.
-func (po *Pool) Advise(ctx context.Context, qn cell.Question) (planner.Answer, error) {
+func (po *Pool) Advise(ctx context.Context, qn cell.AdviceRequest) (planner.Answer, error) {
 	mb, wait, ok := po.choose(qn)
 	if !ok {
 		return planner.Answer{}, fault.New(fault.Full, "the advisor's queues are full")
@@ -83,7 +83,7 @@
 // choose takes the node whose queue is shortest, this one among equals. Questions that
 // are not urgent leave some nodes to the urgent ones, and wait for their turn rather
 // than fill the queues.
-func (po *Pool) choose(qn cell.Question) (joblog.Member, time.Duration, bool) {
+func (po *Pool) choose(qn cell.AdviceRequest) (joblog.Member, time.Duration, bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	now := po.parts.Clock.Now()
--- a/internal/advisor/advisor_test.go
+++ b/internal/advisor/advisor_test.go
@@ -38,7 +38,7 @@
 				}
 				pool := advisor.New(advisor.Parts{
 					Clock: clock, Node: "a", Members: func() []joblog.Member { return members },
-					Local: func(_ context.Context, qn cell.Question) (planner.Answer, error) {
+					Local: func(_ context.Context, qn cell.AdviceRequest) (planner.Answer, error) {
 						ask("a", qn.Takes)
 						return planner.Answer{}, nil
 					},
@@ -50,12 +50,12 @@
 				for range 60 {
 					for range 2 * count {
 						go func() {
-							_, err := pool.Advise(t.Context(), cell.Question{Takes: 900 * time.Millisecond})
+							_, err := pool.Advise(t.Context(), cell.AdviceRequest{Takes: 900 * time.Millisecond})
 							_ = err // a refusal is what many must get here
 						}()
 					}
 					began := time.Now()
-					if _, err := pool.Advise(t.Context(), cell.Question{Takes: 7 * time.Millisecond, Urgent: true}); err != nil {
+					if _, err := pool.Advise(t.Context(), cell.AdviceRequest{Takes: 7 * time.Millisecond, Urgent: true}); err != nil {
 						t.Error(err)
 					}
 					if took := time.Since(began); took > 50*time.Millisecond {
@@ -90,7 +90,7 @@
 				}
 				pool := advisor.New(advisor.Parts{
 					Clock: clockwork.NewRealClock(), Node: "n00", Members: func() []joblog.Member { return members },
-					Local: func(context.Context, cell.Question) (planner.Answer, error) { return ask() },
+					Local: func(context.Context, cell.AdviceRequest) (planner.Answer, error) { return ask() },
 					Call: func(context.Context, string, peerlink.Request) (peerlink.Reply, error) {
 						_, err := ask()
 						return peerlink.Reply{}, err
@@ -98,7 +98,7 @@
 				})
 				for range tt.nodes {
 					go func() {
-						_, err := pool.Advise(t.Context(), cell.Question{Takes: time.Second})
+						_, err := pool.Advise(t.Context(), cell.AdviceRequest{Takes: time.Second})
 						_ = err // those beyond the limit are refused
 					}()
 				}
--- a/internal/cellnode/cellnode.go
+++ b/internal/cellnode/cellnode.go
@@ -45,7 +45,7 @@
 	ConfigKey    string
 	DecodeConfig func(item kv.Item) (*routes.Config, error)
 	// Advise asks the advisor from this node; nil where there is none.
-	Advise func(ctx context.Context, qn cell.Question) (planner.Answer, error)
+	Advise func(ctx context.Context, qn cell.AdviceRequest) (planner.Answer, error)
 }
 
 // Times of a node.
--- a/internal/cellnode/requests.go
+++ b/internal/cellnode/requests.go
@@ -181,7 +181,7 @@
 	return peerlink.Reply{}, fault.New(fault.BadRequest, "request asks for nothing")
 }
 
-func (nd *Node) advise(ctx context.Context, qn cell.Question) (planner.Answer, error) {
+func (nd *Node) advise(ctx context.Context, qn cell.AdviceRequest) (planner.Answer, error) {
 	if nd.adapter.Advise == nil {
 		return planner.Answer{}, fault.New(fault.Unavailable, "the deployment has no advisor")
 	}
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -30,7 +30,7 @@
 	// Pending asks for the number of a queue's jobs that have not begun.
 	Pending string `cbor:"2,keyasint,omitempty"`
 	// Advise asks the node to put a question to the advisor.
-	Advise *cell.Question `cbor:"3,keyasint,omitempty"`
+	Advise *cell.AdviceRequest `cbor:"3,keyasint,omitempty"`
 	// Submit is a job to accept, Cancel the id of a job to cancel.
 	Submit *work.Job `cbor:"4,keyasint,omitempty"`
 	Cancel string    `cbor:"5,keyasint,omitempty"`
--- a/internal/peerlink/silence_test.go
+++ b/internal/peerlink/silence_test.go
@@ -217,7 +217,7 @@
 	pool := advisor.New(advisor.Parts{
 		Clock: clockwork.NewRealClock(), Node: "near", Call: pr.near.Call,
 		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", Peers: pr.path.Address()}} },
-		Local: func(ctx context.Context, _ cell.Question) (planner.Answer, error) {
+		Local: func(ctx context.Context, _ cell.AdviceRequest) (planner.Answer, error) {
 			<-ctx.Done() // another node is to answer
 			return planner.Answer{}, ctx.Err()
 		},
@@ -229,7 +229,7 @@
 		var mu sync.Mutex
 		for range 2 { // the first goes to this node, which is left alone then
 			group.Go(func() {
-				if _, err := pool.Advise(t.Context(), cell.Question{Takes: takes, Urgent: true}); err == nil {
+				if _, err := pool.Advise(t.Context(), cell.AdviceRequest{Takes: takes, Urgent: true}); err == nil {
 					mu.Lock()
 					defer mu.Unlock()
 					answered++
--- a/internal/planner/collect.go
+++ b/internal/planner/collect.go
@@ -93,7 +93,7 @@
 func (ld *lead) removable() [][]string {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	if !ld.loaded || !ld.cell.Settled() {
+	if !ld.loaded || !ld.cell.Recovered() {
 		return nil
 	}
 	var keys []string
@@ -119,7 +119,7 @@
 
 func (ld *lead) anyKnown(ids []string) bool {
 	for _, id := range ids {
-		if ld.cell.Known(id) {
+		if ld.cell.Retains(id) {
 			return true
 		}
 	}
@@ -132,7 +132,7 @@
 func (ld *lead) needed(key string, recs []cell.Record) bool {
 	own := key >= joblog.RecordKey(ld.reign.Token, 0)
 	for _, rec := range recs {
-		if rec.Job != "" && (ld.cell.Known(rec.Job) || ld.batches.held[rec.Job] > 0) {
+		if rec.Job != "" && (ld.cell.Retains(rec.Job) || ld.batches.held[rec.Job] > 0) {
 			return true
 		}
 		if known, _ := ld.cell.Listed(rec.Worker); rec.Worker != "" && !rec.Stop && own && known {
--- a/internal/planner/effort.go
+++ b/internal/planner/effort.go
@@ -59,8 +59,8 @@
 	if ef.ended > 0 {
 		each = ef.took / time.Duration(ef.ended)
 	}
-	_, waiting, _ := ld.cell.Sizes()
-	window, _ := ld.cell.Window()
+	_, waiting, _ := ld.cell.Counts()
+	window, _ := ld.cell.StartWindow()
 	ld.log.Info("Planner's effort.", "over", (now - ef.since).String(), "plans", ef.plans, "planned", ef.planned.String(),
 		"steps_waiting", waiting, "starts", ef.sent, "window", window, "in_flight", ef.inFlight, "most_in_flight", ef.most,
 		"start_took", each.String(), "refused", ef.refused, "holds", ef.holds, "questions", ef.questions,
--- a/internal/planner/gather.go
+++ b/internal/planner/gather.go
@@ -35,6 +35,6 @@
 	ld := se.lead
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	_, waits = ld.cell.Noted(se.life)
+	_, waits = ld.cell.AckedEnd(se.life)
 	return waits, ld.committed
 }
--- a/internal/planner/lead.go
+++ b/internal/planner/lead.go
@@ -126,9 +126,9 @@
 		old: map[life.Life]bool{}, earlier: map[string][]life.Life{},
 		holdLimiter: newHoldLimiter(pt.Clock), wake: wake.New(), journaled: make(chan struct{}), committed: make(chan struct{}),
 		cell: cell.New(cell.Options{
-			Keep:     pt.Site.Bounds.KeepEnded,
-			FirstRun: (reign.Number-1)*runsAReign + 1, StopTime: pt.Site.Bounds.StopTime,
-			FirstWindow: firstWindow,
+			Retention: pt.Site.Bounds.KeepEnded,
+			FirstRun:  (reign.Number-1)*runsAReign + 1, StopTimeout: pt.Site.Bounds.StopTime,
+			InitialWindow: firstWindow,
 		}),
 	}
 	ld.staleList = max(cmp.Or(pt.Site.Bounds.Contact, usualContact)-listSlack, listSlack)
@@ -202,7 +202,7 @@
 	if err := ld.fresh(); err != nil {
 		return 0, err
 	}
-	return ld.cell.Pending(queue), nil
+	return ld.cell.QueuedJobs(queue), nil
 }
 
 // knowsRoom reports whether the list of workers is fresh enough to start tasks by it.
@@ -222,7 +222,7 @@
 func (ld *lead) reroute() {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	ld.cell.Reroute(ld.parts.Queue)
-	ld.cell.SetWorkspaces(ld.parts.Workspace)
+	ld.cell.UpdateQueues(ld.parts.Queue)
+	ld.cell.UpdateWorkspaces(ld.parts.Workspace)
 	ld.kick()
 }
--- a/internal/planner/lives.go
+++ b/internal/planner/lives.go
@@ -35,7 +35,7 @@
 	if se.doubted {
 		return 0
 	}
-	number, _ := se.lead.cell.Noted(se.life)
+	number, _ := se.lead.cell.AckedEnd(se.life)
 	return number
 }
 
@@ -59,7 +59,7 @@
 		return
 	}
 	ld.log.Info("Worker's entry is of another life.", "worker", se.life, "entry", en.ID)
-	ld.cell.Silent(ld.now(), se.life)
+	ld.cell.Unreachable(ld.now(), se.life)
 	se.ask()
 }
 
@@ -94,12 +94,12 @@
 	}
 	en.ID, se.other = next, nil
 	ld.passOn(se.life, next)
-	se.over(now, func() { ld.cell.Follow(now, se.life, next) })
+	se.over(now, func() { ld.cell.Restarted(now, se.life, next) })
 	if listed {
 		ld.begin(en)
 		return
 	}
-	ld.cell.Inherit(now, next, nil)
+	ld.cell.InheritRuns(now, next, nil)
 	ld.hold(en)
 }
 
@@ -126,7 +126,7 @@
 	for _, lf := range ld.earlier[se.life.ID()] {
 		if _, old := ld.old[lf]; old && lf != se.life {
 			ld.log.Info("Worker's life is over.", "worker", lf)
-			ld.cell.Over(now, lf)
+			ld.cell.Replaced(now, lf)
 			delete(ld.old, lf)
 		}
 	}
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -122,10 +122,10 @@
 		if rec.Gone {
 			continue
 		}
-		ld.cell.Inherit(now, id, rec.Held)
+		ld.cell.InheritRuns(now, id, rec.Held)
 		ld.cell.InheritStops(now, id, stops[id])
-		if rec.Left {
-			ld.cell.InheritLeft(now, id)
+		if rec.Departed {
+			ld.cell.InheritDeparted(now, id)
 		}
 		ld.old[id] = !rec.Closed
 		ld.earlier[id.ID()] = append(ld.earlier[id.ID()], id)
@@ -150,8 +150,8 @@
 			open++
 		}
 	}
-	if open == 0 && !ld.cell.Settled() {
-		ld.cell.Settle()
+	if open == 0 && !ld.cell.Recovered() {
+		ld.cell.FinishRecovery()
 		ld.log.Info("Whereabouts of all tasks are known.", "after", now.String(), "silent", len(ld.old))
 	}
 }
@@ -165,6 +165,6 @@
 
 func (ld *lead) lapseOld(now time.Duration, id life.Life) {
 	delete(ld.old, id)
-	ld.cell.Lapsed(now, id)
+	ld.cell.LeaseExpired(now, id)
 	ld.log.Info("Worker of an earlier planner has lapsed.", "worker", id)
 }
--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -34,7 +34,7 @@
 	se, deadline, ok := ld.prepare(sr)
 	if !ok || !ld.mayStart() {
 		ld.after(func(now time.Duration) {
-			ld.effort.end(now-sr.Decided, cell.RefusedLate)
+			ld.effort.end(now-sr.DecidedAt, cell.RefusedLate)
 			ld.cell.Refused(now, sr, cell.RefusedLate)
 		})
 		ld.log.Info("Start was not sent.", "task", sr.Task.String(), "run", sr.Run, "worker", sr.Worker)
@@ -55,7 +55,7 @@
 	took := ld.clock.Since(sent)
 	ld.measures.start(took, refusal, err)
 	ld.after(func(now time.Duration) {
-		ld.effort.end(now-sr.Decided, refusal)
+		ld.effort.end(now-sr.DecidedAt, refusal)
 		if tries > 1 {
 			ld.cell.StartDelayed(sr)
 		}
@@ -69,7 +69,7 @@
 			// the worker is not to be attributed to it.
 			ld.cell.Refused(now, sr, cell.RefusedLate)
 		default:
-			ld.cell.StartLost(now, sr)
+			ld.cell.StartUnconfirmed(now, sr)
 		}
 	})
 	ld.log.Info("Start.", "task", sr.Task.String(), "run", sr.Run, "worker", sr.Worker,
@@ -92,7 +92,7 @@
 func (ld *lead) stands(sr cell.Start) bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	return ld.cell.Stands(sr)
+	return ld.cell.StartValid(sr)
 }
 
 // prepare returns what a start needs: its worker's session, and the deadline that the worker's lease
@@ -101,7 +101,7 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	se, ok := ld.sessions[sr.Worker]
-	if !ok || !se.answered || !ld.cell.Stands(sr) {
+	if !ok || !se.answered || !ld.cell.StartValid(sr) {
 		return nil, 0, false
 	}
 	return se, se.extend(ld.now()), true
@@ -156,8 +156,8 @@
 		return
 	}
 	ld.orderFailed(se, err)
-	if loop.Pause(ld.ctx, ld.clock, stopPause.After(sp.Tries)) {
-		ld.after(func(time.Duration) { ld.cell.StopLost(sp) })
+	if loop.Pause(ld.ctx, ld.clock, stopPause.After(sp.Attempts)) {
+		ld.after(func(time.Duration) { ld.cell.StopUnconfirmed(sp) })
 	}
 }
 
@@ -172,12 +172,12 @@
 	ld.log.Info("Pace.", "task", pc.Task.String(), "run", pc.Run, "worker", pc.Worker, "percent", pc.Percent, "error", text(err))
 	if err != nil {
 		ld.orderFailed(se, err)
-		ld.after(func(time.Duration) { ld.cell.PaceLost(pc) })
+		ld.after(func(time.Duration) { ld.cell.PaceUnconfirmed(pc) })
 	}
 }
 
 // advise asks one question.
-func (ld *lead) advise(qn cell.Question) {
+func (ld *lead) advise(qn cell.AdviceRequest) {
 	sent := ld.clock.Now()
 	answer, err := ld.parts.Advise(ld.ctx, qn)
 	took := ld.clock.Since(sent)
@@ -186,11 +186,11 @@
 	ld.after(func(now time.Duration) {
 		switch {
 		case busy:
-			ld.cell.PutOff(now, qn)
+			ld.cell.AdviceDeferred(now, qn)
 		case err != nil:
-			ld.cell.Unadvised(now, qn)
+			ld.cell.AdviceFailed(now, qn)
 		default:
-			ld.cell.Advised(now, qn, answer.Tickets, answer.Valid)
+			ld.cell.AddAdvice(now, qn, answer.Tickets, answer.Valid)
 		}
 	})
 	if busy {
--- a/internal/planner/planloop.go
+++ b/internal/planner/planloop.go
@@ -28,7 +28,7 @@
 		case <-timer.Chan():
 			ld.tick()
 		}
-		if !loop.Pause(ctx, ld.clock, cell.Rest(ld.plan(), planGap)) {
+		if !loop.Pause(ctx, ld.clock, cell.PlanPause(ld.plan(), planGap)) {
 			return
 		}
 	}
@@ -54,14 +54,14 @@
 	ld.tellLosses()
 	ld.tellEffort(now)
 	ld.tellBacklog(now)
-	jobs, waiting, workers := ld.cell.Sizes()
+	jobs, waiting, workers := ld.cell.Counts()
 	ld.measures.gauge("planner.jobs", jobs)
 	ld.measures.gauge("planner.steps_waiting", waiting)
 	ld.measures.gauge("planner.workers", workers)
-	oldest, kept := ld.cell.Oldest(now)
+	oldest, kept := ld.cell.OldestWait(now)
 	ld.measures.gauge("planner.oldest_wait_ms", int(oldest.Milliseconds()))
 	ld.measures.gauge("planner.workers_kept_free", kept)
-	ld.measures.gauge("planner.workers_resting", ld.cell.Resting(now))
+	ld.measures.gauge("planner.workers_resting", ld.cell.Quarantined(now))
 }
 
 // plan decides, if the reign may start tasks, and has the orders carried out. It returns
@@ -84,7 +84,7 @@
 
 // flush carries out what the cell wants done. The caller holds the lock.
 func (ld *lead) flush() {
-	out := ld.cell.Take()
+	out := ld.cell.TakeOutput()
 	ld.records.add(out.Records)
 	for _, rec := range out.Records {
 		if rec.Phase.Ended() {
@@ -99,7 +99,7 @@
 	for _, sp := range out.Stops {
 		ld.spawn(func() { ld.stop(sp) })
 	}
-	for _, id := range out.Asks {
+	for _, id := range out.ReportRequests {
 		if se, ok := ld.sessions[id]; ok {
 			se.ask()
 		}
@@ -107,8 +107,8 @@
 	for _, pc := range out.Paces {
 		ld.spawn(func() { ld.setPace(pc) })
 	}
-	ld.effort.questions += len(out.Questions)
-	for _, qn := range out.Questions {
+	ld.effort.questions += len(out.AdviceRequests)
+	for _, qn := range out.AdviceRequests {
 		ld.spawn(func() { ld.advise(qn) })
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -50,7 +50,7 @@
 	WorkersPrefix string
 	DecodeWorker  func(item kv.Item) (Entry, error)
 	// Advise asks the advisor through the node that is free soonest.
-	Advise func(ctx context.Context, qn cell.Question) (Answer, error)
+	Advise func(ctx context.Context, qn cell.AdviceRequest) (Answer, error)
 	// Serves reports whether the configuration sends any queue to a service.
 	Serves func(service string) bool
 	// Queue returns the present settings of a queue, or false where its route is gone.
--- a/internal/planner/records.go
+++ b/internal/planner/records.go
@@ -76,7 +76,7 @@
 		ld.mu.Lock()
 		ld.records.keep(joblog.RecordKey(ld.reign.Token, n), recs)
 		ld.records.open = ld.records.open[len(recs):]
-		ld.cell.Committed(upTo)
+		ld.cell.SetCommitted(upTo)
 		close(ld.committed)
 		ld.committed = make(chan struct{})
 		if len(ld.records.open) > 0 {
--- a/internal/planner/roster.go
+++ b/internal/planner/roster.go
@@ -83,7 +83,7 @@
 
 // serves reports whether the configuration or a job names the service.
 func (ld *lead) serves(service string) bool {
-	return ld.parts.Serves(service) || ld.cell.Serving(service)
+	return ld.parts.Serves(service) || ld.cell.UsesService(service)
 }
 
 // relist lists the workers whose services have come into use.
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -161,7 +161,7 @@
 		return agent.Hold{}, 0, false
 	}
 	ld.effort.holds++
-	_, waits := ld.cell.Noted(se.life)
+	_, waits := ld.cell.AckedEnd(se.life)
 	hold, slack = agent.Hold{Token: se.token, Noted: se.noted()}, holdSlack
 	if se.answered && !se.silent {
 		// A worker that is silent is only asked: a lease that is renewed without an
@@ -170,7 +170,7 @@
 	}
 	if se.answered && !waits && !se.silent {
 		hold.Wait = holdWait
-		if ld.cell.Serves(se.life) {
+		if ld.cell.HasLatencyTarget(se.life) {
 			hold.Wait = serveWait
 		}
 		if ld.losses.many() {
@@ -231,18 +231,18 @@
 	}
 	se.silent = true
 	ld.measures.count("planner.holds_failed")
-	ld.cell.Silent(now, se.life)
+	ld.cell.Unreachable(now, se.life)
 	if !se.lapsed(now) {
 		return
 	}
 	if se.other != nil {
 		ld.cell.Deregister(se.life) // its entry is of another life by now
 	}
-	if ld.cell.Holds(se.life) {
+	if ld.cell.MayHoldRuns(se.life) {
 		ld.log.Info("Worker's lease is over.", "worker", se.life, "silent_for", (now - se.heard).String())
 	}
 	delete(ld.old, se.life)
-	se.lose(func() { ld.cell.Lapsed(now, se.life) })
+	se.lose(func() { ld.cell.LeaseExpired(now, se.life) })
 	se.answered = false
 	se.heard = now
 	if known, _ := ld.cell.Listed(se.life); !known {
@@ -256,7 +256,7 @@
 // dead notes that the life is over, and nobody knows of another one of the worker. The caller holds
 // the lock.
 func (se *session) dead(now time.Duration) {
-	se.over(now, func() { se.lead.cell.Over(now, se.life) })
+	se.over(now, func() { se.lead.cell.Replaced(now, se.life) })
 }
 
 // over ends the session, as the life is over. The caller holds the lock.
@@ -277,14 +277,14 @@
 // lock.
 func (se *session) lose(takeIn func()) {
 	ld := se.lead
-	held := ld.cell.Held(se.life)
+	held := ld.cell.HeldRuns(se.life)
 	takeIn()
 	if len(held) == 0 {
 		return
 	}
 	ld.measures.count("planner.workers_lost_with_runs")
 	for _, rn := range held {
-		crashes, blamed := ld.cell.Crashes(rn.Task)
+		crashes, blamed := ld.cell.CrashCounts(rn.Task)
 		ld.log.Info("Run is lost with its worker.", "task", rn.Task.String(), "run", rn.Number, "worker", se.life,
 			"crashes", crashes, "blamed", blamed)
 	}
--- a/internal/planner/waits.go
+++ b/internal/planner/waits.go
@@ -18,10 +18,10 @@
 		return
 	}
 	ld.told = now
-	for _, wt := range ld.cell.Waits(now, waitsLeast, waitsMost) {
-		ld.log.Info("Step waits.", "step", wt.Step.StepName(), "for", wt.For.String(), "tasks", wt.Tasks,
-			"placed", wt.Placed, "asking", wt.Asking, "asked", wt.Asked, "allowed", wt.Allowed, "room", wt.Room,
-			"kept_free", wt.Claimed, "tickets", wt.Tickets, "questions", wt.Questions, "unanswered", wt.Unanswered, "late", wt.Late,
+	for _, wt := range ld.cell.LongestWaiting(now, waitsLeast, waitsMost) {
+		ld.log.Info("Step waits.", "step", wt.Step.StepName(), "for", wt.Waited.String(), "tasks", wt.Tasks,
+			"placed", wt.Placed, "asking", wt.AdvicePending, "asked", wt.Asked, "allowed", wt.Allowed, "room", wt.Startable,
+			"kept_free", wt.Reserved, "tickets", wt.Tickets, "questions", wt.Questions, "unanswered", wt.Unanswered, "late", wt.Late,
 			"workspace", wt.Use.Workspace.Name, "at_limit", wt.AtLimit, "excess", wt.Excess,
 			"running", wt.Use.Running.String(), "limit", wt.Use.Workspace.Limit.String())
 	}
@@ -33,7 +33,7 @@
 func (ld *lead) measureLimits() {
 	const nearly = 0.9
 	near, over := 0, 0
-	for _, use := range ld.cell.Workspaces() {
+	for _, use := range ld.cell.WorkspaceUsages() {
 		if _, exceeds := use.Workspace.Exceeds(use.Running); exceeds {
 			over++
 		}
--- a/internal/standin/memworkers/memworkers.go
+++ b/internal/standin/memworkers/memworkers.go
@@ -272,7 +272,7 @@
 			refusal = cell.RefusedLate
 			return nil
 		case sr.Run <= wk.fenced[sr.Task]:
-			refusal = cell.RefusedOld
+			refusal = cell.RefusedStale
 			return nil
 		}
 		fl.check(wk, sr)
--- a/policy/cell/advice.go
+++ b/policy/cell/advice.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// Advised takes in the answer to a question: the rows are good for a time from now.
-func (cl *Cell) Advised(now time.Duration, qn Question, rows []Ticket, valid time.Duration) {
+// AddAdvice takes in the answer to a question: the rows are good for a time from now.
+func (cl *Cell) AddAdvice(now time.Duration, qn AdviceRequest, rows []Ticket, valid time.Duration) {
 	st := cl.step(qn.Step)
 	if st == nil {
 		return
@@ -125,8 +125,8 @@
 // minGood keeps the expected share of allowed workers above zero.
 const minGood = 0.05
 
-// Unadvised takes in that a question was not answered.
-func (cl *Cell) Unadvised(now time.Duration, qn Question) {
+// AdviceFailed takes in that a question was not answered.
+func (cl *Cell) AdviceFailed(now time.Duration, qn AdviceRequest) {
 	if st := cl.step(qn.Step); st != nil {
 		st.advice.open--
 		st.advice.unanswered++
@@ -134,8 +134,8 @@
 	}
 }
 
-// PutOff takes in that a question was not put, since the advisor is busy.
-func (cl *Cell) PutOff(now time.Duration, qn Question) {
+// AdviceDeferred takes in that a question was not put, since the advisor is busy.
+func (cl *Cell) AdviceDeferred(now time.Duration, qn AdviceRequest) {
 	if st := cl.step(qn.Step); st != nil {
 		st.advice.open--
 		st.advice.unanswered++
--- a/policy/cell/advice_test.go
+++ b/policy/cell/advice_test.go
@@ -22,7 +22,7 @@
 	whole := size.New(64000, 100, 0)
 	submit(cl, "gang", work.Step{Count: 2, Gang: true, Need: whole}, work.Queue{Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1})
 	cl.Plan(0)
-	questions := cl.Take().Questions
+	questions := cl.TakeOutput().AdviceRequests
 	is.Equal(len(questions), 1)
 	asked := map[life.Life]bool{}
 	var rows []cell.Ticket
@@ -30,7 +30,7 @@
 		asked[id] = true
 		rows = append(rows, cell.Ticket{Worker: id, Text: "t"})
 	}
-	cl.Advised(0, questions[0], rows, 0) // allowed, but the tickets are over
+	cl.AddAdvice(0, questions[0], rows, 0) // allowed, but the tickets are over
 	for n := range workers {
 		if id := life.Life(fmt.Sprintf("w%03d", n)); asked[id] {
 			// a run of another job that the worker had already
@@ -39,7 +39,7 @@
 		}
 	}
 	cl.Plan(time.Second)
-	questions = cl.Take().Questions
+	questions = cl.TakeOutput().AdviceRequests
 	is.Equal(len(questions), 1)
 	for _, id := range questions[0].Workers {
 		is.True(!asked[id])
@@ -58,7 +58,7 @@
 	submit(cl, "soon", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: time.Second}, plain)
 	submit(cl, "late", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: time.Minute}, plain)
 	cl.Plan(0)
-	running := cl.Take().Starts
+	running := cl.TakeOutput().Starts
 	is.Equal(len(running), 4)
 	for _, sr := range running {
 		cl.Started(0, sr)
@@ -72,7 +72,7 @@
 			continue
 		}
 		cl.Plan(now)
-		is.Equal(len(cl.Take().Starts), 0)
+		is.Equal(len(cl.TakeOutput().Starts), 0)
 		now += 100 * time.Millisecond
 		var still []cell.Run
 		for _, other := range running {
@@ -83,10 +83,10 @@
 		cl.Report(now, sr.Worker, now, still, []cell.End{{Seq: 1, Run: cell.Run{Task: sr.Task, Number: sr.Run}, Result: cell.ResultDone}})
 	}
 	cl.Plan(now)
-	for _, sr := range cl.Take().Starts {
+	for _, sr := range cl.TakeOutput().Starts {
 		is.Equal(sr.Task.Job, "gang")
 	}
-	is.Equal(cl.Waits(now, 0, 9)[0].Step.Job, "patient")
+	is.Equal(cl.LongestWaiting(now, 0, 9)[0].Step.Job, "patient")
 }
 
 // TestQuestionsAreWorthTheirTime checks how many workers a question for one task names:
@@ -109,7 +109,7 @@
 				Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1, AdviceBase: tt.base, AdviceEach: tt.each,
 			})
 			cl.Plan(0)
-			questions := cl.Take().Questions
+			questions := cl.TakeOutput().AdviceRequests
 			is.Equal(len(questions), 1)
 			is.Equal(len(questions[0].Workers), tt.want)
 		})
--- a/policy/cell/asking.go
+++ b/policy/cell/asking.go
@@ -234,7 +234,7 @@
 		cl.asked++
 	}
 	qu := st.round.job.spec.Queue
-	cl.out.Questions = append(cl.out.Questions, Question{
+	cl.out.AdviceRequests = append(cl.out.AdviceRequests, AdviceRequest{
 		Step:    work.Task{Job: st.round.job.spec.ID, Round: st.round.num, Step: st.num},
 		Workers: names, Urgent: st.urgent(),
 		Takes: qu.AdviceBase + time.Duration(len(names))*qu.AdviceEach,
--- a/policy/cell/bed_test.go
+++ b/policy/cell/bed_test.go
@@ -115,12 +115,12 @@
 func (bd *bed) elect() {
 	bd.reign++
 	bd.cell = cell.New(cell.Options{
-		Keep: 2 * time.Minute, FirstRun: (bd.reign-1)*64 + 1, StopTime: stopTime,
+		Retention: 2 * time.Minute, FirstRun: (bd.reign-1)*64 + 1, StopTimeout: stopTime,
 	})
 	for _, jb := range bd.jobs {
 		bd.cell.Add(bd.now, jb, true)
 	}
-	bd.cell.SetWorkspaces(bd.workspace)
+	bd.cell.UpdateWorkspaces(bd.workspace)
 	for _, id := range bd.cancels {
 		bd.cell.Cancel(bd.now, id, "")
 	}
@@ -142,7 +142,7 @@
 		}
 		bd.cell.PutWorker(bd.now, wk.Worker)
 		if rec.Closed {
-			bd.cell.Inherit(bd.now, id, rec.Held)
+			bd.cell.InheritRuns(bd.now, id, rec.Held)
 		} else {
 			wk.silent = 0 // the runtime waits for such a worker
 			if bd.slowElect > 0 && bd.rd.IntN(2) == 0 {
@@ -167,8 +167,8 @@
 			delete(bd.unheard, id)
 		}
 	}
-	if len(bd.unheard) == 0 && !bd.cell.Settled() {
-		bd.cell.Settle()
+	if len(bd.unheard) == 0 && !bd.cell.Recovered() {
+		bd.cell.FinishRecovery()
 	}
 }
 
@@ -182,7 +182,7 @@
 	ws := bd.workspaces[name]
 	bd.allowed[name] = limit.Max(ws.Limit)
 	bd.workspaces[name] = work.Workspace{Name: name, Weight: 1, Limit: limit, Version: ws.Version + 1}
-	bd.cell.SetWorkspaces(bd.workspace)
+	bd.cell.UpdateWorkspaces(bd.workspace)
 	bd.later = append(bd.later, timed{bd.now + underWay, func() { bd.allowed[name] = bd.workspaces[name].Limit }})
 }
 
@@ -216,7 +216,7 @@
 // silence lets a worker fall silent for a while.
 func (bd *bed) silence(id life.Life, span time.Duration) {
 	bd.workers[id].silent = bd.now + span
-	bd.cell.Silent(bd.now, id)
+	bd.cell.Unreachable(bd.now, id)
 }
 
 func (bd *bed) ids() []life.Life {
@@ -252,7 +252,7 @@
 func (bd *bed) report(id life.Life) {
 	wk := bd.workers[id]
 	wk.token = bd.reign
-	noted, _ := bd.cell.Noted(id)
+	noted, _ := bd.cell.AckedEnd(id)
 	wk.ends = slices.DeleteFunc(wk.ends, func(en cell.End) bool { return en.Seq <= noted })
 	var runs []cell.Run
 	for name, rn := range wk.runs {
@@ -302,7 +302,7 @@
 		for _, sp := range out.Stops {
 			bd.stop(sp)
 		}
-		for _, qn := range out.Questions {
+		for _, qn := range out.AdviceRequests {
 			bd.answer(qn)
 		}
 	}
@@ -311,9 +311,9 @@
 // orders yields what a cell wants done until there is nothing more, and writes its records.
 func orders(cl *cell.Cell, journal *[]cell.Record) iter.Seq[cell.Output] {
 	return func(yield func(cell.Output) bool) {
-		for out := cl.Take(); !out.Empty(); out = cl.Take() {
+		for out := cl.TakeOutput(); !out.Empty(); out = cl.TakeOutput() {
 			*journal = append(*journal, out.Records...)
-			cl.Committed(cl.Recorded())
+			cl.SetCommitted(cl.RecordCount())
 			if !yield(out) {
 				return
 			}
@@ -322,20 +322,20 @@
 }
 
 // answer allows every second worker.
-func (bd *bed) answer(qn cell.Question) {
+func (bd *bed) answer(qn cell.AdviceRequest) {
 	var rows []cell.Ticket
 	for _, id := range qn.Workers {
 		if name := id.ID(); int(name[len(name)-1])%2 == 0 {
 			rows = append(rows, cell.Ticket{Worker: id, Text: qn.Step.StepName() + "/" + string(id)})
 		}
 	}
-	bd.cell.Advised(bd.now, qn, rows, 1500*time.Millisecond)
+	bd.cell.AddAdvice(bd.now, qn, rows, 1500*time.Millisecond)
 }
 
 func (bd *bed) start(sr cell.Start) {
 	reign := bd.reign
 	if bd.rd.Float64() < bd.faults {
-		bd.cell.StartLost(bd.now, sr)
+		bd.cell.StartUnconfirmed(bd.now, sr)
 		if bd.rd.IntN(2) == 0 {
 			bd.late = append(bd.late, func() { bd.carryStart(sr, reign) })
 		}
@@ -347,13 +347,13 @@
 		return
 	}
 	if bd.quiet(wk) {
-		bd.cell.StartLost(bd.now, sr)
+		bd.cell.StartUnconfirmed(bd.now, sr)
 		return
 	}
 	if bd.bad[sr.Task.Job] {
 		bd.check(wk, sr, bd.job(sr.Task.Job), bd.job(sr.Task.Job).Steps[sr.Task.Step])
 		bd.crashed[sr.Task]++
-		bd.cell.StartLost(bd.now, sr)
+		bd.cell.StartUnconfirmed(bd.now, sr)
 		bd.crashForNow(sr.Worker)
 		return
 	}
@@ -374,7 +374,7 @@
 		return ""
 	}
 	if sr.Run <= wk.fenced[sr.Task] {
-		return cell.RefusedOld
+		return cell.RefusedStale
 	}
 	jb := bd.job(sr.Task.Job)
 	step := jb.Steps[sr.Task.Step]
@@ -438,7 +438,7 @@
 		reign := bd.reign
 		bd.late = append(bd.late, func() {
 			if reign == bd.reign {
-				bd.cell.StopLost(sp)
+				bd.cell.StopUnconfirmed(sp)
 			}
 		})
 		return
@@ -543,9 +543,9 @@
 	wk := bd.workers[id]
 	wk.dead = true
 	wk.runs, wk.stopping = map[work.Task]*fakeRun{}, map[work.Task]*fakeRun{}
-	bd.cell.Silent(bd.now, id)
+	bd.cell.Unreachable(bd.now, id)
 	bd.cell.Deregister(id)
-	bd.cell.Lapsed(bd.now, id)
+	bd.cell.LeaseExpired(bd.now, id)
 }
 
 // awayFor is how long a worker that crashed is usually away before another one is in its place.
@@ -563,16 +563,16 @@
 	wk.crashed = true
 	wk.runs, wk.stopping = map[work.Task]*fakeRun{}, map[work.Task]*fakeRun{}
 	if !bd.again || bd.away > 0 {
-		bd.cell.Silent(bd.now, id) // nobody notices one that is back at once
+		bd.cell.Unreachable(bd.now, id) // nobody notices one that is back at once
 	}
 	bd.later = append(bd.later, timed{bd.now + bd.away, func() {
 		wk.dead = true
 		next := life.Life(fmt.Sprintf("%s.%d%c", id[:3], len(bd.workers), id[len(id)-1]))
 		if bd.again {
 			next = life.Of(id.ID(), id.Born()+1)
-			bd.cell.Follow(bd.now, id, next)
+			bd.cell.Restarted(bd.now, id, next)
 		} else {
-			bd.cell.Over(bd.now, id)
+			bd.cell.Replaced(bd.now, id)
 		}
 		bd.addWorker(next)
 		bd.workers[next].Rack = wk.Rack
--- a/policy/cell/busyday_test.go
+++ b/policy/cell/busyday_test.go
@@ -168,7 +168,7 @@
 func (bd *busyDay) elect() {
 	bd.dark = false
 	bd.reign++
-	bd.cell = cell.New(cell.Options{Keep: 2 * time.Minute, FirstRun: (bd.reign-1)*64 + 1, StopTime: stopTime})
+	bd.cell = cell.New(cell.Options{Retention: 2 * time.Minute, FirstRun: (bd.reign-1)*64 + 1, StopTimeout: stopTime})
 	for _, ar := range bd.order {
 		bd.cell.AddAged(bd.now, bd.now-ar.at, ar.spec)
 	}
@@ -178,8 +178,8 @@
 		bd.report(id, bd.kept[id])
 	}
 	clear(bd.kept)
-	bd.cell.Committed(bd.cell.Recorded())
-	bd.cell.Settle()
+	bd.cell.SetCommitted(bd.cell.RecordCount())
+	bd.cell.FinishRecovery()
 	bd.carryOut()
 }
 
@@ -258,7 +258,7 @@
 		for _, sp := range out.Stops {
 			bd.stop(sp)
 		}
-		for _, qn := range out.Questions {
+		for _, qn := range out.AdviceRequests {
 			bd.ask(qn)
 		}
 	}
@@ -339,7 +339,7 @@
 
 // ask puts a question to the node that is free soonest, or refuses it where all have
 // too much to do.
-func (bd *busyDay) ask(qn cell.Question) {
+func (bd *busyDay) ask(qn cell.AdviceRequest) {
 	nodes, most := bd.asks, askLongest
 	if !qn.Urgent {
 		nodes, most = bd.asks[min(askReserved, len(bd.asks)/3):], askPatience
@@ -353,7 +353,7 @@
 	wait := max(nodes[best]-bd.now, 0)
 	if wait > most {
 		bd.misses++
-		bd.cell.PutOff(bd.now, qn)
+		bd.cell.AdviceDeferred(bd.now, qn)
 		return
 	}
 	bd.questions++
@@ -377,7 +377,7 @@
 			answered(rows)
 			return
 		}
-		bd.cell.Advised(bd.now, qn, rows, ticketValid)
+		bd.cell.AddAdvice(bd.now, qn, rows, ticketValid)
 	})
 }
 
--- a/policy/cell/cell.go
+++ b/policy/cell/cell.go
@@ -17,16 +17,16 @@
 
 // Options of a cell.
 type Options struct {
-	// Keep is how long an ended job can still be asked for.
-	Keep time.Duration
+	// Retention is how long an ended job can still be asked for.
+	Retention time.Duration
 	// FirstRun is the lowest number of a run that this planner starts.
 	FirstRun int
-	// FirstWindow is how many starts may be under way at first; it follows how fast they
+	// InitialWindow is how many starts may be under way at first; it follows how fast they
 	// are answered. 0 is no limit.
-	FirstWindow int
-	// StopTime is how long a worker may take to stop a run. Its reports do not name
+	InitialWindow int
+	// StopTimeout is how long a worker may take to stop a run. Its reports do not name
 	// the run meanwhile, though it still runs.
-	StopTime time.Duration
+	StopTimeout time.Duration
 }
 
 // Cell is the state of one cell. It is not safe for concurrent use.
@@ -91,7 +91,7 @@
 func New(opts Options) *Cell {
 	return &Cell{
 		opts: opts, jobs: map[string]*job{}, workers: map[life.Life]*worker{},
-		window: window{limit: opts.FirstWindow},
+		window: window{limit: opts.InitialWindow},
 		open:   map[*step]bool{}, pools: map[string]*pool{}, queues: map[string]*queue{}, cancels: map[string]cancel{}, quota: quota.New(),
 		services: map[string]bool{}, excuses: map[life.Life]excuse{}, predecessors: map[string][]predecessor{},
 	}
@@ -104,9 +104,9 @@
 	proof int
 }
 
-// Take returns what the cell wants done and forgets it. Stops of runs that have
+// TakeOutput returns what the cell wants done and forgets it. Stops of runs that have
 // ended meanwhile are left out.
-func (cl *Cell) Take() Output {
+func (cl *Cell) TakeOutput() Output {
 	for len(cl.stops) > 0 && cl.stops[0].proof <= cl.committed {
 		cl.out.Stops = append(cl.out.Stops, cl.stops[0].Stop)
 		cl.stops = cl.stops[1:]
@@ -114,16 +114,16 @@
 	out := cl.out
 	cl.out = Output{}
 	out.Stops = slices.DeleteFunc(out.Stops, func(sp Stop) bool {
-		return !sp.Stranger && cl.placement(sp.Worker, sp.Task, sp.Run) == nil
+		return !sp.Unknown && cl.placement(sp.Worker, sp.Task, sp.Run) == nil
 	})
 	return out
 }
 
-// Recorded returns how many records the cell has given out so far.
-func (cl *Cell) Recorded() int { return cl.recorded }
+// RecordCount returns how many records the cell has given out so far.
+func (cl *Cell) RecordCount() int { return cl.recorded }
 
-// Committed tells the cell that its first n records are in the journal.
-func (cl *Cell) Committed(n int) { cl.committed = max(cl.committed, n) }
+// SetCommitted tells the cell that its first n records are in the journal.
+func (cl *Cell) SetCommitted(n int) { cl.committed = max(cl.committed, n) }
 
 func (cl *Cell) record(rec Record) {
 	cl.out.Records = append(cl.out.Records, rec)
@@ -158,19 +158,19 @@
 	return jb.phase, true
 }
 
-// Pending returns how many accepted jobs of a queue have not begun.
-func (cl *Cell) Pending(name string) int {
+// QueuedJobs returns how many accepted jobs of a queue have not begun.
+func (cl *Cell) QueuedJobs(name string) int {
 	if qu, ok := cl.queues[name]; ok {
 		return qu.pending
 	}
 	return 0
 }
 
-// Sizes returns the numbers of jobs, of steps that wait and of workers, for measures.
-func (cl *Cell) Sizes() (jobs, waiting, workers int) {
+// Counts returns the numbers of jobs, of steps that wait and of workers, for measures.
+func (cl *Cell) Counts() (jobs, waiting, workers int) {
 	return len(cl.jobs), len(cl.open), len(cl.workers)
 }
 
-// Looks returns how many workers planning has looked at: its effort, which must not grow
+// WorkersExamined returns how many workers planning has looked at: its effort, which must not grow
 // with steps times workers.
-func (cl *Cell) Looks() int { return cl.looks }
+func (cl *Cell) WorkersExamined() int { return cl.looks }
--- a/policy/cell/cell_test.go
+++ b/policy/cell/cell_test.go
@@ -125,14 +125,14 @@
 	if phase, _ := bd.cell.Phase("a", ""); phase != cell.Running {
 		t.Errorf("phase is %s before the end is in the journal", phase)
 	}
-	if noted, waits := bd.cell.Noted("w00"); noted != 0 || !waits {
+	if noted, waits := bd.cell.AckedEnd("w00"); noted != 0 || !waits {
 		t.Errorf("end %d may be forgotten before it is in the journal", noted)
 	}
 	bd.carryOut()
 	if phase, _ := bd.cell.Phase("a", ""); phase != cell.Succeeded {
 		t.Errorf("phase is %s once the end is in the journal", phase)
 	}
-	if noted, _ := bd.cell.Noted("w00"); noted != 1 {
+	if noted, _ := bd.cell.AckedEnd("w00"); noted != 1 {
 		t.Errorf("end %d is noted, want 1", noted)
 	}
 }
@@ -160,7 +160,7 @@
 	bd.now += 2 * time.Second
 	bd.workers["w00"].advance(bd)
 	bd.report("w00")
-	bd.records = append(bd.records, bd.cell.Take().Records...)
+	bd.records = append(bd.records, bd.cell.TakeOutput().Records...)
 	bd.fails = 0
 	bd.elect() // the worker was not told to forget the end
 	for range 100 {
@@ -174,19 +174,19 @@
 // TestOldTasksWait lets a planner wait with tasks that may still run on a worker that
 // has not answered it.
 func TestOldTasksWait(t *testing.T) {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 65})
 	cl.Add(0, batch("old", 1), true)
 	cl.Add(0, batch("new", 1), false)
 	cl.PutWorker(0, cell.Worker{ID: "w", Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	cl.Report(1, "w", 1, nil, nil)
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	cl.Plan(2)
-	if out := cl.Take(); len(out.Starts) != 1 || out.Starts[0].Task.Job != "new" {
+	if out := cl.TakeOutput(); len(out.Starts) != 1 || out.Starts[0].Task.Job != "new" {
 		t.Errorf("starts before the old tasks' whereabouts are known: %v", out.Starts)
 	}
-	cl.Settle()
+	cl.FinishRecovery()
 	cl.Plan(3)
-	out := cl.Take()
+	out := cl.TakeOutput()
 	if len(out.Starts) != 1 || out.Starts[0].Task.Job != "old" {
 		t.Fatalf("starts after that: %v", out.Starts)
 	}
@@ -228,15 +228,15 @@
 	for n := range 20 {
 		bd.submit(batch(fmt.Sprintf("a%d", n), 2))
 	}
-	if got := bd.cell.Pending("q2"); got != 20 {
+	if got := bd.cell.QueuedJobs("q2"); got != 20 {
 		t.Errorf("%d jobs wait, want 20", got)
 	}
 	bd.pass(time.Millisecond)
-	if got := bd.cell.Pending("q2"); got != 12 {
+	if got := bd.cell.QueuedJobs("q2"); got != 12 {
 		t.Errorf("%d jobs wait, want 12: the worker has room for 16 tasks", got)
 	}
 	bd.cancel("a19")
-	if got := bd.cell.Pending("q2"); got != 11 {
+	if got := bd.cell.QueuedJobs("q2"); got != 11 {
 		t.Errorf("%d jobs wait after a cancel, want 11", got)
 	}
 }
@@ -253,9 +253,9 @@
 	bd.submit(batch("a", 1))
 	moves := 0
 	for bd.now < longest {
-		before := bd.cell.Recorded()
+		before := bd.cell.RecordCount()
 		bd.pass(50 * time.Millisecond)
-		for _, rec := range bd.records[max(len(bd.records)-(bd.cell.Recorded()-before), 0):] {
+		for _, rec := range bd.records[max(len(bd.records)-(bd.cell.RecordCount()-before), 0):] {
 			if rec.Stop {
 				moves++
 			}
@@ -265,7 +265,7 @@
 	if moves == 0 || moves > mostMoves {
 		t.Errorf("moved %d times in %v, want 1 to %d", moves, longest, mostMoves)
 	}
-	if resting := bd.cell.Resting(bd.now); resting > mostResting {
+	if resting := bd.cell.Quarantined(bd.now); resting > mostResting {
 		t.Errorf("%d workers are at rest for one task", resting)
 	}
 }
@@ -283,26 +283,26 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+			cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 			cl.Add(0, batch("a", 1), false)
 			for _, id := range []life.Life{"w1", "w2"} {
 				cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 				cl.Report(1, id, 1, nil, nil)
 			}
-			cl.Committed(cl.Recorded())
+			cl.SetCommitted(cl.RecordCount())
 			cl.Plan(2)
-			first := cl.Take().Starts[0]
+			first := cl.TakeOutput().Starts[0]
 			cl.Started(3, first)
 			at := time.Duration(0)
 			for ; at < 4*time.Second; at += 500 * time.Millisecond {
 				cl.Report(at, first.Worker, at, []cell.Run{{Task: first.Task, Number: first.Run, Percent: tc.percent}}, nil)
 				cl.Tick(at, at)
 			}
-			if early := cl.Take(); len(early.Stops) > 0 {
+			if early := cl.TakeOutput(); len(early.Stops) > 0 {
 				t.Fatalf("stops before the journal has them: %v", early.Stops)
 			}
-			cl.Committed(cl.Recorded())
-			out := cl.Take()
+			cl.SetCommitted(cl.RecordCount())
+			out := cl.TakeOutput()
 			if moves := len(out.Stops) == 1; moves != tc.moves {
 				t.Fatalf("stops: %v", out.Stops)
 			}
@@ -315,7 +315,7 @@
 				cl.Report(at+2, id, at+2, nil, nil)
 			}
 			cl.Plan(at + 3)
-			again := cl.Take().Starts
+			again := cl.TakeOutput().Starts
 			if len(again) != 1 || again[0].Worker == first.Worker || again[0].Run <= first.Run {
 				t.Errorf("the task was started again as %v", again)
 			}
@@ -325,13 +325,13 @@
 
 // ExampleCell starts a job of one task on the only worker.
 func ExampleCell() {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 	cl.PutWorker(0, cell.Worker{ID: "w1", Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	cl.Report(0, "w1", 0, nil, nil)
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	cl.Add(0, batch("job1", 1), false)
 	cl.Plan(0)
-	for _, sr := range cl.Take().Starts {
+	for _, sr := range cl.TakeOutput().Starts {
 		fmt.Println(sr.Worker, sr.Task, sr.Run)
 	}
 	// Output: w1 job1.0.0.0 1
@@ -355,9 +355,9 @@
 		"its entry goes":       {func(cl *cell.Cell) { cl.Deregister(entry.ID) }, false},
 		"it shrinks":           {func(cl *cell.Cell) { cl.PutWorker(0, small) }, false},
 		"it grows":             {func(cl *cell.Cell) { cl.PutWorker(0, large) }, true},
-		"its life is over":     {func(cl *cell.Cell) { cl.Over(0, entry.ID) }, false},
+		"its life is over":     {func(cl *cell.Cell) { cl.Replaced(0, entry.ID) }, false},
 		"it is listed anew":    {func(cl *cell.Cell) { cl.Deregister(entry.ID); cl.PutWorker(0, entry) }, true},
-		"it answers no more":   {func(cl *cell.Cell) { cl.Silent(0, entry.ID) }, true},
+		"it answers no more":   {func(cl *cell.Cell) { cl.Unreachable(0, entry.ID) }, true},
 		"its job is cancelled": {func(cl *cell.Cell) { cl.Cancel(0, "a", "") }, false},
 		"its run is listed": {func(cl *cell.Cell) {
 			cl.Report(0, entry.ID, 0, []cell.Run{{Task: work.Task{Job: "a"}, Number: 1}}, nil)
@@ -372,11 +372,11 @@
 			cl := crowd(1)
 			cl.Add(0, batch("a", 1), false)
 			cl.Plan(0)
-			starts := cl.Take().Starts
+			starts := cl.TakeOutput().Starts
 			if len(starts) != 1 {
 				t.Fatalf("%d starts", len(starts))
 			}
-			if tt.act(cl); cl.Stands(starts[0]) != tt.want {
+			if tt.act(cl); cl.StartValid(starts[0]) != tt.want {
 				t.Errorf("stands: %v, want %v", !tt.want, tt.want)
 			}
 		})
--- a/policy/cell/crash.go
+++ b/policy/cell/crash.go
@@ -101,7 +101,7 @@
 		return
 	}
 	name, id := pl.task.name(), pl.worker.ID
-	cl.record(Record{Job: name.Job, Task: &name, Result: ResultCrashed, Run: pl.run, Excused: !blamed, On: id})
+	cl.record(Record{Job: name.Job, Task: &name, Result: ResultCrashed, Run: pl.run, Explained: !blamed, LostWorker: id})
 	cl.keepExcuse(now, id, Run{Task: name, Number: pl.run})
 }
 
@@ -168,15 +168,15 @@
 func (cl *Cell) forgetLosses(now time.Duration) {
 	cl.silences = slices.DeleteFunc(cl.silences, func(at time.Duration) bool { return now-at > silencesKept })
 	for id, ex := range cl.excuses {
-		if now-ex.at > cl.opts.Keep {
+		if now-ex.at > cl.opts.Retention {
 			delete(cl.excuses, id)
 		}
 	}
 }
 
-// Crashes returns how many workers crashed under a task, and how many of these crashes nothing
+// CrashCounts returns how many workers crashed under a task, and how many of these crashes nothing
 // else explains, for the log.
-func (cl *Cell) Crashes(name work.Task) (all, blamed int) {
+func (cl *Cell) CrashCounts(name work.Task) (all, blamed int) {
 	if tk := cl.find(name); tk != nil {
 		return len(tk.crashes), tk.crashes.blamed()
 	}
--- a/policy/cell/crash_test.go
+++ b/policy/cell/crash_test.go
@@ -139,15 +139,15 @@
 
 func newWard(t *testing.T, step work.Step) *ward {
 	wd := &ward{I: is.New(t), t: t, cell: crowd(40), step: step, lost: map[life.Life]bool{}}
-	wd.cell.Take()
+	wd.cell.TakeOutput()
 	submit(wd.cell, "j", step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
 	return wd
 }
 
 func (wd *ward) take() cell.Output {
-	out := wd.cell.Take()
+	out := wd.cell.TakeOutput()
 	wd.journal = append(wd.journal, out.Records...)
-	wd.cell.Committed(wd.cell.Recorded())
+	wd.cell.SetCommitted(wd.cell.RecordCount())
 	return out
 }
 
@@ -176,9 +176,9 @@
 	lasting := once
 	lasting.Lasting = true
 	over := func(wd *ward, sr cell.Start) {
-		wd.cell.Silent(wd.now, sr.Worker)
+		wd.cell.Unreachable(wd.now, sr.Worker)
 		wd.now += 3 * time.Second
-		wd.cell.Over(wd.now, sr.Worker)
+		wd.cell.Replaced(wd.now, sr.Worker)
 	}
 	tests := map[string]struct {
 		step work.Step
@@ -187,25 +187,25 @@
 	}{
 		"crashes": {once, over, 3},
 		"crashes at once, unnoticed": {once, func(wd *ward, sr cell.Start) {
-			wd.cell.Over(wd.now, sr.Worker)
+			wd.cell.Replaced(wd.now, sr.Worker)
 		}, 3},
 		"its lease is over": {once, func(wd *ward, sr cell.Start) {
-			wd.cell.Silent(wd.now, sr.Worker)
+			wd.cell.Unreachable(wd.now, sr.Worker)
 			wd.lost[sr.Worker] = true
 			wd.now += 6 * time.Second
-			wd.cell.Lapsed(wd.now, sr.Worker)
+			wd.cell.LeaseExpired(wd.now, sr.Worker)
 		}, 3},
 		"is cut off and answers again": {once, func(wd *ward, sr cell.Start) {
-			wd.cell.Silent(wd.now, sr.Worker)
+			wd.cell.Unreachable(wd.now, sr.Worker)
 			wd.now += 6 * time.Second
-			wd.cell.Lapsed(wd.now, sr.Worker)
+			wd.cell.LeaseExpired(wd.now, sr.Worker)
 			wd.now += time.Second
 			wd.cell.Report(wd.now, sr.Worker, wd.now, nil, nil)
 		}, unbounded},
 		"falls silent with two others": {once, func(wd *ward, sr cell.Start) {
 			wd.now += time.Second
 			for n := range 3 {
-				wd.cell.Silent(wd.now, life.Life(fmt.Sprintf("w%03d", 39-n)))
+				wd.cell.Unreachable(wd.now, life.Life(fmt.Sprintf("w%03d", 39-n)))
 			}
 			over(wd, sr)
 		}, 4},
@@ -253,7 +253,7 @@
 // nextPlanner checks that a planner that reads the journal counts as this one does.
 func (wd *ward) nextPlanner() {
 	task := work.Task{Job: "j"}
-	next := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65})
+	next := cell.New(cell.Options{Retention: time.Minute, FirstRun: 65})
 	submit(next, "j", wd.step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
 	next.Restore(wd.now, wd.journal)
 	phase, _ := wd.cell.Phase("j", "")
@@ -262,8 +262,8 @@
 	if phase.Ended() {
 		return
 	}
-	all, blamed := wd.cell.Crashes(task)
-	nextAll, nextBlamed := next.Crashes(task)
+	all, blamed := wd.cell.CrashCounts(task)
+	nextAll, nextBlamed := next.CrashCounts(task)
 	wd.Equal(nextAll, all)
 	wd.Equal(nextBlamed, blamed)
 }
@@ -280,22 +280,22 @@
 	place := func() map[string]cell.Start {
 		cl.Plan(0)
 		placed := map[string]cell.Start{}
-		for _, sr := range cl.Take().Starts {
+		for _, sr := range cl.TakeOutput().Starts {
 			cl.Started(0, sr)
 			placed[sr.Task.Job] = sr
 		}
-		cl.Committed(cl.Recorded())
+		cl.SetCommitted(cl.RecordCount())
 		return placed
 	}
 	placed := place()
 	is.Equal(placed["bad"].Worker, placed["good"].Worker)
-	cl.Over(0, placed["bad"].Worker)
+	cl.Replaced(0, placed["bad"].Worker)
 	placed = place()
 	is.Equal(len(placed), 2)
 	is.True(placed["bad"].Worker != placed["good"].Worker)
-	cl.Over(0, placed["bad"].Worker)
-	_, bad := cl.Crashes(placed["bad"].Task)
-	_, good := cl.Crashes(placed["good"].Task)
+	cl.Replaced(0, placed["bad"].Worker)
+	_, bad := cl.CrashCounts(placed["bad"].Task)
+	_, good := cl.CrashCounts(placed["good"].Task)
 	is.Equal(bad, 2)
 	is.Equal(good, 1)
 }
@@ -306,16 +306,16 @@
 	is := is.New(t)
 	wd := newWard(t, work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second})
 	sr, _ := wd.start()
-	wd.cell.Silent(wd.now, sr.Worker)
-	wd.cell.Lapsed(wd.now+6*time.Second, sr.Worker)
+	wd.cell.Unreachable(wd.now, sr.Worker)
+	wd.cell.LeaseExpired(wd.now+6*time.Second, sr.Worker)
 	wd.take()
-	next := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65})
+	next := cell.New(cell.Options{Retention: time.Minute, FirstRun: 65})
 	submit(next, "j", wd.step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
 	next.Restore(0, wd.journal)
-	all, _ := next.Crashes(sr.Task)
+	all, _ := next.CrashCounts(sr.Task)
 	is.Equal(all, 1)
 	next.PutWorker(0, cell.Worker{ID: sr.Worker, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	next.Report(0, sr.Worker, 0, nil, nil)
-	all, _ = next.Crashes(sr.Task)
+	all, _ = next.CrashCounts(sr.Task)
 	is.Equal(all, 0)
 }
--- a/policy/cell/effort_test.go
+++ b/policy/cell/effort_test.go
@@ -15,14 +15,14 @@
 
 // crowd is a cell of many workers.
 func crowd(workers int) *cell.Cell {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 	for n := range workers {
 		id := life.Life(fmt.Sprintf("w%03d", n))
 		cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 		cl.Report(0, id, 0, nil, nil)
 	}
-	cl.Committed(cl.Recorded())
-	cl.Settle()
+	cl.SetCommitted(cl.RecordCount())
+	cl.FinishRecovery()
 	return cl
 }
 
@@ -32,14 +32,14 @@
 
 // answer allows each second worker of each question.
 func answer(cl *cell.Cell, out cell.Output) {
-	for _, qn := range out.Questions {
+	for _, qn := range out.AdviceRequests {
 		var rows []cell.Ticket
 		for _, id := range qn.Workers {
 			if (int(id[len(id)-1])+len(qn.Step.Job))%2 == 0 {
 				rows = append(rows, cell.Ticket{Worker: id, Text: "t"})
 			}
 		}
-		cl.Advised(0, qn, rows, time.Minute)
+		cl.AddAdvice(0, qn, rows, time.Minute)
 	}
 }
 
@@ -67,17 +67,17 @@
 			if tt.full {
 				submit(cl, "full", work.Step{Count: workers, Need: size.New(64000, 100, 0)}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 				cl.Plan(0)
-				is.Equal(len(cl.Take().Starts), workers)
+				is.Equal(len(cl.TakeOutput().Starts), workers)
 			}
 			for n := range jobs {
 				submit(cl, fmt.Sprintf("job%04d", n), tt.def, tt.qu)
 			}
-			before := cl.Looks()
+			before := cl.WorkersExamined()
 			for range rounds {
 				cl.Plan(0)
-				answer(cl, cl.Take())
+				answer(cl, cl.TakeOutput())
 			}
-			each := (cl.Looks() - before) / rounds / jobs
+			each := (cl.WorkersExamined() - before) / rounds / jobs
 			t.Logf("%d looks at workers a step and plan", each)
 			is.True(each <= tt.most) // more looks than that grow with the workers
 		})
--- a/policy/cell/follow.go
+++ b/policy/cell/follow.go
@@ -22,9 +22,9 @@
 	until  time.Duration
 }
 
-// Follow takes in that another life of a worker has begun, which ends the earlier one. The other one is not
+// Restarted takes in that another life of a worker has begun, which ends the earlier one. The other one is not
 // listed by that.
-func (cl *Cell) Follow(now time.Duration, earlier, next life.Life) {
+func (cl *Cell) Restarted(now time.Duration, earlier, next life.Life) {
 	wk, ok := cl.workers[earlier]
 	if !ok {
 		return
@@ -53,7 +53,7 @@
 // mayHold records that a life may hold any run before it is listed: another planner would not wait for what
 // it says of the earlier life's runs.
 func (cl *Cell) mayHold(now time.Duration, id life.Life) {
-	cl.Inherit(now, id, nil)
+	cl.InheritRuns(now, id, nil)
 	cl.record(Record{Worker: id})
 	cl.workers[id].proof = cl.recorded
 }
--- a/policy/cell/gather_test.go
+++ b/policy/cell/gather_test.go
@@ -18,7 +18,7 @@
 var full = size.New(64000, 100, 0)
 
 // rows allow all workers of a question.
-func rows(qn cell.Question) []cell.Ticket {
+func rows(qn cell.AdviceRequest) []cell.Ticket {
 	var list []cell.Ticket
 	for _, id := range qn.Workers {
 		list = append(list, cell.Ticket{Worker: id, Text: "t"})
@@ -45,15 +45,15 @@
 	const pause = 25 * time.Millisecond
 	for now := 100 * time.Millisecond; len(served) < gangs && now < 2*time.Second; now += pause {
 		cl.Plan(now)
-		for at, qn := range cl.Take().Questions {
+		for at, qn := range cl.TakeOutput().AdviceRequests {
 			if at > 0 {
-				cl.PutOff(now, qn)
+				cl.AdviceDeferred(now, qn)
 				continue
 			}
 			if !slices.Contains(served, qn.Step.Job) {
 				served = append(served, qn.Step.Job)
 			}
-			cl.Advised(now, qn, nil, time.Second) // none of them may run it
+			cl.AddAdvice(now, qn, nil, time.Second) // none of them may run it
 		}
 	}
 	is.Equal(len(served), gangs)
@@ -71,7 +71,7 @@
 	const ends = 5 * time.Second
 	submit(cl, "busy", work.Step{Count: 1, Need: full, Estimate: ends}, work.Queue{Name: "b", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2})
 	cl.Plan(0)
-	busy := cl.Take().Starts[0]
+	busy := cl.TakeOutput().Starts[0]
 	cl.Started(0, busy)
 	advised := work.Queue{
 		Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1, Stretch: 2,
@@ -84,18 +84,18 @@
 	for ; now < ends; now += step {
 		cl.Report(now, busy.Worker, now, []cell.Run{{Task: busy.Task, Number: busy.Run, Percent: int(100 * now / ends)}}, nil)
 		cl.Plan(now)
-		for _, qn := range cl.Take().Questions {
+		for _, qn := range cl.TakeOutput().AdviceRequests {
 			asked = append(asked, now)
-			cl.Advised(now, qn, rows(qn), 1500*time.Millisecond)
+			cl.AddAdvice(now, qn, rows(qn), 1500*time.Millisecond)
 		}
 	}
 	is.True(len(asked) >= 2)               // which workers may, and then the tickets
 	is.True(asked[0] < time.Second)        // at once
 	is.True(asked[1] > ends-2*time.Second) // not while they would run out before
 	cl.Report(now, busy.Worker, now, nil, []cell.End{{Seq: 1, Run: cell.Run{Task: busy.Task, Number: busy.Run}, Result: cell.ResultDone}})
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	cl.Plan(now)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1) // it has its ticket when the room is there
 	is.Equal(starts[0].Task.Job, "gang")
 }
@@ -120,16 +120,16 @@
 			half := size.New(32000, 100, 0)
 			submit(cl, "busy", work.Step{Count: 1, Need: half, Label: "big", Estimate: 5 * time.Second}, plain)
 			cl.Plan(0)
-			cl.Started(0, cl.Take().Starts[0])
+			cl.Started(0, cl.TakeOutput().Starts[0])
 			submit(cl, "gang", work.Step{Count: 1, Gang: true, Need: full, Label: "big", Estimate: time.Second}, plain)
 			const later = 400 * time.Millisecond // after which a gang gathers
 			cl.Plan(later)
-			is.Equal(cl.Waits(later, 0, 1)[0].Claimed, 1)
+			is.Equal(cl.LongestWaiting(later, 0, 1)[0].Reserved, 1)
 			urgent := work.Queue{Name: "u", Service: "svc", Attempts: 3, Stretch: 2}
 			step := work.Step{Count: 1, Need: size.New(1000, 1, 0), Estimate: time.Minute}
 			cl.Add(later, &work.Job{ID: "urgent", Spec: "s", Queue: urgent, Steps: []work.Step{step}}, false)
 			cl.Plan(later)
-			starts := cl.Take().Starts
+			starts := cl.TakeOutput().Starts
 			is.Equal(len(starts), 1)
 			is.Equal(starts[0].Worker, tt.want)
 		})
@@ -148,10 +148,10 @@
 	cl.AddAged(0, time.Second, job("a-younger"))
 	cl.AddAged(0, time.Minute, job("b-older"))
 	cl.Plan(0)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Task.Job, "b-older")
-	is.True(cl.Waits(time.Second, 0, 1)[0].For >= 2*time.Second)
+	is.True(cl.LongestWaiting(time.Second, 0, 1)[0].Waited >= 2*time.Second)
 }
 
 // TestLateRanksAMinuteLater has a late task and one in time wait for the same worker: the
@@ -177,7 +177,7 @@
 			cl.AddAged(at, tt.age, job("late"))
 			cl.Add(at, job("in-time"), false)
 			cl.Plan(at)
-			starts := cl.Take().Starts
+			starts := cl.TakeOutput().Starts
 			is.Equal(len(starts), 1)
 			is.Equal(starts[0].Task.Job, tt.want)
 		})
@@ -202,7 +202,7 @@
 			plain := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
 			submit(cl, "busy", work.Step{Count: workers, PerWorker: 1, Need: size.New(tt.busy, 100, 0), Estimate: 5 * time.Second}, plain)
 			cl.Plan(0)
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				cl.Started(0, sr)
 			}
 			for n := range gangs {
@@ -211,8 +211,8 @@
 			const later = 400 * time.Millisecond // after which gangs gather
 			cl.Plan(later)
 			gather := 0
-			for _, wt := range cl.Waits(later, 0, gangs) {
-				if wt.Claimed > 0 {
+			for _, wt := range cl.LongestWaiting(later, 0, gangs) {
+				if wt.Reserved > 0 {
 					gather++
 				}
 			}
--- a/policy/cell/job.go
+++ b/policy/cell/job.go
@@ -113,8 +113,8 @@
 	case ResultDone:
 		cl.taskDone(now, tk, false)
 	case ResultCrashed:
-		tk.addCrash(rec.Run, !rec.Excused)
-		cl.keepExcuse(now, rec.On, Run{Task: *rec.Task, Number: rec.Run})
+		tk.addCrash(rec.Run, !rec.Explained)
+		cl.keepExcuse(now, rec.LostWorker, Run{Task: *rec.Task, Number: rec.Run})
 		over = tk.crashes.tooMany()
 	case ResultCleared:
 		delete(tk.crashes, rec.Run)
@@ -175,28 +175,28 @@
 
 // prune forgets jobs that ended long ago, and cancels whose job never came.
 func (cl *Cell) prune(now time.Duration) {
-	for len(cl.ended) > 0 && now-cl.ended[0].endedAt > cl.opts.Keep {
+	for len(cl.ended) > 0 && now-cl.ended[0].endedAt > cl.opts.Retention {
 		delete(cl.jobs, cl.ended[0].spec.ID)
 		cl.ended = cl.ended[1:]
 	}
 	cl.forgetLosses(now)
 	for id, cn := range cl.cancels {
-		if now-cn.at > cl.opts.Keep {
+		if now-cn.at > cl.opts.Retention {
 			delete(cl.cancels, id)
 		}
 	}
 }
 
-// Known reports whether the cell still keeps a job or a cancel with the id.
-func (cl *Cell) Known(id string) bool {
+// Retains reports whether the cell still keeps a job or a cancel with the id.
+func (cl *Cell) Retains(id string) bool {
 	_, job := cl.jobs[id]
 	_, cancel := cl.cancels[id]
 	return job || cancel
 }
 
-// Reroute takes the present settings of queues over into the jobs that have not
+// UpdateQueues takes the present settings of queues over into the jobs that have not
 // ended, unless they came with later ones. A queue whose route is gone keeps the settings that its jobs came with.
-func (cl *Cell) Reroute(settings func(name string) (work.Queue, bool)) {
+func (cl *Cell) UpdateQueues(settings func(name string) (work.Queue, bool)) {
 	for _, jb := range cl.jobs {
 		if qu, ok := settings(jb.spec.Queue.Name); ok && !jb.phase.Ended() {
 			jb.spec.Queue = jb.spec.Queue.Later(qu)
--- a/policy/cell/lasting_test.go
+++ b/policy/cell/lasting_test.go
@@ -22,7 +22,7 @@
 	lasting := work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2.2, Target: 2500 * time.Millisecond}
 	submit(cl, "lasting", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, lasting)
 	cl.Plan(0)
-	first := cl.Take().Starts
+	first := cl.TakeOutput().Starts
 	is.Equal(len(first), 1)
 	cl.Started(0, first[0])
 	quick := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2, Target: 2 * time.Second}
@@ -30,11 +30,11 @@
 		cl.Add(time.Minute, &work.Job{ID: fmt.Sprintf("job%d", n), Spec: "s", Queue: quick, Steps: []work.Step{{Count: 1, Need: whole, Estimate: time.Second}}}, false)
 	}
 	cl.Plan(time.Minute)
-	is.Equal(len(cl.Take().Starts), 0)
+	is.Equal(len(cl.TakeOutput().Starts), 0)
 	end := cell.End{Seq: 1, Run: cell.Run{Task: first[0].Task, Number: first[0].Run}, Result: cell.ResultFailed}
 	cl.Report(time.Minute, "w000", time.Minute, nil, []cell.End{end})
 	cl.Plan(time.Minute)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Task.Job, "lasting")
 }
@@ -50,7 +50,7 @@
 	submit(cl, "patient", work.Step{Count: 1, Need: whole, Estimate: time.Second}, patient)
 	submit(cl, "urgent", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, urgent)
 	cl.Plan(0)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Task.Job, "urgent")
 }
@@ -68,11 +68,11 @@
 			cl.Report(now, life.Life(fmt.Sprintf("w%03d", n)), now, nil, nil)
 		}
 		cl.Add(now, &work.Job{ID: now.String(), Spec: "s", Queue: quick, Steps: []work.Step{{Count: 1, Need: odd.Need, Estimate: step}}}, false)
-		cl.Committed(cl.Recorded())
+		cl.SetCommitted(cl.RecordCount())
 		cl.Tick(now, now)
 		cl.Plan(now)
 		late++
-		for _, sr := range cl.Take().Starts {
+		for _, sr := range cl.TakeOutput().Starts {
 			end := func(how cell.Result) {
 				cl.Started(now, sr)
 				seen[sr.Worker]++
@@ -115,7 +115,7 @@
 	tries := 0
 	late := beside(odd, qu, func(cl *cell.Cell, now time.Duration, sr cell.Start, _ func(cell.Result)) {
 		tries++
-		cl.Refused(now, sr, cell.RefusedBad)
+		cl.Refused(now, sr, cell.RefusedInvalid)
 	})
 	is.True(tries <= 15) // of the task that all refuse
 	is.Equal(late, 0)    // other jobs that were not begun
--- a/policy/cell/limits.go
+++ b/policy/cell/limits.go
@@ -14,13 +14,13 @@
 // workspace returns the name of the workspace whose work the step is.
 func (st *step) workspace() string { return st.round.job.spec.Workspace.Name }
 
-// SetWorkspaces takes in the present settings of the workspaces that have jobs.
-func (cl *Cell) SetWorkspaces(settings func(name string) (work.Workspace, bool)) {
+// UpdateWorkspaces takes in the present settings of the workspaces that have jobs.
+func (cl *Cell) UpdateWorkspaces(settings func(name string) (work.Workspace, bool)) {
 	cl.quota.Update(settings)
 }
 
-// Workspaces returns what each workspace has running.
-func (cl *Cell) Workspaces() []quota.Use { return cl.quota.Uses() }
+// WorkspaceUsages returns what each workspace has running.
+func (cl *Cell) WorkspaceUsages() []quota.Use { return cl.quota.Uses() }
 
 // allowance is how many more tasks of the step its workspace may have running.
 func (cl *Cell) allowance(st *step) int { return cl.quota.Room(st.workspace(), st.need()) }
--- a/policy/cell/limits_test.go
+++ b/policy/cell/limits_test.go
@@ -135,7 +135,7 @@
 	for range 10 {
 		bd.now += 10 * time.Millisecond
 		bd.cell.Plan(bd.now)
-		out := bd.cell.Take()
+		out := bd.cell.TakeOutput()
 		stops, starts = stops+len(out.Stops), starts+len(out.Starts)
 	}
 	if stops > 0 || starts > 0 {
@@ -213,7 +213,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65, StopTime: stopTime})
+			cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 65, StopTimeout: stopTime})
 			ws := work.Workspace{Name: "brno", Limit: size.New(20_000, 0, 0), Version: 1}
 			old, fresh := batch("old", 8), batch("fresh", 8) // four cores a task
 			old.Workspace, fresh.Workspace = ws, ws
@@ -221,22 +221,22 @@
 			if tc.cancelled {
 				cl.Cancel(0, "old", "")
 			}
-			cl.Inherit(0, "w1", nil)
+			cl.InheritRuns(0, "w1", nil)
 			if tc.listed {
 				cl.PutWorker(0, cell.Worker{ID: "w1", Service: "svc", Capacity: size.New(12_000, 64_000, 0)})
 			}
 			cl.PutWorker(0, cell.Worker{ID: "w2", Service: "svc", Capacity: size.New(64_000, 128_000, 0)})
 			cl.Report(0, "w2", 0, nil, nil)
-			cl.Committed(cl.Recorded())
+			cl.SetCommitted(cl.RecordCount())
 			cl.Add(0, fresh, false)
 			cl.Plan(time.Millisecond)
-			if out := cl.Take(); len(out.Starts) != tc.starts {
+			if out := cl.TakeOutput(); len(out.Starts) != tc.starts {
 				t.Errorf("%d starts while one worker has not reported, want %d", len(out.Starts), tc.starts)
 			}
 			cl.Report(2*time.Millisecond, "w1", 0, nil, nil)
-			cl.Settle()
+			cl.FinishRecovery()
 			cl.Plan(3 * time.Millisecond)
-			if out := cl.Take(); len(out.Starts)+tc.starts != 5 {
+			if out := cl.TakeOutput(); len(out.Starts)+tc.starts != 5 {
 				t.Errorf("%d starts once all have reported, want %d", len(out.Starts), 5-tc.starts)
 			}
 		})
--- a/policy/cell/messages.go
+++ b/policy/cell/messages.go
@@ -43,9 +43,9 @@
 	Checkpoint string    `cbor:"3,keyasint,omitempty"`
 	// Percent of the task's work that is done.
 	Percent int `cbor:"4,keyasint,omitempty"`
-	// Load is, for a task that serves users, the tail of their latency in milliseconds
+	// TailLatencyMS is, for a task that serves users, the tail of their latency in milliseconds
 	// over the last half second.
-	Load int `cbor:"5,keyasint,omitempty"`
+	TailLatencyMS int `cbor:"5,keyasint,omitempty"`
 }
 
 // Result is how a run ended.
@@ -79,12 +79,12 @@
 
 // The refusals. RefusedUnhealthy stands for a worker that took nothing on.
 const (
-	RefusedOld       Refusal = "old"
-	RefusedLate      Refusal = "late"
-	RefusedRoom      Refusal = "room"
-	RefusedTicket    Refusal = "ticket"
-	RefusedUnhealthy Refusal = "unhealthy"
-	RefusedBad       Refusal = "bad"
+	RefusedStale      Refusal = "old"
+	RefusedLate       Refusal = "late"
+	RefusedNoCapacity Refusal = "room"
+	RefusedTicket     Refusal = "ticket"
+	RefusedUnhealthy  Refusal = "unhealthy"
+	RefusedInvalid    Refusal = "bad"
 )
 
 // Start is an order to start a run on a worker.
@@ -97,8 +97,8 @@
 	Checkpoint string
 	// Urgent is set for queues that go before others.
 	Urgent bool
-	// Decided is when the plan placed it.
-	Decided time.Duration
+	// DecidedAt is when the plan placed it.
+	DecidedAt time.Duration
 }
 
 // Stop is an order to end a run on a worker, and to keep it from starting later.
@@ -108,14 +108,14 @@
 	Run    int
 	// Reason is for the log.
 	Reason string
-	// Stranger is set for a run of which the cell knows nothing.
-	Stranger bool
-	// Tries counts the orders that were not confirmed.
-	Tries int
+	// Unknown is set for a run of which the cell knows nothing.
+	Unknown bool
+	// Attempts counts the orders that were not confirmed.
+	Attempts int
 }
 
-// Question asks the advisor which workers may run a step.
-type Question struct {
+// AdviceRequest asks the advisor which workers may run a step.
+type AdviceRequest struct {
 	Step    work.Task
 	Workers []life.Life
 	// Takes is how long the advisor is expected to need.
@@ -140,12 +140,12 @@
 	Held   []Run     `cbor:"9,keyasint,omitempty"`
 	// Stop says instead that the worker is told to stop the runs in Held.
 	Stop bool `cbor:"10,keyasint,omitempty"`
-	// Excused says of a run that crashed that something else explains it, Left of a worker that
+	// Explained says of a run that crashed that something else explains it, Left of a worker that
 	// is closed that it leaves in order.
-	Excused bool `cbor:"11,keyasint,omitempty"`
-	Left    bool `cbor:"12,keyasint,omitempty"`
-	// On is the worker that was lost with a run that crashed.
-	On life.Life `cbor:"13,keyasint,omitempty"`
+	Explained bool `cbor:"11,keyasint,omitempty"`
+	Departed  bool `cbor:"12,keyasint,omitempty"`
+	// LostWorker is the worker that was lost with a run that crashed.
+	LostWorker life.Life `cbor:"13,keyasint,omitempty"`
 }
 
 // Output is what a cell wants done.
@@ -153,13 +153,13 @@
 	Starts []Start
 	Stops  []Stop
 	Paces  []Pace
-	// Asks are workers whose next report is wanted at once.
-	Asks      []life.Life
-	Questions []Question
-	Records   []Record
+	// ReportRequests are workers whose next report is wanted at once.
+	ReportRequests []life.Life
+	AdviceRequests []AdviceRequest
+	Records        []Record
 }
 
 // Empty reports whether there is nothing to do.
 func (ou *Output) Empty() bool {
-	return len(ou.Starts)+len(ou.Stops)+len(ou.Paces)+len(ou.Asks)+len(ou.Questions)+len(ou.Records) == 0
+	return len(ou.Starts)+len(ou.Stops)+len(ou.Paces)+len(ou.ReportRequests)+len(ou.AdviceRequests)+len(ou.Records) == 0
 }
--- a/policy/cell/patience_test.go
+++ b/policy/cell/patience_test.go
@@ -39,28 +39,28 @@
 			}
 			submit(cl, "busy", work.Step{Count: busy, Need: whole, Estimate: time.Minute}, plain)
 			cl.Plan(0)
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				cl.Started(0, sr)
 			}
 			advised := plain
 			advised.Advised = true
 			submit(cl, "gang", work.Step{Count: 2, Gang: true, Need: whole, Estimate: 5 * time.Second}, advised)
 			cl.Plan(0)
-			questions := cl.Take().Questions
+			questions := cl.TakeOutput().AdviceRequests
 			is.Equal(len(questions), 1)
-			cl.Advised(0, questions[0], []cell.Ticket{{Worker: "w000", Text: "t"}, {Worker: "w001", Text: "t"}}, time.Minute)
+			cl.AddAdvice(0, questions[0], []cell.Ticket{{Worker: "w000", Text: "t"}, {Worker: "w001", Text: "t"}}, time.Minute)
 			patient := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 2, Stretch: tt.stretch}
 			tt.def.Estimate = time.Second
 			const later = time.Second
 			cl.Add(later, &work.Job{ID: "job", Spec: "s", Queue: patient, Steps: []work.Step{tt.def}}, false)
 			cl.Plan(later)
 			starts := 0
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				is.Equal(sr.Task.Job, "job")
 				starts++
 			}
 			is.Equal(starts, tt.starts)
-			is.Equal(cl.Waits(later, 0, 9)[0].Step, work.Task{Job: "gang"})
+			is.Equal(cl.LongestWaiting(later, 0, 9)[0].Step, work.Task{Job: "gang"})
 		})
 	}
 }
--- a/policy/cell/placement.go
+++ b/policy/cell/placement.go
@@ -55,9 +55,9 @@
 	run  int
 }
 
-// Settle says that every worker on which an earlier planner may have started tasks
+// FinishRecovery says that every worker on which an earlier planner may have started tasks
 // has answered or lapsed.
-func (cl *Cell) Settle() {
+func (cl *Cell) FinishRecovery() {
 	cl.settled = true
 	cl.quota.SetDoubts(nil)
 	for st := range cl.open {
@@ -67,8 +67,8 @@
 	}
 }
 
-// Settled reports whether Settle was called.
-func (cl *Cell) Settled() bool { return cl.settled }
+// Recovered reports whether Settle was called.
+func (cl *Cell) Recovered() bool { return cl.settled }
 
 // place takes room for a run of a task.
 func (cl *Cell) place(now time.Duration, tk *task, wk *worker, run int) *placement {
@@ -151,7 +151,7 @@
 // answered takes in that a start that was under way has its answer.
 func (cl *Cell) answered(now time.Duration, sr Start) {
 	cl.window.add(sr.Urgent, -1)
-	cl.window.answered(now, now-sr.Decided)
+	cl.window.answered(now, now-sr.DecidedAt)
 }
 
 // Started takes in that a worker has a run.
@@ -180,24 +180,24 @@
 	switch why {
 	case RefusedTicket:
 		st.advice.lapse(sr.Worker)
-	case RefusedRoom:
+	case RefusedNoCapacity:
 		pl.worker.rest = now + restRoom
 	case RefusedUnhealthy:
 		pl.worker.rest = now + restFails
-	case RefusedBad:
+	case RefusedInvalid:
 		if pl.task.vain(now); !pl.task.tries.blamed() {
 			pl.worker.rest = now + restFails
 		}
-	case RefusedOld, RefusedLate:
+	case RefusedStale, RefusedLate:
 	}
 	cl.release(pl)
 	cl.afterLoss(pl)
 }
 
-// Stands reports whether a start may still be sent, or sent again: since it was decided its worker may have
+// StartValid reports whether a start may still be sent, or sent again: since it was decided its worker may have
 // begun to leave, or shrunk, or have told of the run. One that is sent after the run has ended does nothing
 // in the same life of the worker, and begins it again in the next.
-func (cl *Cell) Stands(sr Start) bool {
+func (cl *Cell) StartValid(sr Start) bool {
 	pl := cl.placement(sr.Worker, sr.Task, sr.Run)
 	if pl == nil || pl.state != ordered {
 		return false
@@ -206,16 +206,16 @@
 	return wk.listed && !wk.Draining && wk.used.Fits(wk.Capacity)
 }
 
-// StartLost takes in that nobody knows whether a worker has started a run or will: its
+// StartUnconfirmed takes in that nobody knows whether a worker has started a run or will: its
 // next report tells, and where it does not have the run, a stop keeps it off for good.
-func (cl *Cell) StartLost(now time.Duration, sr Start) {
+func (cl *Cell) StartUnconfirmed(now time.Duration, sr Start) {
 	cl.window.add(sr.Urgent, -1)
 	pl := cl.placement(sr.Worker, sr.Task, sr.Run)
 	if pl == nil || pl.state != ordered {
 		return
 	}
 	pl.state, pl.lost = unsure, now
-	cl.out.Asks = append(cl.out.Asks, sr.Worker)
+	cl.out.ReportRequests = append(cl.out.ReportRequests, sr.Worker)
 }
 
 // Stopped takes in that a worker has confirmed a stop. It reports whether only a
@@ -229,11 +229,11 @@
 	return pl.since == 0
 }
 
-// StopLost takes in that a stop was not confirmed; it is ordered again while the run
+// StopUnconfirmed takes in that a stop was not confirmed; it is ordered again while the run
 // may be there.
-func (cl *Cell) StopLost(sp Stop) {
+func (cl *Cell) StopUnconfirmed(sp Stop) {
 	if pl := cl.placement(sp.Worker, sp.Task, sp.Run); pl != nil && pl.stopped == 0 {
-		sp.Tries++
+		sp.Attempts++
 		cl.out.Stops = append(cl.out.Stops, sp)
 	}
 }
--- a/policy/cell/placing_test.go
+++ b/policy/cell/placing_test.go
@@ -47,7 +47,7 @@
 			submit(cl, "job", tt.def, tt.qu)
 			cl.Plan(0)
 			got := map[life.Life]int{}
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				got[sr.Worker]++
 			}
 			if !maps.Equal(got, tt.want) {
@@ -59,7 +59,7 @@
 
 // racks is a cell of two racks with two workers each.
 func racks() *cell.Cell {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 	for id, wk := range map[life.Life]cell.Worker{
 		"w1": {Rack: "r1"}, "w2": {Rack: "r1", Labels: []string{"gpu"}},
 		"w3": {Rack: "r2"}, "w4": {Rack: "r2", Labels: []string{"gpu"}},
@@ -68,8 +68,8 @@
 		cl.PutWorker(0, wk)
 		cl.Report(0, id, 0, nil, nil)
 	}
-	cl.Committed(cl.Recorded())
-	cl.Settle()
+	cl.SetCommitted(cl.RecordCount())
+	cl.FinishRecovery()
 	return cl
 }
 
@@ -85,7 +85,7 @@
 	order := []string{}
 	for range 3 {
 		cl.Plan(0)
-		starts := cl.Take().Starts
+		starts := cl.TakeOutput().Starts
 		is.Equal(len(starts), 8)
 		order = append(order, starts[0].Task.Job)
 		for _, sr := range starts {
--- a/policy/cell/plan.go
+++ b/policy/cell/plan.go
@@ -258,7 +258,7 @@
 	st := tk.step
 	cl.out.Starts = append(cl.out.Starts, Start{
 		Worker: wk.ID, Task: tk.name(), Run: run, Spec: st.round.job.spec.Spec,
-		Ticket: st.advice.ticket(wk), Checkpoint: tk.checkpoint, Urgent: st.urgent(), Decided: now,
+		Ticket: st.advice.ticket(wk), Checkpoint: tk.checkpoint, Urgent: st.urgent(), DecidedAt: now,
 	})
 	cl.window.add(st.urgent(), 1)
 }
--- a/policy/cell/plan_bench_test.go
+++ b/policy/cell/plan_bench_test.go
@@ -23,7 +23,7 @@
 	var order []string
 	plan := func() {
 		cl.Plan(now)
-		for _, sr := range cl.Take().Starts {
+		for _, sr := range cl.TakeOutput().Starts {
 			cl.Started(now, sr)
 			runs[sr.Task.String()] = cell.Run{Task: sr.Task, Number: sr.Run}
 			order = append(order, string(sr.Worker)+"/"+sr.Task.String())
@@ -57,7 +57,7 @@
 			plain := work.Queue{Name: "f", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
 			submit(cl, "full", work.Step{Count: workers * 4, Need: size.New(15000, 100, 0), Estimate: time.Minute}, plain)
 			cl.Plan(0)
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				cl.Started(0, sr)
 			}
 			advised := work.Queue{
@@ -72,8 +72,8 @@
 			for range 2 * gangs / 8 { // a plan puts eight questions
 				now += 100 * time.Microsecond
 				cl.Plan(now)
-				for _, qn := range cl.Take().Questions {
-					cl.Advised(now, qn, third(qn), time.Second)
+				for _, qn := range cl.TakeOutput().AdviceRequests {
+					cl.AddAdvice(now, qn, third(qn), time.Second)
 				}
 			}
 			const gap = 5 * time.Millisecond // between two plans
@@ -86,14 +86,14 @@
 					}
 				}
 				cl.Plan(now)
-				cl.Take()
+				cl.TakeOutput()
 			}
 		})
 	}
 }
 
 // third allows each third worker of a question.
-func third(qn cell.Question) []cell.Ticket {
+func third(qn cell.AdviceRequest) []cell.Ticket {
 	var list []cell.Ticket
 	for at, id := range qn.Workers {
 		if at%3 == 0 {
@@ -113,7 +113,7 @@
 			submit(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 			cl.Plan(0)
 			by := map[life.Life][]cell.Run{}
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				cl.Started(0, sr)
 				by[sr.Worker] = append(by[sr.Worker], cell.Run{Task: sr.Task, Number: sr.Run, Percent: 5})
 			}
@@ -132,14 +132,14 @@
 				at := time.Now()
 				cl.Plan(now)
 				worst = time.Since(at)
-				for _, qn := range cl.Take().Questions {
+				for _, qn := range cl.TakeOutput().AdviceRequests {
 					var rows []cell.Ticket
 					for _, id := range qn.Workers {
 						if allows(qn.Step.StepName(), id, 0.25) {
 							rows = append(rows, cell.Ticket{Worker: id, Text: "t"})
 						}
 					}
-					cl.Advised(now, qn, rows, ticketValid)
+					cl.AddAdvice(now, qn, rows, ticketValid)
 				}
 				return worst
 			}
@@ -173,7 +173,7 @@
 				// fill: 350*8 tasks of 8 cores
 				submit(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 				cl.Plan(0)
-				starts := cl.Take().Starts
+				starts := cl.TakeOutput().Starts
 				by := map[life.Life][]cell.Run{}
 				for _, sr := range starts {
 					cl.Started(0, sr)
@@ -195,7 +195,7 @@
 						}
 					}
 					cl.Plan(now)
-					cl.Take()
+					cl.TakeOutput()
 				}
 			})
 		}
--- a/policy/cell/progress.go
+++ b/policy/cell/progress.go
@@ -27,7 +27,7 @@
 	if rn.Checkpoint != "" {
 		pl.task.checkpoint = rn.Checkpoint
 	}
-	pl.load = rn.Load
+	pl.load = rn.TailLatencyMS
 }
 
 // remains estimates how long a run still takes, from its progress so far: by what it has
@@ -84,8 +84,8 @@
 	}
 }
 
-// Resting returns how many workers are at rest, for measures.
-func (cl *Cell) Resting(now time.Duration) int {
+// Quarantined returns how many workers are at rest, for measures.
+func (cl *Cell) Quarantined(now time.Duration) int {
 	count := 0
 	for _, wk := range cl.workers {
 		if wk.rest > now {
--- a/policy/cell/recovery_test.go
+++ b/policy/cell/recovery_test.go
@@ -85,14 +85,14 @@
 func newLoadedDay(share float64, workers, nodes int) *loadedDay {
 	const seed, firstWindow = 1, 64
 	ld := &loadedDay{busyDay: newBusyDay(seed, workers, nodes, largeStreams(workers)), share: share}
-	ld.cell = cell.New(cell.Options{Keep: time.Minute, FirstRun: 1, StopTime: stopTime, FirstWindow: firstWindow})
+	ld.cell = cell.New(cell.Options{Retention: time.Minute, FirstRun: 1, StopTimeout: stopTime, InitialWindow: firstWindow})
 	for n, id := range ld.workers {
 		ld.cell.PutWorker(0, cell.Worker{ID: id, Service: "svc", Rack: fmt.Sprint(n / 20), Capacity: ld.capacity})
 		ld.cell.Report(0, id, 0, nil, nil)
 		ld.after(time.Duration(n)*time.Second/time.Duration(workers), func() { ld.hold(id) })
 	}
-	ld.cell.Committed(ld.cell.Recorded())
-	ld.cell.Settle()
+	ld.cell.SetCommitted(ld.cell.RecordCount())
+	ld.cell.FinishRecovery()
 	ld.every(dayStep, func() {
 		if !ld.silent && !ld.ended {
 			ld.arrive()
@@ -147,12 +147,12 @@
 	}
 	ld.planning = true
 	ld.turn(planCost, func() {
-		began, looks := ld.now, ld.cell.Looks()
+		began, looks := ld.now, ld.cell.WorkersExamined()
 		ld.cell.Plan(ld.now)
-		_, waiting, _ := ld.cell.Sizes()
-		ld.spend(time.Duration(waiting)*stepCost + time.Duration(ld.cell.Looks()-looks)*lookCost)
+		_, waiting, _ := ld.cell.Counts()
+		ld.spend(time.Duration(waiting)*stepCost + time.Duration(ld.cell.WorkersExamined()-looks)*lookCost)
 		ld.carry()
-		ld.after(cell.Rest(ld.now-began, planGap), func() { ld.planning = false })
+		ld.after(cell.PlanPause(ld.now-began, planGap), func() { ld.planning = false })
 	})
 }
 
@@ -168,20 +168,20 @@
 		for _, sp := range out.Stops {
 			ld.turn(sendCost, func() { ld.stop(sp) })
 		}
-		for _, qn := range out.Questions {
+		for _, qn := range out.AdviceRequests {
 			ld.turn(questionCost, func() { ld.question(qn) })
 		}
 	}
 }
 
 // question puts a question; the tickets that come back say until when they are good.
-func (ld *loadedDay) question(qn cell.Question) {
+func (ld *loadedDay) question(qn cell.AdviceRequest) {
 	ld.answered = func(rows []cell.Ticket) {
 		until := strconv.FormatInt(int64(ld.now+ticketValid), 10)
 		for at := range rows {
 			rows[at].Text = until
 		}
-		ld.turn(answerCost, func() { ld.cell.Advised(ld.now, qn, rows, ticketValid) })
+		ld.turn(answerCost, func() { ld.cell.AddAdvice(ld.now, qn, rows, ticketValid) })
 	}
 	ld.ask(qn)
 }
@@ -241,7 +241,7 @@
 			for range int(after / time.Second) {
 				before := ld.started
 				ld.pass(time.Second)
-				_, waiting, _ := ld.cell.Sizes()
+				_, waiting, _ := ld.cell.Counts()
 				t.Logf("%s: %d starts, %d refused so far, %d steps open", ld.now, ld.started-before, ld.refused, waiting)
 			}
 			slices.Sort(ld.waits)
--- a/policy/cell/remains_test.go
+++ b/policy/cell/remains_test.go
@@ -32,7 +32,7 @@
 			qu := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9}
 			submit(cl, "half", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: 10 * time.Second, Checkpoints: true}, qu)
 			cl.Plan(0)
-			started := cl.Take().Starts
+			started := cl.TakeOutput().Starts
 			is.Equal(len(started), 2)
 			for _, sr := range started {
 				cl.Started(0, sr)
@@ -54,10 +54,10 @@
 			whole := work.Step{Count: 1, Need: size.New(64000, 100, 0), Estimate: time.Second}
 			submit(cl, "whole", whole, work.Queue{Name: "w", Service: "svc", Attempts: 3, Priority: 1, Stretch: 8})
 			cl.Plan(3 * time.Second)
-			is.Equal(len(cl.Take().Starts), 0)
+			is.Equal(len(cl.TakeOutput().Starts), 0)
 			submit(cl, "small", work.Step{Count: 1, Need: half, Estimate: 9 * time.Second}, qu)
 			cl.Plan(3 * time.Second)
-			starts := cl.Take().Starts
+			starts := cl.TakeOutput().Starts
 			is.Equal(len(starts), 1)
 			is.Equal(starts[0].Task.Job, "small")
 			is.Equal(starts[0].Worker, life.Life("w000"))
@@ -72,7 +72,7 @@
 		cl.Report(0, sr.Worker, 0, nil, []cell.End{end})
 	}
 	cl.Plan(0)
-	again := cl.Take().Starts
+	again := cl.TakeOutput().Starts
 	for _, sr := range again {
 		cl.Started(0, sr)
 	}
@@ -97,10 +97,10 @@
 	whole := work.Step{Count: 1, Need: size.New(64000, 100, 0), Estimate: time.Second}
 	submit(cl, "whole", whole, work.Queue{Name: "w", Service: "svc", Attempts: 3, Priority: 1, Stretch: 8})
 	cl.Plan(now)
-	is.Equal(len(cl.Take().Starts), 0)
+	is.Equal(len(cl.TakeOutput().Starts), 0)
 	submit(cl, "small", work.Step{Count: 1, Need: half, Estimate: 9 * time.Second}, qu)
 	cl.Plan(now)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Worker, life.Life("w000"))
 }
--- a/policy/cell/report.go
+++ b/policy/cell/report.go
@@ -61,8 +61,8 @@
 	tk := cl.find(rn.Task)
 	if tk == nil {
 		wk.strangers++
-		wk.rest = max(wk.rest, now+cl.opts.StopTime+stopMargin) // its room is not known
-		cl.out.Stops = append(cl.out.Stops, Stop{Worker: wk.ID, Task: rn.Task, Run: rn.Number, Reason: "job is not known", Stranger: true})
+		wk.rest = max(wk.rest, now+cl.opts.StopTimeout+stopMargin) // its room is not known
+		cl.out.Stops = append(cl.out.Stops, Stop{Worker: wk.ID, Task: rn.Task, Run: rn.Number, Reason: "job is not known", Unknown: true})
 		return
 	}
 	other := tk.place
@@ -86,7 +86,7 @@
 // missing takes in that a report does not list a run. One that was there is gone. One
 // that is being stopped is gone when the stop must be over.
 func (cl *Cell) missing(pl *placement, sent time.Duration) {
-	over := cl.opts.StopTime + stopMargin
+	over := cl.opts.StopTimeout + stopMargin
 	switch {
 	case pl.state == unsure && pl.lost <= sent:
 		cl.stop(pl, "start was not answered")
--- a/policy/cell/room_test.go
+++ b/policy/cell/room_test.go
@@ -23,7 +23,7 @@
 	ids       []life.Life
 	begun     map[string]time.Duration
 	startOn   map[work.Task]life.Life
-	questions func(cell.Question)
+	questions func(cell.AdviceRequest)
 }
 type flowRun struct {
 	worker      life.Life
@@ -66,13 +66,13 @@
 			}
 			fl.cl.Report(fl.now, id, fl.now, runs, ends)
 		}
-		fl.cl.Committed(fl.cl.Recorded())
+		fl.cl.SetCommitted(fl.cl.RecordCount())
 		if fl.now%(50*time.Millisecond) == 0 {
 			fl.cl.Tick(fl.now, fl.now)
 		}
 		fl.cl.Plan(fl.now)
-		out := fl.cl.Take()
-		for _, qn := range out.Questions {
+		out := fl.cl.TakeOutput()
+		for _, qn := range out.AdviceRequests {
 			if fl.questions != nil {
 				fl.questions(qn)
 			}
@@ -245,7 +245,7 @@
 	fl.pass(900*time.Millisecond, nil)
 	fl.cl.Add(fl.now, &work.Job{ID: "gang", Spec: "s", Queue: plainQ("g", 1, 5), Steps: []work.Step{{Count: 1, Gang: true, Label: "big", Need: full, Estimate: 4 * time.Second}}}, false)
 	fl.pass(9*time.Second, nil)
-	for _, wt := range fl.cl.Waits(fl.now, 0, 9) {
+	for _, wt := range fl.cl.LongestWaiting(fl.now, 0, 9) {
 		t.Logf("%+v", wt)
 	}
 	t.Logf("begun: gang %v late %v", fl.begun["gang"], fl.begun["late"])
@@ -292,9 +292,9 @@
 	count := 0
 	for now := time.Duration(0); now < time.Second; now += 5 * time.Millisecond {
 		cl.Plan(now)
-		for _, qn := range cl.Take().Questions {
+		for _, qn := range cl.TakeOutput().AdviceRequests {
 			count++
-			cl.PutOff(now, qn)
+			cl.AdviceDeferred(now, qn)
 		}
 	}
 	t.Logf("%d urgent questions put off in 1 s by 50 steps", count)
@@ -318,10 +318,10 @@
 	fl.cl.Add(fl.now, &work.Job{ID: "wide", Spec: "s", Queue: advised, Steps: []work.Step{{Count: 9, Gang: true, Need: full, Estimate: 3 * time.Second}}}, false)
 	// allowed on all workers, but the tickets are never given again
 	fl.cl.Plan(fl.now)
-	out := fl.cl.Take()
-	is.True(len(out.Questions) > 0)
-	for _, qn := range out.Questions {
-		fl.cl.Advised(fl.now, qn, rows(qn), 0)
+	out := fl.cl.TakeOutput()
+	is.True(len(out.AdviceRequests) > 0)
+	for _, qn := range out.AdviceRequests {
+		fl.cl.AddAdvice(fl.now, qn, rows(qn), 0)
 	}
 	fl.pass(20*time.Second, each) // questions of the bed stay unanswered
 	busy := 0
@@ -343,7 +343,7 @@
 	cl.AddAged(0, 3*time.Minute, &work.Job{ID: "other", Spec: "s", Queue: plain, Steps: []work.Step{{Count: 1, Need: full, Estimate: time.Minute}}})
 	cl.Tick(0, wall)
 	cl.Plan(0)
-	is.Equal(cl.Take().Starts[0].Task.Job, "timed") // due 5 min ago, the other came 3 min ago
+	is.Equal(cl.TakeOutput().Starts[0].Task.Job, "timed") // due 5 min ago, the other came 3 min ago
 }
 
 // TestWideTickets has a gang need tickets of more workers than one question names: each question named
@@ -373,17 +373,17 @@
 			fl.cl.Add(fl.now, &work.Job{ID: "wide", Spec: "s", Queue: qu, Steps: []work.Step{{Count: tt.count, Gang: true, Need: full, Estimate: 5 * time.Second}}}, false)
 			type open struct {
 				at time.Duration
-				qn cell.Question
+				qn cell.AdviceRequest
 			}
 			var asks []open
 			count := 0
-			fl.questions = func(qn cell.Question) {
+			fl.questions = func(qn cell.AdviceRequest) {
 				count++
 				asks = append(asks, open{fl.now + qn.Takes, qn})
 			}
 			fl.pass(40*time.Second, func() {
 				for len(asks) > 0 && asks[0].at <= fl.now {
-					fl.cl.Advised(fl.now, asks[0].qn, rows(asks[0].qn), ticketValid)
+					fl.cl.AddAdvice(fl.now, asks[0].qn, rows(asks[0].qn), ticketValid)
 					asks = asks[1:]
 				}
 			})
@@ -401,22 +401,22 @@
 	submit(cl, "base", work.Step{Count: 2, Need: full, Estimate: time.Minute}, plainQ("base", 0, 2))
 	cl.Plan(0)
 	var on []cell.Start
-	for _, sr := range cl.Take().Starts {
+	for _, sr := range cl.TakeOutput().Starts {
 		cl.Started(0, sr)
 		on = append(on, sr)
 	}
 	cl.AddAged(0, time.Minute, &work.Job{ID: "late", Spec: "s", Queue: plainQ("p", 1, 2), Steps: []work.Step{{Count: 1, Need: full, Estimate: time.Second}}})
 	now := time.Second
 	cl.Plan(now)
-	_, kept := cl.Oldest(now)
+	_, kept := cl.OldestWait(now)
 	is.Equal(kept, 1)
 	// a run of it shows up on the other worker (a start that was given up)
 	other := on[1]
 	name := work.Task{Job: "late"}
 	cl.Report(now, other.Worker, now, []cell.Run{{Task: other.Task, Number: other.Run}, {Task: name, Number: 1}}, nil)
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	cl.Plan(now + 500*time.Millisecond)
-	_, kept = cl.Oldest(now)
+	_, kept = cl.OldestWait(now)
 	is.Equal(kept, 0)
 }
 
--- a/policy/cell/sharing.go
+++ b/policy/cell/sharing.go
@@ -79,8 +79,8 @@
 	return heat, serves
 }
 
-// Serves reports whether a worker has tasks whose latency must be watched.
-func (cl *Cell) Serves(id life.Life) bool {
+// HasLatencyTarget reports whether a worker has tasks whose latency must be watched.
+func (cl *Cell) HasLatencyTarget(id life.Life) bool {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return false
@@ -89,9 +89,9 @@
 	return serves
 }
 
-// PaceLost takes in that an order to change the pace was not confirmed: the next
+// PaceUnconfirmed takes in that an order to change the pace was not confirmed: the next
 // report decides anew.
-func (cl *Cell) PaceLost(pc Pace) {
+func (cl *Cell) PaceUnconfirmed(pc Pace) {
 	if pl := cl.placement(pc.Worker, pc.Task, pc.Run); pl != nil {
 		pl.pace = whole
 		pl.worker.paced = 0
--- a/policy/cell/sharing_test.go
+++ b/policy/cell/sharing_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	cl.Plan(now)
 	var runs []cell.Run
-	for _, sr := range cl.Take().Starts {
+	for _, sr := range cl.TakeOutput().Starts {
 		cl.Started(now, sr)
 		runs = append(runs, cell.Run{Task: sr.Task, Number: sr.Run, Percent: 100})
 	}
@@ -33,13 +33,13 @@
 func oneWorker(cl *cell.Cell) {
 	cl.PutWorker(0, cell.Worker{ID: "w", Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	cl.Report(1, "w", 1, nil, nil)
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 }
 
 // TestSharing slows a filler while its neighbour is near the latency that it promised,
 // and lets it go again.
 func TestSharing(t *testing.T) {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 	oneWorker(cl)
 	serve := lasting("serve", 1, 0)
 	serve.Steps[0].Tail = 100 * time.Millisecond
@@ -48,8 +48,8 @@
 	cl.Add(0, serve, false)
 	cl.Add(0, fill, false)
 	runs := place(t, cl, 2)
-	if len(runs) != 2 || !cl.Serves("w") {
-		t.Fatalf("runs %v, serves %v", runs, cl.Serves("w"))
+	if len(runs) != 2 || !cl.HasLatencyTarget("w") {
+		t.Fatalf("runs %v, serves %v", runs, cl.HasLatencyTarget("w"))
 	}
 	steps := []struct{ load, want int }{
 		{50, 100}, {90, 50}, {90, 25}, {120, 0}, {90, 0}, {70, 0}, {50, 10}, {50, 20},
@@ -59,11 +59,11 @@
 		now := time.Duration(n+1) * time.Second
 		for at := range runs {
 			if runs[at].Task.Job == "serve" {
-				runs[at].Load = step.load
+				runs[at].TailLatencyMS = step.load
 			}
 		}
 		cl.Report(now, "w", now, runs, nil)
-		for _, pc := range cl.Take().Paces {
+		for _, pc := range cl.TakeOutput().Paces {
 			if pc.Task.Job != "fill" {
 				t.Errorf("pace of %v", pc.Task)
 			}
@@ -94,7 +94,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+			cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 			oneWorker(cl)
 			jb := batch("a", 3)
 			tc.change(&jb.Steps[0])
@@ -107,8 +107,8 @@
 			cl.Report(now, "w", now, runs, nil)
 			cl.PutWorker(now, cell.Worker{ID: "w", Service: "svc", Capacity: size.New(64000, 128000, 0), Draining: true, Remaining: tc.stays})
 			cl.Tick(now, now)
-			cl.Committed(cl.Recorded())
-			if stops := cl.Take().Stops; len(stops) != tc.stops {
+			cl.SetCommitted(cl.RecordCount())
+			if stops := cl.TakeOutput().Stops; len(stops) != tc.stops {
 				t.Errorf("%d stops, want %d", len(stops), tc.stops)
 			}
 		})
@@ -117,7 +117,7 @@
 
 // TestLasting starts a lasting task again however it ended, and never fails its job.
 func TestLasting(t *testing.T) {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 	oneWorker(cl)
 	cl.Add(0, lasting("a", 1, 0), false)
 	for n, how := range []cell.Result{cell.ResultFailed, cell.ResultDone, cell.ResultFailed, cell.ResultFailed, cell.ResultLapsed} {
@@ -133,7 +133,7 @@
 		t.Errorf("phase is %s", phase)
 	}
 	cl.Cancel(time.Hour, "a", "")
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	if phase, _ := cl.Phase("a", ""); phase != cell.Cancelled {
 		t.Errorf("phase after the cancel is %s", phase)
 	}
@@ -143,7 +143,7 @@
 // just before it ended. The live run stays; were it to be stopped, the task would wait
 // for both.
 func TestInheritedStop(t *testing.T) {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65, StopTime: time.Second})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 65, StopTimeout: time.Second})
 	cl.Add(0, batch("a", 1), true)
 	task := work.Task{Job: "a"}
 	cl.InheritStops(0, "w1", []cell.Run{{Task: task, Number: 1}})
@@ -153,10 +153,10 @@
 	cl.Report(1, "w2", 1, []cell.Run{{Task: task, Number: 2, Percent: 9}}, nil)
 	cl.Report(1, "w3", 1, nil, nil)
 	cl.Report(2, "w1", 2, nil, []cell.End{{Seq: 1, Run: cell.Run{Task: task, Number: 1}, Result: cell.ResultStopped}})
-	cl.Settle()
-	cl.Committed(cl.Recorded())
+	cl.FinishRecovery()
+	cl.SetCommitted(cl.RecordCount())
 	cl.Plan(4)
-	if out := cl.Take(); len(out.Stops)+len(out.Starts) > 0 {
+	if out := cl.TakeOutput(); len(out.Stops)+len(out.Starts) > 0 {
 		t.Errorf("stops %v, starts %v", out.Stops, out.Starts)
 	}
 }
@@ -164,7 +164,7 @@
 // TestTwoRuns has two planners' runs of one task on two workers. The older one is
 // stopped, and the task does not start anew while either is there.
 func TestTwoRuns(t *testing.T) {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 129, StopTime: time.Second})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 129, StopTimeout: time.Second})
 	cl.Add(0, batch("a", 1), true)
 	task := work.Task{Job: "a"}
 	for _, id := range []life.Life{"w1", "w2", "w3"} {
@@ -173,22 +173,22 @@
 	cl.Report(1, "w2", 1, []cell.Run{{Task: task, Number: 65, Percent: 9}}, nil)
 	cl.Report(1, "w1", 1, []cell.Run{{Task: task, Number: 1, Percent: 50}}, nil)
 	cl.Report(1, "w3", 1, nil, nil)
-	cl.Settle()
-	cl.Committed(cl.Recorded())
-	out := cl.Take()
+	cl.FinishRecovery()
+	cl.SetCommitted(cl.RecordCount())
+	out := cl.TakeOutput()
 	if len(out.Stops) != 1 || out.Stops[0].Worker != "w1" {
 		t.Fatalf("stops %v", out.Stops)
 	}
 	cl.Stopped(3, out.Stops[0])
 	cl.Report(4, "w2", 4, nil, []cell.End{{Seq: 1, Run: cell.Run{Task: task, Number: 65}, Result: cell.ResultFailed}})
 	cl.Plan(5)
-	if out := cl.Take(); len(out.Starts) > 0 {
+	if out := cl.TakeOutput(); len(out.Starts) > 0 {
 		t.Errorf("starts %v while run 1 is being stopped", out.Starts)
 	}
 	cl.Report(6, "w1", 6, nil, []cell.End{{Seq: 1, Run: cell.Run{Task: task, Number: 1}, Result: cell.ResultStopped}})
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	cl.Plan(7)
-	if out := cl.Take(); len(out.Starts) != 1 {
+	if out := cl.TakeOutput(); len(out.Starts) != 1 {
 		t.Errorf("starts %v once both are gone", out.Starts)
 	}
 }
--- a/policy/cell/waits.go
+++ b/policy/cell/waits.go
@@ -9,24 +9,24 @@
 	"tackbeam.example/policy/work"
 )
 
-// Wait is a step that has waited for long, with what it waits for.
-type Wait struct {
+// WaitingStep is a step that has waited for long, with what it waits for.
+type WaitingStep struct {
 	Step work.Task
-	// For is how long ago it became ready, Tasks how many of its tasks wait, Placed how
+	// Waited is how long ago it became ready, Tasks how many of its tasks wait, Placed how
 	// many are on workers or may be there.
-	For           time.Duration
+	Waited        time.Duration
 	Tasks, Placed int
-	// Asking is set while the advisor has a question about it. Asked and Allowed count
+	// AdvicePending is set while the advisor has a question about it. Asked and Allowed count
 	// the workers of which it has spoken, Room the tasks that those allowed could start.
-	Asking               bool
-	Asked, Allowed, Room int
+	AdvicePending             bool
+	Asked, Allowed, Startable int
 	// Tickets counts the allowed workers whose tickets can still be used.
 	Tickets int
 	// Questions counts those asked about the step, Unanswered those of them that found
 	// the advisor too busy, or no answer.
 	Questions, Unanswered int
-	// Claimed counts the workers that are kept free for it.
-	Claimed int
+	// Reserved counts the workers that are kept free for it.
+	Reserved int
 	// Late is set where the job cannot be in time any more.
 	Late bool
 	// Use is what the job's workspace has running, AtLimit is set where its limit keeps the step from starting,
@@ -35,9 +35,9 @@
 	AtLimit, Excess bool
 }
 
-// Waits returns the steps that have waited longest, at most a number of them, and only
+// LongestWaiting returns the steps that have waited longest, at most a number of them, and only
 // ones that have waited for a time.
-func (cl *Cell) Waits(now, least time.Duration, most int) []Wait {
+func (cl *Cell) LongestWaiting(now, least time.Duration, most int) []WaitingStep {
 	var steps []*step
 	for st := range cl.open {
 		if st.waits > 0 && now-st.ready >= least {
@@ -47,26 +47,26 @@
 	slices.SortFunc(steps, func(a, b *step) int {
 		return cmp.Or(cmp.Compare(a.ready, b.ready), cmp.Compare(a.round.job.spec.ID, b.round.job.spec.ID))
 	})
-	var list []Wait
+	var list []WaitingStep
 	for _, st := range steps[:min(most, len(steps))] {
 		list = append(list, cl.wait(now, st))
 	}
 	return list
 }
 
-func (cl *Cell) wait(now time.Duration, st *step) Wait {
-	wt := Wait{
-		Step:  work.Task{Job: st.round.job.spec.ID, Round: st.round.num, Step: st.num},
-		For:   now - st.ready,
-		Tasks: st.waits, Placed: st.left - st.waits,
-		Asking: st.advice.open > 0, Asked: len(st.advice.verdicts), Allowed: len(st.advice.good),
+func (cl *Cell) wait(now time.Duration, st *step) WaitingStep {
+	wt := WaitingStep{
+		Step:   work.Task{Job: st.round.job.spec.ID, Round: st.round.num, Step: st.num},
+		Waited: now - st.ready,
+		Tasks:  st.waits, Placed: st.left - st.waits,
+		AdvicePending: st.advice.open > 0, Asked: len(st.advice.verdicts), Allowed: len(st.advice.good),
 		Questions: st.advice.questions, Unanswered: st.advice.unanswered,
-		Claimed: len(st.claims), Late: cl.rank(now, st).late,
+		Reserved: len(st.claims), Late: cl.rank(now, st).late,
 		Use: cl.quota.Use(st.workspace()), AtLimit: cl.atLimit(st), Excess: st.round.job.excess,
 	}
 	need := cl.reaches(now)
 	for cand := range cl.trusted(st) {
-		wt.Room += cand.room
+		wt.Startable += cand.room
 		if st.advice.goodUntil(cand.worker, need) {
 			wt.Tickets++
 		}
@@ -74,9 +74,9 @@
 	return wt
 }
 
-// Oldest returns how long the step that has waited longest has waited, and how many
+// OldestWait returns how long the step that has waited longest has waited, and how many
 // workers are kept free for gangs, for measures.
-func (cl *Cell) Oldest(now time.Duration) (wait time.Duration, kept int) {
+func (cl *Cell) OldestWait(now time.Duration) (wait time.Duration, kept int) {
 	for st := range cl.open {
 		if st.waits > 0 {
 			wait = max(wait, now-st.ready)
--- a/policy/cell/window.go
+++ b/policy/cell/window.go
@@ -126,8 +126,8 @@
 	return wn.limit == 0 || pending < ahead*wn.limit
 }
 
-// Window returns how many starts may be under way, and how many are, for measures.
-func (cl *Cell) Window() (limit, underWay int) {
+// StartWindow returns how many starts may be under way, and how many are, for measures.
+func (cl *Cell) StartWindow() (limit, underWay int) {
 	return cl.window.limit, cl.window.urgent + cl.window.patient
 }
 
@@ -139,9 +139,9 @@
 	mostRest = 100 * time.Millisecond
 )
 
-// Rest returns how long to pause after a plan that took a time: in the pause changes gather, and
+// PlanPause returns how long to pause after a plan that took a time: in the pause changes gather, and
 // orders go out.
-func Rest(took, least time.Duration) time.Duration {
+func PlanPause(took, least time.Duration) time.Duration {
 	return min(max(least, restShare*took), mostRest)
 }
 
--- a/policy/cell/window_test.go
+++ b/policy/cell/window_test.go
@@ -17,21 +17,21 @@
 func TestLateAnswerStopsNothing(t *testing.T) {
 	is := is.New(t)
 	const late = 3 * time.Second
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1, FirstWindow: 64})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1, InitialWindow: 64})
 	cl.PutWorker(0, cell.Worker{ID: "w1", Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	cl.Report(0, "w1", 0, nil, nil)
-	cl.Committed(cl.Recorded())
-	cl.Settle()
+	cl.SetCommitted(cl.RecordCount())
+	cl.FinishRecovery()
 	qu := work.Queue{Name: "q", Service: "svc", Attempts: 3, Advised: true}
 	one := work.Step{Count: 1, Need: size.New(1000, 100, 0)}
 	plan := func(now time.Duration) []cell.Start {
 		cl.Report(now, "w1", 0, nil, nil)
 		cl.Plan(now)
-		for _, qn := range cl.Take().Questions {
-			cl.Advised(now, qn, []cell.Ticket{{Worker: "w1", Text: "t"}}, ticketValid)
+		for _, qn := range cl.TakeOutput().AdviceRequests {
+			cl.AddAdvice(now, qn, []cell.Ticket{{Worker: "w1", Text: "t"}}, ticketValid)
 		}
 		cl.Plan(now)
-		return cl.Take().Starts
+		return cl.TakeOutput().Starts
 	}
 	submit(cl, "first", one, qu)
 	quick := plan(0)
@@ -50,11 +50,11 @@
 // 1 s later it was not behind at all.
 func TestTakeoverIsNoBacklog(t *testing.T) {
 	is := is.New(t)
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1, FirstWindow: 64})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1, InitialWindow: 64})
 	cl.PutWorker(0, cell.Worker{ID: "w1", Service: "svc", Capacity: size.New(1<<40, 1<<40, 0)})
 	cl.Report(0, "w1", 0, nil, nil)
-	cl.Committed(cl.Recorded())
-	cl.Settle()
+	cl.SetCommitted(cl.RecordCount())
+	cl.FinishRecovery()
 	many := work.Step{Count: 5000, Need: size.New(1, 1, 0)}
 	submit(cl, "a", many, work.Queue{Name: "q", Service: "svc", Attempts: 3})
 	var underWay []cell.Start
@@ -64,7 +64,7 @@
 		for _, sr := range underWay {
 			cl.Started(now, sr)
 		}
-		underWay = cl.Take().Starts
+		underWay = cl.TakeOutput().Starts
 	}
 	const begins = 900 * time.Millisecond
 	startSome(begins)
--- a/policy/cell/worker.go
+++ b/policy/cell/worker.go
@@ -87,12 +87,12 @@
 	if wk.proof == 0 {
 		return
 	}
-	cl.record(Record{Worker: wk.ID, Closed: true, Held: wk.held(), Left: wk.Draining || wk.left})
+	cl.record(Record{Worker: wk.ID, Closed: true, Held: wk.held(), Departed: wk.Draining || wk.left})
 	wk.proof = 0
 }
 
-// Silent takes in that a worker does not answer.
-func (cl *Cell) Silent(now time.Duration, id life.Life) {
+// Unreachable takes in that a worker does not answer.
+func (cl *Cell) Unreachable(now time.Duration, id life.Life) {
 	if wk, ok := cl.workers[id]; ok {
 		cl.fellSilent(now, wk)
 		cl.shutWorker(wk)
@@ -102,7 +102,7 @@
 // InheritStops takes in that an earlier planner may have told a worker to stop runs
 // just before this one was elected.
 func (cl *Cell) InheritStops(now time.Duration, id life.Life, runs []Run) {
-	cl.Inherit(now, id, nil)
+	cl.InheritRuns(now, id, nil)
 	wk := cl.workers[id]
 	for _, rn := range runs {
 		tk := cl.find(rn.Task)
@@ -114,15 +114,15 @@
 	}
 }
 
-// InheritLeft takes in that a worker was leaving in order.
-func (cl *Cell) InheritLeft(now time.Duration, id life.Life) {
-	cl.Inherit(now, id, nil)
+// InheritDeparted takes in that a worker was leaving in order.
+func (cl *Cell) InheritDeparted(now time.Duration, id life.Life) {
+	cl.InheritRuns(now, id, nil)
 	cl.workers[id].left = true
 }
 
-// Inherit takes in that a worker holds at most some runs, as an earlier planner has
+// InheritRuns takes in that a worker holds at most some runs, as an earlier planner has
 // recorded, until it answers or lapses.
-func (cl *Cell) Inherit(now time.Duration, id life.Life, held []Run) {
+func (cl *Cell) InheritRuns(now time.Duration, id life.Life, held []Run) {
 	wk, known := cl.workers[id]
 	if !known {
 		cl.PutWorker(now, Worker{ID: id})
@@ -154,18 +154,18 @@
 	cl.shutWorker(wk)
 }
 
-// Over takes in that a worker's incarnation is over: another one answers in its place.
-func (cl *Cell) Over(now time.Duration, id life.Life) {
+// Replaced takes in that a worker's incarnation is over: another one answers in its place.
+func (cl *Cell) Replaced(now time.Duration, id life.Life) {
 	if wk, ok := cl.workers[id]; ok {
 		cl.fellSilent(now, wk)
 		cl.deregister(wk)
-		cl.Lapsed(now, id)
+		cl.LeaseExpired(now, id)
 	}
 }
 
-// Lapsed takes in that nothing can run on a worker any more: its lease is over, or
+// LeaseExpired takes in that nothing can run on a worker any more: its lease is over, or
 // it is gone. It may answer again later.
-func (cl *Cell) Lapsed(now time.Duration, id life.Life) {
+func (cl *Cell) LeaseExpired(now time.Duration, id life.Life) {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return
@@ -189,9 +189,9 @@
 	wk.forgotten = true
 }
 
-// Noted returns the number of the last end of a worker that the journal proves, and
+// AckedEnd returns the number of the last end of a worker that the journal proves, and
 // whether later ones wait for that.
-func (cl *Cell) Noted(id life.Life) (number int, waits bool) {
+func (cl *Cell) AckedEnd(id life.Life) (number int, waits bool) {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return 0, false
@@ -203,14 +203,14 @@
 	return wk.noted, len(wk.unnoted) > 0
 }
 
-// Holds reports whether a worker may have runs of the cell.
-func (cl *Cell) Holds(id life.Life) bool {
+// MayHoldRuns reports whether a worker may have runs of the cell.
+func (cl *Cell) MayHoldRuns(id life.Life) bool {
 	wk, ok := cl.workers[id]
 	return ok && (len(wk.places) > 0 || !wk.answered)
 }
 
-// Held returns the runs that a worker may have, in no order.
-func (cl *Cell) Held(id life.Life) []Run {
+// HeldRuns returns the runs that a worker may have, in no order.
+func (cl *Cell) HeldRuns(id life.Life) []Run {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return nil
@@ -226,8 +226,8 @@
 	return runs
 }
 
-// Serving reports whether any job's tasks run on workers of a service.
-func (cl *Cell) Serving(service string) bool { return cl.services[service] }
+// UsesService reports whether any job's tasks run on workers of a service.
+func (cl *Cell) UsesService(service string) bool { return cl.services[service] }
 
 // Listed reports whether a worker is known and in the list.
 func (cl *Cell) Listed(id life.Life) (known, listed bool) {
