--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -50,7 +50,7 @@
 	WorkersPrefix string
 	DecodeWorker  func(item kv.Item) (WorkerEntry, error)
 	// Advise asks the advisor through the node that is free soonest.
-	Advise func(ctx context.Context, qn cell.Question) (Advice, error)
+	Advise func(ctx context.Context, qn cell.AdviceRequest) (Advice, error)
 	// ServiceInUse reports whether the configuration sends any queue to a service.
 	ServiceInUse func(service string) bool
 	// Queue returns the present settings of a queue, or false where its route is gone.
--- a/internal/planner/roster.go
+++ b/internal/planner/roster.go
@@ -82,7 +82,7 @@
 
 // serves reports whether the configuration or a job names the service.
 func (ld *lead) serves(service string) bool {
-	return ld.parts.ServiceInUse(service) || ld.cell.Serving(service)
+	return ld.parts.ServiceInUse(service) || ld.cell.UsesService(service)
 }
 
 // relist lists the workers whose services have come into use.
