--- a/policy/owner/event.go
+++ b/policy/owner/event.go
@@ -24,7 +24,7 @@
 }
 
 // WorkerUp reports that the owner holds a worker's lease, and what runs there. All other commitments on the worker
-// are released, except those of tasks that are about to start.
+// are released, except those of holds and of tasks that are about to start.
 type WorkerUp struct {
 	Worker  ledger.Worker `json:"worker"`
 	Running []Running     `json:"running,omitempty"`
--- a/policy/owner/owner.go
+++ b/policy/owner/owner.go
@@ -34,7 +34,7 @@
 	waiting int
 	sizes   map[string]size.Size
 	holds   map[string]*hold
-	// starting are the tasks that may not have reached their worker yet.
+	// starting are the committed tasks whose start has not been answered yet.
 	starting map[string]bool
 	// running are the committed tasks, with what is needed to preempt them.
 	running map[string]*running
