--- a/internal/term/election.go
+++ b/internal/term/election.go
@@ -12,31 +12,31 @@
 	"tackbeam.example/tackbeam/internal/kv"
 )
 
-// campaignHedge is how long a candidacy may be without an answer before it is sent
-// again: the store answers in 4 ms.
+// campaignHedge is how long a candidacy may go without an answer before it is sent again; the store normally
+// answers within 4 ms.
 const campaignHedge = 60 * time.Millisecond
 
-// campaign takes the leader's key where nobody has it, or where this node had it on an
-// earlier lease: nobody plans by that, and its addresses are this process's now.
-func (tm *Elector) campaign(ctx context.Context) {
-	tm.mu.Lock()
-	held := tm.leaderAt // on the earlier lease, 0 where nobody has it
-	vacant := tm.loaded && (held == 0 || tm.inherits()) && tm.lease != 0 && !tm.resigned &&
-		!tm.abstaining() && tm.deferral() <= 0
-	el := joblog.Election{Node: tm.opts.Node, Peers: tm.opts.PeerAddr, Number: tm.highest + 1, Nonce: tm.nonce}
-	lease := tm.lease
-	tm.mu.Unlock()
+// campaign takes the leader's key if nobody holds it, or if this node holds it under an earlier lease: no planner
+// runs under such a key, and its address leads to this process now.
+func (er *Elector) campaign(ctx context.Context) {
+	er.mu.Lock()
+	held := er.leaderRevision // revision of the key under the earlier lease, 0 if nobody holds it
+	vacant := er.loaded && (held == 0 || er.keyFromOldLease()) && er.lease != 0 && !er.resigned &&
+		!er.abstaining() && er.deferral() <= 0
+	el := joblog.Election{Node: er.opts.Node, Peers: er.opts.PeerAddr, Number: er.highestNumber + 1, Nonce: er.nonce}
+	lease := er.lease
+	er.mu.Unlock()
 	if !vacant {
 		return
 	}
 	raw, err := joblog.Encode(el)
 	if err != nil {
-		tm.log.Error(err, "Node cannot be a candidate.")
+		er.log.Error(err, "Candidacy could not be encoded.")
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, tm.opts.TTL/2)
+	call, cancel := context.WithTimeout(ctx, er.opts.TTL/2)
 	defer cancel()
-	revision, items, err := tm.store.Settle(call, kv.Settling{Clock: tm.clock, Hedge: campaignHedge}, kv.Txn{
+	revision, items, err := er.store.Settle(call, kv.Settling{Clock: er.clock, Hedge: campaignHedge}, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: held}},
 		Puts: []kv.Put{
 			{Key: joblog.Leader, Value: raw, Lease: lease},
@@ -45,333 +45,328 @@
 	})
 	switch {
 	case err == nil:
-		tm.changed([]kv.Item{{Key: joblog.Leader, Value: raw, Revision: revision}}, false)
+		er.onChange([]kv.Item{{Key: joblog.Leader, Value: raw, Revision: revision}}, false)
 	case errors.Is(err, kv.ErrConflict):
-		tm.changed(items, false)
+		er.onChange(items, false)
 	case errors.Is(err, kv.ErrLeaseGone):
-		tm.dropLease(lease, "not found in the store")
+		er.dropLease(lease, "not found in the store")
 	default:
-		tm.log.Info("Election is open; the watch will tell.", "reason", err.Error())
+		er.log.Info("Outcome of the election is unknown; waiting for the watch.", "reason", err.Error())
 	}
 }
 
-// inherits reports whether the leader's key is this node's from an earlier lease. The
-// caller holds the lock.
-func (tm *Elector) inherits() bool {
-	return tm.leader.Node == tm.opts.Node && tm.leader.Nonce != tm.nonce
+// keyFromOldLease reports whether this node holds the leader's key from an earlier lease. The caller holds the
+// lock.
+func (er *Elector) keyFromOldLease() bool {
+	return er.leader.Node == er.opts.Node && er.leader.Nonce != er.nonce
 }
 
-// How a node with little of a processor leaves the planner's place to stronger ones.
+// A node with little CPU defers to stronger nodes.
 const (
-	// muchStronger is by what factor another node's share of a processor must be larger.
-	muchStronger = 1.5
-	// deferFor is how long the place is left to it: it hears of the vacancy as soon as
-	// this node does, and a candidacy takes a few ms.
-	deferFor = 300 * time.Millisecond
-	// giveWayEvery is the least time between two times that a planner gives way: the
-	// nodes of a rolling restart come back within it.
-	giveWayEvery = 10 * time.Second
+	// strongerFactor is how many times larger the CPU share of another node must be for this node to defer to it.
+	strongerFactor = 1.5
+	// deferTime is how long this node defers. The stronger node learns of the vacancy at the same time as this one,
+	// and a candidacy takes a few ms.
+	deferTime = 300 * time.Millisecond
+	// yieldInterval is the minimum time between two terms that this node yields to a stronger one; the nodes of a
+	// rolling restart are back within it.
+	yieldInterval = 10 * time.Second
 )
 
-// deferral returns how long to leave the planner's place to a stronger node. The caller
-// holds the lock.
-func (tm *Elector) deferral() time.Duration {
-	if tm.leaderAt > 0 || !tm.loaded || tm.stronger() == "" {
+// deferral returns how much longer this node defers to a stronger one. The caller holds the lock.
+func (er *Elector) deferral() time.Duration {
+	if er.leaderRevision > 0 || !er.loaded || er.stronger() == "" {
 		return 0
 	}
-	return tm.vacated.Add(deferFor).Sub(tm.clock.Now())
+	return er.vacantSince.Add(deferTime).Sub(er.clock.Now())
 }
 
-// stronger returns the name of a node with much more of a processor, or "". The caller
-// holds the lock.
-func (tm *Elector) stronger() string {
-	for _, mb := range tm.members {
-		if mb.Processors > muchStronger*tm.opts.Processors {
+// stronger returns the name of a node with much more CPU, or "". The caller holds the lock.
+func (er *Elector) stronger() string {
+	for _, mb := range er.members {
+		if mb.Processors > strongerFactor*er.opts.Processors {
 			return mb.Node
 		}
 	}
 	return ""
 }
 
-// giveWay has a node that plans, because no stronger one was listed, give its place up
-// when one is. It does so rarely: one that is listed may still be unable to plan.
-func (tm *Elector) giveWay() {
-	tm.mu.Lock()
-	name := tm.stronger()
-	now := tm.clock.Now()
-	if tm.reign == nil || name == "" || !tm.gaveWay.IsZero() && now.Sub(tm.gaveWay) < giveWayEvery {
-		tm.mu.Unlock()
+// yieldToStronger ends this node's term if a stronger node has joined since it began. It does so at most once per
+// yieldInterval because a registered node may still be unable to plan.
+func (er *Elector) yieldToStronger() {
+	er.mu.Lock()
+	name := er.stronger()
+	now := er.clock.Now()
+	if er.current == nil || name == "" || !er.lastYield.IsZero() && now.Sub(er.lastYield) < yieldInterval {
+		er.mu.Unlock()
 		return
 	}
-	tm.gaveWay = now
-	tm.mu.Unlock()
-	tm.yield("node "+name+" has more of a processor", 0)
+	er.lastYield = now
+	er.mu.Unlock()
+	er.yield("node "+name+" has more CPU", 0)
 }
 
-// changed takes in changes of the members' keys.
-func (tm *Elector) changed(items []kv.Item, reset bool) {
-	tm.mu.Lock()
+// onChange applies changes of the members' keys.
+func (er *Elector) onChange(items []kv.Item, reset bool) {
+	er.mu.Lock()
 	for _, item := range items {
-		tm.take(item)
+		er.applyItem(item)
 	}
-	if reset && !tm.loaded {
-		tm.loaded, tm.vacated = true, tm.clock.Now()
+	if reset && !er.loaded {
+		er.loaded, er.vacantSince = true, er.clock.Now()
 	}
-	tm.mu.Unlock()
-	tm.follow()
-	tm.giveWay()
-	tm.wake.Give()
+	er.mu.Unlock()
+	er.syncTerm()
+	er.yieldToStronger()
+	er.wake.Give()
 }
 
-func (tm *Elector) take(item kv.Item) {
+func (er *Elector) applyItem(item kv.Item) {
 	switch {
 	case item.Key == joblog.Reigns:
 		if number, err := strconv.Atoi(string(item.Value)); err == nil {
-			tm.highest = max(tm.highest, number)
+			er.highestNumber = max(er.highestNumber, number)
 		}
 	case item.Key == joblog.Leader:
-		tm.takeLeader(item)
+		er.applyLeader(item)
 	case item.Key == joblog.Backlog:
-		tm.takeBacklog(item)
+		er.applyBacklog(item)
 	case item.Gone:
-		delete(tm.members, item.Key)
-		tm.listed = tm.listed && item.Key != joblog.Nodes+tm.opts.Node
+		delete(er.members, item.Key)
+		er.registered = er.registered && item.Key != joblog.Nodes+er.opts.Node
 	default:
 		mb, err := joblog.Decode[joblog.Member](item.Value)
 		if err != nil {
-			tm.log.Error(err, "A member's key cannot be read.", "key", item.Key)
+			er.log.Error(err, "Key of a member could not be decoded.", "key", item.Key)
 			return
 		}
-		tm.members[item.Key] = mb
+		er.members[item.Key] = mb
 	}
 }
 
-// takeBacklog takes in how far the planner is behind; where its key is gone, it is not.
-func (tm *Elector) takeBacklog(item kv.Item) {
-	if tm.opts.OnBacklog == nil {
+// applyBacklog reports the planner's backlog; it is zero if the key is gone.
+func (er *Elector) applyBacklog(item kv.Item) {
+	if er.opts.OnBacklog == nil {
 		return
 	}
 	if item.Gone {
-		tm.opts.OnBacklog(joblog.Behind{})
+		er.opts.OnBacklog(joblog.Behind{})
 		return
 	}
-	behind, err := joblog.Decode[joblog.Behind](item.Value)
+	backlog, err := joblog.Decode[joblog.Behind](item.Value)
 	if err != nil {
-		tm.log.Error(err, "The backlog's key cannot be read.")
+		er.log.Error(err, "Key of the backlog could not be decoded.")
 		return
 	}
-	tm.opts.OnBacklog(behind)
+	er.opts.OnBacklog(backlog)
 }
 
-func (tm *Elector) takeLeader(item kv.Item) {
+func (er *Elector) applyLeader(item kv.Item) {
 	if item.Gone || item.Revision == 0 {
-		if tm.leaderAt > 0 && (item.Revision == 0 || item.Revision >= tm.leaderAt) {
-			tm.leaderAt, tm.vacated = 0, tm.clock.Now()
+		if er.leaderRevision > 0 && (item.Revision == 0 || item.Revision >= er.leaderRevision) {
+			er.leaderRevision, er.vacantSince = 0, er.clock.Now()
 		}
 		return
 	}
-	if item.Revision < tm.leaderAt {
-		return // an older answer came late
+	if item.Revision < er.leaderRevision {
+		return // out-of-date answer
 	}
 	el, err := joblog.Decode[joblog.Election](item.Value)
 	if err != nil {
-		tm.log.Error(err, "The leader's key cannot be read.")
+		er.log.Error(err, "Key of the leader could not be decoded.")
 		return
 	}
-	if item.Revision > tm.leaderAt {
-		tm.log.Info("Planner is known.", "planner", el.Node, "token", item.Revision, "reign", el.Number)
+	if item.Revision > er.leaderRevision {
+		er.log.Info("Planner elected.", "planner", el.Node, "token", item.Revision, "reign", el.Number)
 	}
-	tm.leader, tm.leaderAt = el, item.Revision
-	tm.highest = max(tm.highest, el.Number)
+	er.leader, er.leaderRevision = el, item.Revision
+	er.highestNumber = max(er.highestNumber, el.Number)
 }
 
-// follow begins or ends this node's reign as the leader's key says.
-func (tm *Elector) follow() {
-	tm.mu.Lock()
-	rg := tm.reign
-	reigns := rg != nil && rg.token == tm.leaderAt && tm.holdsKey() && !tm.resigned
-	tm.mu.Unlock()
-	if reigns {
+// syncTerm begins or ends this node's term according to the leader's key.
+func (er *Elector) syncTerm() {
+	er.mu.Lock()
+	rt := er.current
+	leads := rt != nil && rt.token == er.leaderRevision && er.holdsKey() && !er.resigned
+	er.mu.Unlock()
+	if leads {
 		return
 	}
-	if rg != nil {
-		tm.deposeReign(rg, "no longer the elected planner")
+	if rt != nil {
+		er.endTerm(rt, "no longer the elected planner")
 	}
-	tm.begin()
+	er.beginTerm()
 }
 
-// mayBegin reports whether a reign may begin under the leader's key. A node that abstains
-// begins none, but goes on with one that it has: it was alone when that began. The caller
-// holds the lock.
-func (tm *Elector) mayBegin() bool {
-	return tm.reign == nil && tm.holdsKey() && !tm.resigned && !tm.spent() && !tm.abstaining()
+// mayBeginTerm reports whether a term may begin under the leader's key. A node that abstains does not begin one,
+// but continues the term that it has, which began while it was the only node. The caller holds the lock.
+func (er *Elector) mayBeginTerm() bool {
+	return er.current == nil && er.holdsKey() && !er.resigned && !er.tokenUsed() && !er.abstaining()
 }
 
-// holdsKey reports whether the leader's key is this node's, on its present lease. The
-// caller holds the lock.
-func (tm *Elector) holdsKey() bool {
-	return tm.leaderAt > 0 && tm.leader.Nonce == tm.nonce && tm.lease != 0
+// holdsKey reports whether this node holds the leader's key under its present lease. The caller holds the lock.
+func (er *Elector) holdsKey() bool {
+	return er.leaderRevision > 0 && er.leader.Nonce == er.nonce && er.lease != 0
 }
 
-// spent reports whether a reign under the leader's key has begun. There is one for each
-// token: a second would find the records' keys written and take them for its own. The
-// caller holds the lock.
-func (tm *Elector) spent() bool { return tm.latest != nil && tm.latest.token == tm.leaderAt }
+// tokenUsed reports whether a term has begun under the leader's key. Each token is used for one term only: a
+// second term would find the keys of its records already written and take the records of the first for its own.
+// The caller holds the lock.
+func (er *Elector) tokenUsed() bool { return er.latest != nil && er.latest.token == er.leaderRevision }
 
-// vacantMost is for how long a node leaves the planner's place to others that do not take it: where all
-// of them abstain, nobody would plan. Others take it within deferFor and the time of a candidacy.
-const vacantMost = 2 * time.Second
+// maxVacancy is how long an abstaining node waits for others to take over: if all of them abstain, there would be
+// no planner. A node that does not abstain takes over within deferTime and the time of a candidacy.
+const maxVacancy = 2 * time.Second
 
-// abstaining reports whether the node leaves the planner's place to others, where there
-// are any that take it. The caller holds the lock.
-func (tm *Elector) abstaining() bool {
-	now := tm.clock.Now()
-	return now.Before(tm.abstains) && len(tm.members) > 1 && now.Sub(tm.vacated) < vacantMost
+// abstaining reports whether the node leaves the election to others, as long as there are any that take over. The
+// caller holds the lock.
+func (er *Elector) abstaining() bool {
+	now := er.clock.Now()
+	return now.Before(er.abstainUntil) && len(er.members) > 1 && now.Sub(er.vacantSince) < maxVacancy
 }
 
-// idle returns the token of a leader's key that is this node's though it does not plan by
-// it and will not, or 0. While the last reign ends it may write yet, for half of the
-// lease's time at most. The caller holds the lock.
-func (tm *Elector) idle() uint64 {
-	if !tm.holdsKey() || tm.reign != nil || !tm.spent() && !tm.abstaining() {
+// unusedKey returns the token of a leader's key that this node holds without being the planner and will not use,
+// or 0. The key is kept while Lead of the last term may still write, for at most half of the lease's TTL. The
+// caller holds the lock.
+func (er *Elector) unusedKey() uint64 {
+	if !er.holdsKey() || er.current != nil || !er.tokenUsed() && !er.abstaining() {
 		return 0
 	}
-	if tm.latest != nil && !tm.latest.over() && tm.clock.Since(tm.latest.deposed) < tm.opts.TTL/2 {
+	if er.latest != nil && !er.latest.finished() && er.clock.Since(er.latest.endedAt) < er.opts.TTL/2 {
 		return 0
 	}
-	return tm.leaderAt
+	return er.leaderRevision
 }
 
-// layDown removes the leader's key where this node holds it and does not plan. Each step
-// looks, whatever ended the reign: as long as the lease is renewed the key stays, and
-// without a planner nothing else brings a change. If the key cannot be removed, the lease
-// is left to run out, so that the place is free after one and a half times its time.
-func (tm *Elector) layDown(ctx context.Context) {
-	tm.mu.Lock()
-	token, lease := tm.idle(), tm.lease
-	tm.mu.Unlock()
+// releaseKey removes the leader's key if this node holds it and is not the planner. Each step checks this,
+// whatever ended the term: the key exists as long as the lease is renewed, and without a planner no other event
+// triggers the check. If the key cannot be removed, the lease is left to expire, so that another node can take
+// over after one and a half times its TTL.
+func (er *Elector) releaseKey(ctx context.Context) {
+	er.mu.Lock()
+	token, lease := er.unusedKey(), er.lease
+	er.mu.Unlock()
 	if token == 0 {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, tm.opts.TTL/2)
+	call, cancel := context.WithTimeout(ctx, er.opts.TTL/2)
 	defer cancel()
-	revision, items, err := tm.store.Settle(call, kv.Settling{Clock: tm.clock, Hedge: campaignHedge}, kv.Txn{
+	revision, items, err := er.store.Settle(call, kv.Settling{Clock: er.clock, Hedge: campaignHedge}, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: token}},
 		Removes:    []string{joblog.Leader},
 	})
 	switch {
 	case err == nil:
-		tm.changed([]kv.Item{{Key: joblog.Leader, Revision: revision, Gone: true}}, false)
+		er.onChange([]kv.Item{{Key: joblog.Leader, Revision: revision, Gone: true}}, false)
 	case errors.Is(err, kv.ErrConflict):
-		tm.changed(items, false)
+		er.onChange(items, false)
 	case ctx.Err() == nil:
-		tm.dropLease(lease, "the leader's key could not be removed: "+err.Error())
+		er.dropLease(lease, "the leader's key could not be removed: "+err.Error())
 	}
 }
 
-// begin begins a reign, where the key and the lease still say so.
-func (tm *Elector) begin() {
-	tm.mu.Lock()
-	defer tm.mu.Unlock()
-	if !tm.mayBegin() {
+// beginTerm begins a term if this node holds the leader's key and its lease.
+func (er *Elector) beginTerm() {
+	er.mu.Lock()
+	defer er.mu.Unlock()
+	if !er.mayBeginTerm() {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	rg := &reign{token: tm.leaderAt, lease: tm.lease, cancel: cancel, done: make(chan struct{})}
-	before := tm.latest
-	tm.reign, tm.latest = rg, rg
-	tm.log.Info("This node plans.", "token", rg.token, "reign", tm.leader.Number)
+	rt := &runningTerm{token: er.leaderRevision, lease: er.lease, cancel: cancel, done: make(chan struct{})}
+	previous := er.latest
+	er.current, er.latest = rt, rt
+	er.log.Info("This node became the planner.", "token", rt.token, "reign", er.leader.Number)
 	arg := Term{
-		Token: rg.token, Number: tm.leader.Number,
-		SinceRenewal: func() time.Duration { return tm.sinceProof(rg) },
-		LeaseHeld:    func() bool { return tm.sinceProof(rg) < tm.opts.TTL },
-		StepDown:     tm.depose,
-		Yield:        func(reason string) { tm.yield(reason, abstain) },
+		Token: rt.token, Number: er.leader.Number,
+		SinceRenewal: func() time.Duration { return er.sinceRenewal(rt) },
+		LeaseHeld:    func() bool { return er.sinceRenewal(rt) < er.opts.TTL },
+		StepDown:     er.stepDown,
+		Yield:        func(reason string) { er.yield(reason, abstainTime) },
 	}
 	go func() {
-		defer tm.wake.Give() // the leader's key may be this node's still
-		defer close(rg.done)
-		if before != nil {
-			<-before.done
+		defer er.wake.Give() // this node may still hold the leader's key
+		defer close(rt.done)
+		if previous != nil {
+			<-previous.done
 		}
-		tm.opts.Lead(ctx, arg)
+		er.opts.Lead(ctx, arg)
 	}()
 }
 
-// unprovable is the age of the proof of a reign that has ended.
-const unprovable time.Duration = math.MaxInt64
+// neverRenewed is returned by sinceRenewal for a term that has ended.
+const neverRenewed time.Duration = math.MaxInt64
 
-// sinceProof returns how long ago the last renewal that was answered was sent, of the lease
-// that a reign rests on. A reign that was deposed has no proof, whatever lease the node has.
-func (tm *Elector) sinceProof(rg *reign) time.Duration {
-	tm.mu.Lock()
-	defer tm.mu.Unlock()
-	if tm.reign != rg || tm.lease != rg.lease {
-		return unprovable
-	}
-	return tm.clock.Since(tm.proof)
+// sinceRenewal returns the time since the last confirmed renewal of the lease of a term was sent. A term that has
+// ended has none, even if the node holds a lease.
+func (er *Elector) sinceRenewal(rt *runningTerm) time.Duration {
+	er.mu.Lock()
+	defer er.mu.Unlock()
+	if er.current != rt || er.lease != rt.lease {
+		return neverRenewed
+	}
+	return er.clock.Since(er.renewedAt)
 }
 
-// depose ends the reign. It does not wait for its work: whoever follows the members' keys
-// or renews the lease must go on, and the next reign waits for the end by itself.
-func (tm *Elector) depose(reason string) {
-	tm.mu.Lock()
-	rg := tm.reign
-	tm.mu.Unlock()
-	if rg != nil {
-		tm.deposeReign(rg, reason)
+// stepDown ends the current term. It does not wait for Lead to return, because the callers must go on to follow
+// the members' keys and to renew the lease. The next term waits for Lead instead.
+func (er *Elector) stepDown(reason string) {
+	er.mu.Lock()
+	rt := er.current
+	er.mu.Unlock()
+	if rt != nil {
+		er.endTerm(rt, reason)
 	}
 }
 
-// deposeReign ends rg if it is still the current reign; otherwise it does nothing.
-func (tm *Elector) deposeReign(rg *reign, reason string) {
-	tm.mu.Lock()
-	current := tm.reign == rg
+// endTerm ends rt if it is still the current term; otherwise it does nothing.
+func (er *Elector) endTerm(rt *runningTerm, reason string) {
+	er.mu.Lock()
+	current := er.current == rt
 	if current {
-		tm.reign = nil
-		rg.deposed = tm.clock.Now()
+		er.current = nil
+		rt.endedAt = er.clock.Now()
 	}
-	tm.mu.Unlock()
+	er.mu.Unlock()
 	if !current {
 		return
 	}
-	tm.log.Info("This node plans no longer.", "token", rg.token, "reason", reason)
-	rg.cancel()
-	tm.wake.Give()
+	er.log.Info("This node is no longer the planner.", "token", rt.token, "reason", reason)
+	rt.cancel()
+	er.wake.Give()
 }
 
-// stop ends the reign and waits until its work has ended, which may write its last
-// records yet.
-func (tm *Elector) stop(ctx context.Context, reason string) {
-	tm.depose(reason)
-	tm.mu.Lock()
-	rg := tm.latest
-	tm.mu.Unlock()
-	if rg == nil {
+// stop ends the term and waits until Lead has returned, since it may still write its last records.
+func (er *Elector) stop(ctx context.Context, reason string) {
+	er.stepDown(reason)
+	er.mu.Lock()
+	rt := er.latest
+	er.mu.Unlock()
+	if rt == nil {
 		return
 	}
 	select {
-	case <-rg.done:
+	case <-rt.done:
 	case <-ctx.Done():
 	}
 }
 
-// abstain is how long a node that was too slow to plan is no candidate.
-const abstain = 10 * time.Second
+// abstainTime is how long a node that was too slow to plan is not a candidate.
+const abstainTime = 10 * time.Second
 
-// yield gives the planner's place up for another node, where there is one. This node is
-// no candidate for a time; the next step lays the leader's key down.
-func (tm *Elector) yield(reason string, abstain time.Duration) {
-	tm.mu.Lock()
-	token, alone := tm.leaderAt, len(tm.members) < 2
-	rg := tm.reign
-	mine := rg != nil && rg.token == token
-	if mine && !alone {
-		tm.abstains = tm.clock.Now().Add(abstain)
-	}
-	tm.mu.Unlock()
-	if !mine || alone {
+// yield ends the current term in favour of another node, if there is one. This node is not a candidate for a time;
+// the next step removes the leader's key.
+func (er *Elector) yield(reason string, abstainTime time.Duration) {
+	er.mu.Lock()
+	token, alone := er.leaderRevision, len(er.members) < 2
+	rt := er.current
+	isPlanner := rt != nil && rt.token == token
+	if isPlanner && !alone {
+		er.abstainUntil = er.clock.Now().Add(abstainTime)
+	}
+	er.mu.Unlock()
+	if !isPlanner || alone {
 		return
 	}
-	tm.deposeReign(rg, reason)
+	er.endTerm(rt, reason)
 }
--- a/internal/term/follow_test.go
+++ b/internal/term/election_test.go
@@ -12,28 +12,28 @@
 	"tackbeam.example/tackbeam/internal/kv"
 )
 
-// TestConcurrentElectionUpdates guards against a race in which two concurrent updates for the
-// same election, from the campaign response and the watch, depose the reign that was just begun.
+// TestConcurrentElectionUpdates guards against a race in which two concurrent updates for the same election, from
+// the campaign response and the watch, end the term that has just begun.
 func TestConcurrentElectionUpdates(t *testing.T) {
 	const elections = 5000
 	for range elections {
-		tm := New(clockwork.NewRealClock(), logr.Discard(), &kv.Store{}, Options{
+		er := New(clockwork.NewRealClock(), logr.Discard(), &kv.Store{}, Options{
 			Node: "n1", Lead: func(ctx context.Context, _ Term) { <-ctx.Done() },
 		})
-		tm.lease, tm.loaded = 1, true
-		raw, err := joblog.Encode(joblog.Election{Node: "n1", Number: 1, Nonce: tm.nonce})
+		er.lease, er.loaded = 1, true
+		raw, err := joblog.Encode(joblog.Election{Node: "n1", Number: 1, Nonce: er.nonce})
 		if err != nil {
 			t.Fatal(err)
 		}
 		items := []kv.Item{{Key: joblog.Leader, Value: raw, Revision: 7}}
 		var wg sync.WaitGroup
 		for range 2 {
-			wg.Go(func() { tm.changed(items, false) })
+			wg.Go(func() { er.onChange(items, false) })
 		}
 		wg.Wait()
-		if !tm.Leading() {
-			t.Fatal("node is not leading although it holds the leader's key")
+		if !er.Leading() {
+			t.Fatal("node is not the planner although it holds the leader's key")
 		}
-		tm.depose("test finished")
+		er.stepDown("test finished")
 	}
 }
--- a/internal/term/lease.go
+++ b/internal/term/lease.go
@@ -10,150 +10,149 @@
 	"tackbeam.example/tackbeam/internal/kv"
 )
 
-// How renewals are spread over the lease's time.
+// Numbers of renewals per TTL of the lease.
 const (
-	// renewals is how many fit into it while they are answered.
-	renewals = 3
-	// retries is how many fit into it while they are not.
-	retries = 8
-	// maxRenewing is the most that may be open at once.
-	maxRenewing = 6
+	// renewalsPerTTL applies while renewals are answered.
+	renewalsPerTTL = 3
+	// retriesPerTTL applies while they are not.
+	retriesPerTTL = 8
+	// maxPendingRenewals is the maximum number of renewals without an answer.
+	maxPendingRenewals = 6
 )
 
-// retryPause is the pause after a call of the store that failed.
+// retryPause is the pause while the node has no lease.
 const retryPause = 100 * time.Millisecond
 
-// grantTimeout bounds the wait for a lease; a slow store answers in 0.25 s.
+// grantTimeout limits the wait for a lease; a slow store answers after 0.25 s.
 const grantTimeout = 400 * time.Millisecond
 
-// join gets a lease and lists the node.
-func (tm *Elector) join(ctx context.Context) time.Duration {
-	sent := tm.clock.Now()
+// join obtains a lease and registers the node.
+func (er *Elector) join(ctx context.Context) time.Duration {
+	sent := er.clock.Now()
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	ttl := tm.wantedTTL()
-	lease, err := tm.store.Grant(call, ttl)
+	ttl := er.wantedTTL()
+	lease, err := er.store.Grant(call, ttl)
 	if err != nil {
-		return tm.retry.After(err)
+		return er.retry.After(err)
 	}
-	tm.mu.Lock()
-	tm.lease, tm.proof, tm.ttl, tm.listed = lease, sent, ttl, false
-	tm.nonce = newNonce() // a leader's key on an earlier lease is not renewed any more
-	tm.mu.Unlock()
-	tm.log.Info("Lease granted.", "lease", lease, "ttl", ttl.String())
-	tm.list(ctx)
-	tm.campaign(ctx)
-	return tm.untilNext()
+	er.mu.Lock()
+	er.lease, er.renewedAt, er.ttl, er.registered = lease, sent, ttl, false
+	er.nonce = newNonce() // a leader's key under an earlier lease is no longer renewed
+	er.mu.Unlock()
+	er.log.Info("Lease granted.", "lease", lease, "ttl", ttl.String())
+	er.register(ctx)
+	er.campaign(ctx)
+	return er.untilNext()
 }
 
-// listTimeout bounds the writing of the node's key; it is tried again at each step.
-const listTimeout = 150 * time.Millisecond
+// registerTimeout limits the write of the node's key, which is tried again at each step.
+const registerTimeout = 150 * time.Millisecond
 
-// list writes the node's key.
-func (tm *Elector) list(ctx context.Context) {
+// register writes the node's key.
+func (er *Elector) register(ctx context.Context) {
 	raw, err := joblog.Encode(joblog.Member{
-		Node: tm.opts.Node, Peers: tm.opts.PeerAddr, Hall: tm.opts.Hall, Processors: tm.opts.Processors, Link: tm.opts.Link,
+		Node: er.opts.Node, Peers: er.opts.PeerAddr, Hall: er.opts.Hall, Processors: er.opts.Processors, Link: er.opts.Link,
 	})
 	if err != nil {
-		tm.log.Error(err, "Node could not be listed.")
+		er.log.Error(err, "Entry of the node could not be encoded.")
 		return
 	}
-	tm.mu.Lock()
-	lease := tm.lease
-	tm.mu.Unlock()
-	call, cancel := context.WithTimeout(ctx, listTimeout)
+	er.mu.Lock()
+	lease := er.lease
+	er.mu.Unlock()
+	call, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	_, _, err = tm.store.Commit(call, kv.Txn{Puts: []kv.Put{{Key: joblog.Nodes + tm.opts.Node, Value: raw, Lease: lease}}})
-	tm.relist = tm.clock.Now().Add(tm.retry.After(err))
+	_, _, err = er.store.Commit(call, kv.Txn{Puts: []kv.Put{{Key: joblog.Nodes + er.opts.Node, Value: raw, Lease: lease}}})
+	er.registerAfter = er.clock.Now().Add(er.retry.After(err))
 	if errors.Is(err, kv.ErrLeaseGone) {
-		tm.dropLease(lease, "not found in the store")
+		er.dropLease(lease, "not found in the store")
 		return
 	}
 	if err != nil {
-		tm.log.Info("Node could not be listed yet.", "reason", err.Error())
+		er.log.Info("Node could not be registered; trying again.", "reason", err.Error())
 		return
 	}
-	tm.retry.Succeeded()
-	tm.mu.Lock()
-	tm.listed = true
-	tm.mu.Unlock()
+	er.retry.Succeeded()
+	er.mu.Lock()
+	er.registered = true
+	er.mu.Unlock()
 }
 
-// renew sends a renewal of the lease when one is due. It does not wait: an answer may
-// be lost, and others sent after it still come in time.
-func (tm *Elector) renew(ctx context.Context) {
-	tm.mu.Lock()
-	lease, due, listed := tm.lease, tm.nextRenewal(), tm.listed
-	sent := tm.clock.Now()
-	send := !sent.Before(due) && tm.renewing < maxRenewing
+// renew sends a renewal of the lease when one is due. It does not wait for the answer: if one is lost, renewals
+// sent after it still arrive in time.
+func (er *Elector) renew(ctx context.Context) {
+	er.mu.Lock()
+	lease, due, registered := er.lease, er.nextRenewal(), er.registered
+	sent := er.clock.Now()
+	send := !sent.Before(due) && er.pendingRenewals < maxPendingRenewals
 	if send {
-		tm.renewing++
-		tm.attempt = sent
+		er.pendingRenewals++
+		er.lastSent = sent
 	}
-	tm.mu.Unlock()
-	if !listed && !sent.Before(tm.relist) {
-		tm.list(ctx)
+	er.mu.Unlock()
+	if !registered && !sent.Before(er.registerAfter) {
+		er.register(ctx)
 	}
 	if send {
-		go tm.keep(ctx, lease, sent)
+		go er.sendRenewal(ctx, lease, sent)
 	}
 }
 
-// keep sends one renewal and takes its outcome in.
-func (tm *Elector) keep(ctx context.Context, lease uint64, sent time.Time) {
-	call, cancel := context.WithTimeout(ctx, tm.opts.TTL)
+// sendRenewal sends one renewal and records its outcome.
+func (er *Elector) sendRenewal(ctx context.Context, lease uint64, sent time.Time) {
+	call, cancel := context.WithTimeout(ctx, er.opts.TTL)
 	defer cancel()
-	err := tm.store.Keep(call, lease)
-	tm.mu.Lock()
-	tm.renewing--
-	if err == nil && tm.lease == lease && sent.After(tm.proof) {
-		tm.proof = sent
+	err := er.store.Keep(call, lease)
+	er.mu.Lock()
+	er.pendingRenewals--
+	if err == nil && er.lease == lease && sent.After(er.renewedAt) {
+		er.renewedAt = sent
 	}
-	tm.mu.Unlock()
+	er.mu.Unlock()
 	if errors.Is(err, kv.ErrLeaseGone) {
-		tm.dropLease(lease, "expired")
+		er.dropLease(lease, "expired")
 	}
-	tm.wake.Give()
+	er.wake.Give()
 }
 
-// nextRenewal is when the next renewal is to be sent: some time after the last that was answered, and soon after
-// one that was not. The caller holds the lock.
-func (tm *Elector) nextRenewal() time.Time {
-	due := tm.proof.Add(tm.renewEvery())
-	if again := tm.attempt.Add(tm.ttl / retries); again.After(due) {
+// nextRenewal returns when the next renewal is due: one renewal interval after the last confirmed one was sent,
+// but no sooner than one retry interval after the last attempt. The caller holds the lock.
+func (er *Elector) nextRenewal() time.Time {
+	due := er.renewedAt.Add(er.renewInterval())
+	if again := er.lastSent.Add(er.ttl / retriesPerTTL); again.After(due) {
 		return again
 	}
 	return due
 }
 
-// dropLease clears the given lease and ends the reign that depends on it. It does nothing
-// if that is no longer the node's current lease.
-func (tm *Elector) dropLease(lease uint64, reason string) {
-	tm.mu.Lock()
-	if tm.lease != lease {
-		tm.mu.Unlock()
+// dropLease clears the given lease and ends the term that depends on it. It does nothing if that is no longer the
+// node's current lease.
+func (er *Elector) dropLease(lease uint64, reason string) {
+	er.mu.Lock()
+	if er.lease != lease {
+		er.mu.Unlock()
 		return
 	}
-	tm.lease = 0
-	rg := tm.reign
-	tm.mu.Unlock()
-	tm.log.Info("Lease is over.", "reason", reason)
-	tm.mirror.Refresh() // the leader's key may be gone as well, and the watch may be dead
-	if rg != nil {
-		tm.deposeReign(rg, "lease is over: "+reason)
+	er.lease = 0
+	rt := er.current
+	er.mu.Unlock()
+	er.log.Info("Lease lost.", "reason", reason)
+	er.mirror.Refresh() // the leader's key may be gone as well, and the watch may be dead
+	if rt != nil {
+		er.endTerm(rt, "lease lost: "+reason)
 	}
 }
 
-// untilNext returns the time until the next renewal is due, or a candidacy that was left
-// to a stronger node.
-func (tm *Elector) untilNext() time.Duration {
-	tm.mu.Lock()
-	defer tm.mu.Unlock()
-	if tm.lease == 0 {
+// untilNext returns the time until the next renewal is due, or until a deferred candidacy may be sent.
+func (er *Elector) untilNext() time.Duration {
+	er.mu.Lock()
+	defer er.mu.Unlock()
+	if er.lease == 0 {
 		return retryPause
 	}
-	wait := max(tm.nextRenewal().Sub(tm.clock.Now()), time.Millisecond)
-	if deferral := tm.deferral(); deferral > 0 {
+	wait := max(er.nextRenewal().Sub(er.clock.Now()), time.Millisecond)
+	if deferral := er.deferral(); deferral > 0 {
 		return min(wait, deferral)
 	}
 	return wait
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -1,9 +1,8 @@
-// Package term makes a node a member of its deployment and, where there is no
-// planner, elects one. Both rest on one lease of the store.
+// Package term registers a node as a member of its deployment and elects a planner where there is none. Both
+// depend on one lease of the store.
 //
-// A term's fencing token is the revision of the leader's key: it rises with each
-// election. A planner learns that its term is over from the lease, from the watch,
-// or from a worker that has seen a later token.
+// A term's fencing token is the revision of the leader's key, which rises with each election. A planner learns
+// that its term is over from the lease, from the watch, or from a worker that has seen a later token.
 package term
 
 import (
@@ -22,49 +21,49 @@
 	"tackbeam.example/tackbeam/internal/wake"
 )
 
-// Options of a term.
+// Options configure an Elector.
 type Options struct {
 	Node     string
 	PeerAddr string
 	Hall     string
-	// Processors is the node's share of a core; nodes with much less than others leave
-	// the planner's place to them.
+	// Processors is the node's share of a CPU core. Nodes with much less CPU than others do not stand for election
+	// as long as a stronger node can take over.
 	Processors float64
 	// Link is the bandwidth of the node's link in Mbit/s.
 	Link float64
-	// ReadRate is the store's rate of reading calls for all nodes, a second; 0 where it is not known.
+	// ReadRate is the store's limit for read calls per second, shared by all nodes; 0 if unknown.
 	ReadRate float64
-	// TTL of the lease: a planner that dies is replaced after that.
+	// TTL is the time to live of the lease: a planner that dies is replaced after that time.
 	TTL time.Duration
-	// OnBacklog is called with how far the planner is behind, each time it says so;
-	// nil where nobody wants to know. It must not call back.
-	OnBacklog func(behind joblog.Behind)
-	// Lead is run while this node is the planner; it ends when its context does.
-	Lead func(ctx context.Context, reign Term)
+	// OnBacklog is called with the planner's backlog each time the planner reports it; it may be nil. It must not
+	// call the Elector.
+	OnBacklog func(backlog joblog.Behind)
+	// Lead runs while this node is the planner; it must return when its context ends.
+	Lead func(ctx context.Context, term Term)
 }
 
-// Term is one node's time as the planner.
+// Term is the period during which one node is the planner.
 type Term struct {
 	// Token is the fencing token.
 	Token uint64
 	// Number counts the planners of the cell, from 1.
 	Number int
-	// LeaseHeld reports whether the reign goes on and its lease surely holds.
+	// LeaseHeld reports whether the term is current and its lease surely has not expired.
 	LeaseHeld func() bool
-	// SinceRenewal is how long ago the last renewal that was answered was sent; after the
-	// reign's end it is longer than any time.
+	// SinceRenewal returns the time since the last confirmed renewal of the lease was sent; once the term has ended
+	// it returns the maximum duration.
 	SinceRenewal func() time.Duration
-	// StepDown ends the reign, for a reason that the log gets.
+	// StepDown ends the term; the reason is logged.
 	StepDown func(reason string)
-	// Yield does so for another node to plan, where there is one.
+	// Yield ends the term so that another node can become the planner. It does nothing if there is no other node.
 	Yield func(reason string)
 }
 
-// watchWait is how long a watch of the members may stay without an answer: a watch
-// that the network has dropped is noticed after that and a second.
+// watchWait is how long a watch of the members may stay without an answer. A watch that the network has dropped is
+// noticed half a second after that.
 const watchWait = 2 * time.Second
 
-// Elector is one node's membership and candidacy.
+// Elector holds one node's membership and takes part in the election of the planner.
 type Elector struct {
 	opts   Options
 	clock  clockwork.Clock
@@ -76,68 +75,70 @@
 	mu      sync.Mutex
 	members map[string]joblog.Member
 	leader  joblog.Election
-	// leaderAt is the revision of the leader's key, 0 where there is no leader.
-	leaderAt uint64
-	loaded   bool
-	// vacated is when the planner's place was last seen to become free.
-	vacated time.Time
-	// highest is the highest number of a reign seen.
-	highest int
-	lease   uint64
-	ttl     time.Duration
-	proof   time.Time
-	// attempt is when the last renewal was sent, renewing counts those without answer.
-	attempt  time.Time
-	renewing int
-	// nonce tells this node's candidacies from those on its earlier leases.
-	nonce  string
-	listed bool
-	// retry gives the pauses between tries to join, relist is when the node's key may be written again.
-	retry  kv.Retry
-	relist time.Time
-	// crowded is when the node asks for a longer lease, since it learned of many others; zero before that.
-	crowded  time.Time
+	// leaderRevision is the revision of the leader's key, 0 if there is no leader.
+	leaderRevision uint64
+	loaded         bool
+	// vacantSince is when this node last learned that there is no planner.
+	vacantSince time.Time
+	// highestNumber is the highest term number seen.
+	highestNumber int
+	lease         uint64
+	ttl           time.Duration
+	renewedAt     time.Time
+	// lastSent is when the last renewal was sent, pendingRenewals the number of renewals without an answer.
+	lastSent        time.Time
+	pendingRenewals int
+	// nonce distinguishes this node's candidacies from those under its earlier leases.
+	nonce      string
+	registered bool
+	// retry computes the pauses between attempts to join; registerAfter is the earliest time at which the node's
+	// key is written again.
+	retry         kv.Retry
+	registerAfter time.Time
+	// extendAt is when the node requests a longer lease because there are many nodes; zero if no longer lease is
+	// needed.
+	extendAt time.Time
 	resigned bool
-	// abstains is until when the node is no candidate.
-	abstains time.Time
-	// gaveWay is when it last gave the planner's place up to a stronger node.
-	gaveWay time.Time
-	reign   *reign
-	// latest is the last reign that began, ended or not.
-	latest *reign
+	// abstainUntil is until when the node is not a candidate.
+	abstainUntil time.Time
+	// lastYield is when this node last yielded to a stronger one.
+	lastYield time.Time
+	current   *runningTerm
+	// latest is the most recent term, whether it has ended or not.
+	latest *runningTerm
 }
 
-// reign is the planner's work that runs, with its end.
-type reign struct {
+// runningTerm is the state of a term for which Lead was started.
+type runningTerm struct {
 	token uint64
-	// lease is the one that the leader's key is on.
+	// lease is the lease that the leader's key is bound to.
 	lease  uint64
 	cancel context.CancelFunc
 	done   chan struct{}
-	// deposed is when the reign was told to end.
-	deposed time.Time
+	// endedAt is when the term was ended; Lead may still be running.
+	endedAt time.Time
 }
 
-// over reports whether the work has ended.
-func (rg *reign) over() bool {
+// finished reports whether Lead has returned.
+func (rt *runningTerm) finished() bool {
 	select {
-	case <-rg.done:
+	case <-rt.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// New returns a node that is no member yet.
+// New returns an elector whose node is not a member yet; Run registers it.
 func New(clock clockwork.Clock, log logr.Logger, st *kv.Store, opts Options) *Elector {
-	tm := &Elector{
+	er := &Elector{
 		opts: opts, clock: clock, log: log.WithName("term"), store: st,
 		wake: wake.New(), members: map[string]joblog.Member{}, nonce: newNonce(),
 	}
-	tm.mirror = mirror.New(clock, log, st, mirror.Options{
-		Prefix: joblog.Members, Wait: watchWait, PauseFunc: tm.pace, OnChange: tm.changed,
+	er.mirror = mirror.New(clock, log, st, mirror.Options{
+		Prefix: joblog.Members, Wait: watchWait, PauseFunc: er.memberReadInterval, OnChange: er.onChange,
 	})
-	return tm
+	return er
 }
 
 func newNonce() string {
@@ -145,76 +146,76 @@
 	return strconv.FormatUint(rand.Uint64(), base)
 }
 
-// Leader returns who the planner is, and false where none is known.
-func (tm *Elector) Leader() (joblog.Election, bool) {
-	tm.mu.Lock()
-	defer tm.mu.Unlock()
-	return tm.leader, tm.leaderAt > 0
+// Leader returns the current planner, or false if none is known.
+func (er *Elector) Leader() (joblog.Election, bool) {
+	er.mu.Lock()
+	defer er.mu.Unlock()
+	return er.leader, er.leaderRevision > 0
 }
 
 // Leading reports whether this node is the planner.
-func (tm *Elector) Leading() bool {
-	tm.mu.Lock()
-	defer tm.mu.Unlock()
-	return tm.reign != nil
+func (er *Elector) Leading() bool {
+	er.mu.Lock()
+	defer er.mu.Unlock()
+	return er.current != nil
 }
 
-// Members returns the nodes that are listed.
-func (tm *Elector) Members() []joblog.Member {
-	tm.mu.Lock()
-	defer tm.mu.Unlock()
-	list := make([]joblog.Member, 0, len(tm.members))
-	for _, mb := range tm.members {
+// Members returns the registered nodes.
+func (er *Elector) Members() []joblog.Member {
+	er.mu.Lock()
+	defer er.mu.Unlock()
+	list := make([]joblog.Member, 0, len(er.members))
+	for _, mb := range er.members {
 		list = append(list, mb)
 	}
 	return list
 }
 
-// Run keeps the membership until the context ends.
-func (tm *Elector) Run(ctx context.Context) {
-	go tm.mirror.Run(ctx)
+// Run maintains the membership until the context ends.
+func (er *Elector) Run(ctx context.Context) {
+	go er.mirror.Run(ctx)
 	for ctx.Err() == nil {
-		pause := tm.step(ctx)
+		pause := er.step(ctx)
 		select {
 		case <-ctx.Done():
-		case <-tm.wake:
-		case <-tm.clock.After(pause):
+		case <-er.wake:
+		case <-er.clock.After(pause):
 		}
 	}
-	tm.stop(context.WithoutCancel(ctx), "node ends")
+	er.stop(context.WithoutCancel(ctx), "process exits")
 }
 
-// Resign ends a reign in order and takes the node off the members' list.
-func (tm *Elector) Resign(ctx context.Context) {
-	tm.mu.Lock()
-	tm.resigned = true
-	lease := tm.lease
-	tm.mu.Unlock()
-	tm.stop(ctx, "node stops")
+// Resign ends this node's term, if any, and removes the node from the list of members.
+func (er *Elector) Resign(ctx context.Context) {
+	er.mu.Lock()
+	er.resigned = true
+	lease := er.lease
+	er.mu.Unlock()
+	er.stop(ctx, "node shuts down")
 	if lease == 0 {
 		return
 	}
-	if err := tm.store.End(ctx, lease); err != nil {
-		tm.log.Info("Lease could not be ended; it runs out.", "reason", err.Error())
+	if err := er.store.End(ctx, lease); err != nil {
+		er.log.Info("Lease could not be revoked and will expire.", "reason", err.Error())
 	}
 }
 
-// step does what is due and returns when to look again.
-func (tm *Elector) step(ctx context.Context) time.Duration {
-	tm.mu.Lock()
-	resigned, lease := tm.resigned, tm.lease
-	tm.mu.Unlock()
+// step performs the actions that are due and returns the time until the next step.
+func (er *Elector) step(ctx context.Context) time.Duration {
+	er.mu.Lock()
+	resigned, lease := er.resigned, er.lease
+	er.mu.Unlock()
 	switch {
 	case resigned:
-		return tm.opts.TTL
+		return er.opts.TTL
 	case lease == 0:
-		return tm.join(ctx)
+		return er.join(ctx)
 	}
-	if tm.lengthens() {
-		return tm.join(ctx) // the present lease runs out
+	if er.shouldExtendLease() {
+		return er.join(ctx) // the present lease expires on its own
 	}
-	tm.renew(ctx)
-	tm.layDown(ctx)
-	tm.campaign(ctx)
-	return tm.untilNext()
+	er.renew(ctx)
+	er.releaseKey(ctx)
+	er.campaign(ctx)
+	return er.untilNext()
 }
