--- a/internal/feed/answer.go
+++ b/internal/feed/answer.go
@@ -8,58 +8,57 @@
 	"tackbeam.example/tackbeam/internal/routediff"
 )
 
-// Request asks another node's feed for what the asker's copy lacks.
+// Request asks another node's feed for the changes that the requester's copy lacks.
 type Request struct {
-	// Have is the revision of the asker's copy; 0 where it has none.
+	// Have is the revision of the requester's copy, 0 if it has none.
 	Have uint64 `cbor:"1,keyasint,omitempty"`
-	// MaxWait is how long the answer may be held back until there is a later version.
+	// MaxWait is how long the response may be delayed until there is a later version.
 	MaxWait time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
-// Response is what another node's feed knows.
+// Response is the state of another node's feed.
 type Response struct {
-	// Changes lead from what the asker has to the answering node's copy, in order.
+	// Changes lead from the requester's revision to the responder's copy, in order.
 	Changes []*routediff.Diff `cbor:"1,keyasint,omitempty"`
-	// Revision is that of the copy; up to At there was no later one, as of Age ago.
+	// Revision is the revision of the copy. Up to At there was no later one, as confirmed Age ago.
 	Revision uint64        `cbor:"2,keyasint"`
 	At       uint64        `cbor:"3,keyasint"`
 	Age      time.Duration `cbor:"4,keyasint"`
-	// Reader is set where the answering node is a reader that would have a later version soon.
+	// Reader is set if the responder is a reader that reaches the store, so that it has a later version soon.
 	Reader bool `cbor:"5,keyasint,omitempty"`
 }
 
-// What other nodes are sent.
+// Limits of the responses to other nodes.
 const (
-	// mostSending is how much of its time a reader's link is filled ahead: 15 askers take 1.2 s for
-	// 1,400 routes at 10 Mbit/s. With 5,000 routes to nodes that had none 36 askers of three such
-	// readers took 5 s, though the store could send each of them the whole in 1.1 s.
-	mostSending = 1500 * time.Millisecond
-	// routeBytes is what a route takes in an answer, 55 to 72 measured.
+	// maxLinkBacklog is how far ahead a reader's link may be reserved: 15 requesters take 1.2 s for 1,400 routes at
+	// 10 Mbit/s. With 5,000 routes, 36 nodes without a copy took 5 s to get them from three such readers, though
+	// the store could send each of them the full configuration in 1.1 s.
+	maxLinkBacklog = 1500 * time.Millisecond
+	// routeBytes is the size of a route in a response; 55 to 72 bytes were measured.
 	routeBytes = 72
 )
 
-// Serve answers another node.
-func (fd *Feed) Serve(ctx context.Context, qn Request) (Response, error) {
-	fd.await(ctx, qn)
-	reads := fd.reads()
+// Serve answers a request of another node.
+func (fd *Feed) Serve(ctx context.Context, rq Request) (Response, error) {
+	fd.awaitNewer(ctx, rq)
+	isReader := fd.isReader()
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	if fd.copy == nil {
-		return Response{}, fault.New(fault.Unavailable, "no configuration here yet")
+	if fd.config == nil {
+		return Response{}, fault.New(fault.Unavailable, "this node has no configuration yet")
 	}
-	an := Response{Revision: fd.copy.Revision, At: fd.at, Age: fd.clock.Since(fd.asOf)}
-	an.Reader = reads && !fd.down
-	if qn.Have < fd.copy.Revision {
-		an.Changes = fd.since(qn.Have)
+	rs := Response{Revision: fd.config.Revision, At: fd.checkedRevision, Age: fd.clock.Since(fd.confirmedAt)}
+	rs.Reader = isReader && !fd.storeDown
+	if rq.Have < fd.config.Revision {
+		rs.Changes = fd.changesSince(rq.Have)
 	}
-	if !fd.admit(an.Changes) {
-		return Response{}, fault.New(fault.Full, "too many nodes are sent the configuration").After(mostSending)
+	if !fd.admit(rs.Changes) {
+		return Response{}, fault.New(fault.Full, "link is busy sending the configuration to other nodes").After(maxLinkBacklog)
 	}
-	return an, nil
+	return rs, nil
 }
 
-// admit reports whether there is time on the link for an answer, and takes it. The caller holds
-// the lock.
+// admit reports whether the link has capacity for a response, and reserves it. The caller holds the lock.
 func (fd *Feed) admit(changes []*routediff.Diff) bool {
 	size := 0
 	for _, df := range changes {
@@ -69,30 +68,30 @@
 		return true
 	}
 	now := fd.clock.Now()
-	if fd.sending.Before(now) {
-		fd.sending = now
+	if fd.linkBusyUntil.Before(now) {
+		fd.linkBusyUntil = now
 	}
-	if fd.sending.Sub(now) > mostSending {
+	if fd.linkBusyUntil.Sub(now) > maxLinkBacklog {
 		return false
 	}
 	const bits, mega = 8, 1e6
-	fd.sending = fd.sending.Add(time.Duration(float64(size*routeBytes*bits) / (fd.opts.Link * mega) * float64(time.Second)))
+	fd.linkBusyUntil = fd.linkBusyUntil.Add(time.Duration(float64(size*routeBytes*bits) / (fd.opts.Link * mega) * float64(time.Second)))
 	return true
 }
 
-// await waits for a version that is later than the asker's, for as long as it says.
-func (fd *Feed) await(ctx context.Context, qn Request) {
-	over := fd.clock.After(min(qn.MaxWait, hold))
+// awaitNewer waits for a version later than the requester's, for as long as the request allows.
+func (fd *Feed) awaitNewer(ctx context.Context, rq Request) {
+	expired := fd.clock.After(min(rq.MaxWait, readerWait))
 	for {
 		fd.mu.Lock()
-		later, here := fd.later, fd.copy != nil && fd.copy.Revision > qn.Have
+		nextVersion, available := fd.nextVersion, fd.config != nil && fd.config.Revision > rq.Have
 		fd.mu.Unlock()
-		if here {
+		if available {
 			return
 		}
 		select {
-		case <-later:
-		case <-over:
+		case <-nextVersion:
+		case <-expired:
 			return
 		case <-ctx.Done():
 			return
--- a/internal/feed/apply.go
+++ b/internal/feed/apply.go
@@ -8,25 +8,25 @@
 	"tackbeam.example/tackbeam/internal/routes"
 )
 
-// keptChanges is how many changes a node keeps for others: those that come while one asks. A
-// node that lacks more gets the whole, 55 bytes a route.
-const keptChanges = 16
+// maxKeptChanges is how many changes a node keeps for others: those that arrive while one node makes its requests.
+// A node that lacks more gets the full configuration, 55 bytes per route.
+const maxKeptChanges = 16
 
-// take takes a value of the key in, unless the copy is as late.
-func (fd *Feed) take(item kv.Item) {
+// applyItem applies a value of the key, unless the copy is at least as recent.
+func (fd *Feed) applyItem(item kv.Item) {
 	if item.Gone || item.Revision == 0 {
-		return // nothing is in force but what was
+		return // the active version stays
 	}
 	fd.mu.Lock()
-	old := fd.copy
+	old := fd.config
 	fd.mu.Unlock()
 	if old != nil && item.Revision <= old.Revision {
 		return
 	}
-	fd.size = base64.StdEncoding.EncodedLen(len(item.Value)) // as values travel
+	fd.valueSize = base64.StdEncoding.EncodedLen(len(item.Value)) // the store sends values in base64
 	cf, err := fd.opts.Decode(item)
 	if err != nil {
-		fd.log.Error(err, "Configuration cannot be read; the one before stays in force.", "revision", item.Revision)
+		fd.log.Error(err, "Configuration could not be decoded; the active version stays.", "revision", item.Revision)
 		return
 	}
 	cf.Revision = item.Revision
@@ -37,11 +37,11 @@
 	fd.install(cf, df, "store")
 }
 
-// follow applies changes that another node told of, and returns the first error.
-func (fd *Feed) follow(changes []*routediff.Diff, node string) error {
+// applyDiffs applies changes received from another node, and returns the first error.
+func (fd *Feed) applyDiffs(changes []*routediff.Diff, node string) error {
 	for _, df := range changes {
 		fd.mu.Lock()
-		old := fd.copy
+		old := fd.config
 		fd.mu.Unlock()
 		if old != nil && df.To <= old.Revision {
 			continue
@@ -55,37 +55,37 @@
 	return nil
 }
 
-// install makes a version the copy, and puts it in force.
+// install makes a version the copy and activates it.
 func (fd *Feed) install(cf *routes.Config, df *routediff.Diff, source string) {
 	fd.mu.Lock()
-	fd.copy = cf
+	fd.config = cf
 	if df.From == 0 {
-		fd.changes = nil // nobody gets here from an earlier version
+		fd.changes = nil // no diff leads here from an earlier version
 	} else {
 		fd.changes = append(fd.changes, df)
-		fd.changes = fd.changes[max(len(fd.changes)-keptChanges, 0):]
+		fd.changes = fd.changes[max(len(fd.changes)-maxKeptChanges, 0):]
 	}
-	close(fd.later)
-	fd.later = make(chan struct{})
+	close(fd.nextVersion)
+	fd.nextVersion = make(chan struct{})
 	fd.mu.Unlock()
 	if !fd.opts.Activate(cf) {
-		fd.log.Info("Configuration is no later than the one in force.", "version", cf.Version, "revision", cf.Revision)
+		fd.log.Info("Configuration is not newer than the active version.", "version", cf.Version, "revision", cf.Revision)
 		return
 	}
-	fd.log.Info("Configuration is in force.", "version", cf.Version, "revision", cf.Revision, "routes", len(cf.Routes),
+	fd.log.Info("Configuration activated.", "version", cf.Version, "revision", cf.Revision, "routes", len(cf.Routes),
 		"changed", df.Size(), "from", source)
 }
 
-// since returns what leads from a revision to the copy. The caller holds the lock.
-func (fd *Feed) since(revision uint64) []*routediff.Diff {
-	size, whole := 0, routediff.Full(fd.copy)
+// changesSince returns the diffs that lead from a revision to the copy. The caller holds the lock.
+func (fd *Feed) changesSince(revision uint64) []*routediff.Diff {
+	size, full := 0, routediff.Full(fd.config)
 	for at := len(fd.changes) - 1; at >= 0; at-- {
-		if size += fd.changes[at].Size(); size > whole.Size() {
-			break // the whole is shorter
+		if size += fd.changes[at].Size(); size > full.Size() {
+			break // the full configuration is smaller
 		}
 		if fd.changes[at].From == revision {
 			return fd.changes[at:]
 		}
 	}
-	return []*routediff.Diff{whole}
+	return []*routediff.Diff{full}
 }
--- a/internal/feed/catchup.go
+++ b/internal/feed/catchup.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// When a node reads whole itself.
+// Conditions under which a node that is not a reader reads the full configuration itself.
 const (
-	// patience is how long a node leaves the whole to readers that answer but lack it too: they
-	// take 0.2 s, or 1.1 s on a link of 10 Mbit/s. patiencePerNode is what their reading from one
-	// store takes more, 0.7 ms a node at 1.4 MB: 1,000 nodes that lost patience together after 1.2 s
-	// had a change after 4.2 s instead of 1.9 s.
-	patience        = 1200 * time.Millisecond
-	patiencePerNode = time.Millisecond
-	// failedReaders is how many readers in turn that do not answer, or are busy, make a node read
-	// whole itself.
-	failedReaders = 2
+	// fullReadDelay is how long a node leaves this to readers that answer but do not have the change yet either:
+	// they take 0.2 s, or 1.1 s on a link of 10 Mbit/s. fullReadDelayPerNode covers the additional time that the
+	// readers need to read from one store, 0.7 ms per node at 1.4 MB. When 1,000 nodes gave up at the same time
+	// after 1.2 s, a change took 4.2 s instead of 1.9 s.
+	fullReadDelay        = 1200 * time.Millisecond
+	fullReadDelayPerNode = time.Millisecond
+	// maxFailures is the number of readers in a row without an answer, or busy, after which a node reads the full
+	// configuration itself.
+	maxFailures = 2
 )
 
-// catchUp makes the next try to get what the copy lacks: by turns from the store and from
-// another node where the whole is this node's to read, and else from another node.
-func (fd *Feed) catchUp(ctx context.Context, behind time.Time) error {
-	if fd.ownRead(behind) && !fd.readLast {
-		fd.readLast = true
+// catchUp makes the next attempt to get what the copy lacks: alternately from the store and from another node if
+// this node should read the full configuration, otherwise from another node.
+func (fd *Feed) catchUp(ctx context.Context, behindSince time.Time) error {
+	if fd.shouldReadFull(behindSince) && !fd.lastWasFull {
+		fd.lastWasFull = true
 		return fd.read(ctx, 0)
 	}
-	fd.readLast = false
-	return fd.ask(ctx)
+	fd.lastWasFull = false
+	return fd.requestChanges(ctx)
 }
 
-// ownRead reports whether the whole is this node's to read.
-func (fd *Feed) ownRead(behind time.Time) bool {
-	long := patience + time.Duration(len(fd.opts.Members()))*patiencePerNode
-	return fd.reads() || fd.failed >= failedReaders || fd.clock.Since(behind) > long
+// shouldReadFull reports whether this node should read the full configuration from the store.
+func (fd *Feed) shouldReadFull(behindSince time.Time) bool {
+	delay := fullReadDelay + time.Duration(len(fd.opts.Members()))*fullReadDelayPerNode
+	return fd.isReader() || fd.failures >= maxFailures || fd.clock.Since(behindSince) > delay
 }
 
-// fallBehind notes that there is a version that the copy lacks, or may be.
-func (fd *Feed) fallBehind(unsure bool) {
-	fd.asked, fd.failed, fd.readLast = 0, 0, false
+// markBehind records that there is, or may be, a version that the copy lacks.
+func (fd *Feed) markBehind(maybeBehind bool) {
+	fd.readersSkipped, fd.failures, fd.lastWasFull = 0, 0, false
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	fd.behind, fd.unsure = fd.clock.Now(), unsure
+	fd.behindSince, fd.maybeBehind = fd.clock.Now(), maybeBehind
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,19 +1,18 @@
-// Package feed keeps a node's copy of the operators' configuration up to date, and says how
-// old it may be.
+// Package feed keeps a node's copy of the operators' configuration up to date and reports how old the copy may be.
 //
-// Each node watches the configuration's key. A change that is small comes with the watch. A large
-// one is read whole by a few nodes only, the readers; the others learn from the watch that there
-// is one, and ask a reader for what changed. So a change of D bytes between nodes in a
-// configuration that the store sends as S bytes is in force on all of n nodes within
+// Each node watches the configuration's key. A small change arrives with the watch. When a change is large, only a
+// few nodes, the readers, read the full configuration from the store; the other nodes learn from the watch that
+// there is a change and request it from a reader. A change of D bytes between nodes, in a configuration that the
+// store sends as S bytes, is therefore active on all n nodes within
 //
 //	notice + max((n*W + k*S)/store, S/reader) + decode + (n/k)*D/reader + D/node + retry
 //
-// where k = max(3, n/16) is the number of readers, or fewer where not so many links are about as
-// fast as the fastest; W is what comes of an answer that is not taken; store, reader and node are
-// the bandwidths of their links. A retry costs 0.5 s where a connection was reset (notice and
-// question again), 0.45 s for each reader that is silent, and 1.1 s where the own connection to the
-// store is. Where two readers do not answer, or have answers for 1.5 s of their links already, a
-// node reads whole itself: S/node more. TestBound has the figures.
+// where k = max(3, n/16) is the number of readers, or less if fewer links are about as fast as the fastest; W is
+// the part that arrives of an answer that the node rejects as too large; store, reader and node are the bandwidths
+// of their links. A retry costs 0.5 s if a connection was reset (notice and request again), 0.45 s for each reader
+// that does not answer, and 1.1 s if the node's own connection to the store does not answer. If two readers do not
+// answer, or already have answers for 1.5 s of their links to send, a node reads the full configuration itself,
+// which takes S/node more. TestChangeWithinBound checks this bound.
 package feed
 
 import (
@@ -34,59 +33,58 @@
 	"tackbeam.example/tackbeam/internal/routes"
 )
 
-// Options of a feed. The functions are seams.
+// Options configure a Feed.
 type Options struct {
-	// Key is where the store has the configuration.
+	// Key is the store key of the configuration.
 	Key    string
 	Decode func(item kv.Item) (*routes.Config, error)
-	// Activate puts a version in force, and reports whether it is now.
+	// Activate makes a version the active one, and reports whether it is active now.
 	Activate func(cf *routes.Config) bool
-	// Node is the name of this node, Link the bandwidth of its link in Mbit/s; 0 where that is not
-	// known.
+	// Node is the name of this node, Link the bandwidth of its link in Mbit/s, 0 if unknown.
 	Node string
 	Link float64
-	// Members returns the nodes that are listed, as far as this node knows.
+	// Members returns the registered nodes, as far as this node knows.
 	Members func() []joblog.Member
-	// Request puts a question to the feed of another node.
-	Request func(ctx context.Context, address string, qn Request) (Response, error)
+	// Request sends a request to the feed of another node.
+	Request func(ctx context.Context, address string, rq Request) (Response, error)
 }
 
-// Times and sizes.
+// Timeouts and sizes.
 const (
-	// watchWait is how long a watch may stay without an answer. The copy's age counts from the
-	// sending of the last call that was answered, so it grows to twice that and two answers of
-	// 0.25 s, the slow store's; with watches of 1 s a fifth of the answers 404 were 503 in calm times.
+	// watchWait is how long a watch may stay without an answer. The copy's age counts from the sending of the last
+	// answered call, so it grows to twice this time plus two answers of 0.25 s from a slow store. With watches of
+	// 1 s a fifth of the answers with status 404 were 503 instead in normal operation.
 	watchWait = 600 * time.Millisecond
-	// slowAnswer is what an answer may take of that sum. A slower store gets shorter waits, down to
-	// leastWait: with answers of 0.4 s a fifth of the jobs were refused because of a copy of up to
-	// 2 s where 1.8 s are allowed.
-	slowAnswer = 250 * time.Millisecond
-	leastWait  = 200 * time.Millisecond
-	// lookWait is the wait of the watch after a call that failed: the store tells at once that
-	// nothing has changed.
-	lookWait = time.Millisecond
-	// mostBytes is the largest answer that every node takes from the store: 52 ms on a link of
-	// 10 Mbit/s, and 0.5 s of a store with 1,000 Mbit/s for 1,000 nodes.
-	mostBytes = 64 << 10
-	// mostVersions bounds what a reader takes from a watch, which has each version since the last
-	// answer whole: five of 8,300 routes took 7 s on a link of 10 Mbit/s, the last one 1.9 s.
-	mostVersions = 2
-	// firstByte is when an answer of the store has to begin, beyond its wait: twice what a slow
-	// store takes.
+	// expectedLatency is the part of that sum allowed for an answer. Watches of a slower store wait less, down to
+	// minWatchWait: with answers of 0.4 s a fifth of the jobs were refused because the copy was up to 2 s old,
+	// while 1.8 s are allowed.
+	expectedLatency = 250 * time.Millisecond
+	minWatchWait    = 200 * time.Millisecond
+	// probeWait is the wait of the watch after a failed call: the store reports at once that nothing has changed.
+	probeWait = time.Millisecond
+	// maxDirectBytes is the largest answer that every node accepts from the store. It takes 52 ms on a link of
+	// 10 Mbit/s, and 0.5 s for 1,000 nodes on a store's link of 1,000 Mbit/s.
+	maxDirectBytes = 64 << 10
+	// maxWatchVersions limits what a reader accepts from a watch, which returns the full configuration for each
+	// version since the last answer: five versions of 8,300 routes took 7 s on a link of 10 Mbit/s, the last one
+	// alone 1.9 s.
+	maxWatchVersions = 2
+	// firstByte is how long the store may take to begin an answer, beyond the wait: twice the latency of a slow
+	// store.
 	firstByte = 500 * time.Millisecond
-	// maxFirstByte is the upper limit of firstByteTimeout. It also bounds how long a pending call
-	// can delay a node after the store has recovered.
+	// maxFirstByte is the upper limit of firstByteTimeout. It also bounds how long a pending call can delay a node
+	// after the store has recovered.
 	maxFirstByte = 2 * time.Second
-	// maxVouchedAge is the age of a copy above which the other nodes are assumed to get no answer
-	// from the store either.
-	maxVouchedAge = 2 * vouchAfter
+	// maxConfirmedAge is the age of a copy above which the other nodes are assumed to get no answer from the store
+	// either.
+	maxConfirmedAge = 2 * peerCheckAge
 )
 
-// firstByteTimeout is how long the store may take to begin an answer. It doubles with each
-// counted timeout from the second on, so that a store slower than firstByte can still be read.
+// firstByteTimeout is how long the store may take to begin an answer. It doubles with each counted timeout from
+// the second on, so that a store slower than firstByte can still be read.
 var firstByteTimeout = backoff.Backoff{First: firstByte, Most: maxFirstByte}
 
-// Feed is one node's copy.
+// Feed is one node's copy of the configuration.
 type Feed struct {
 	opts  Options
 	clock clockwork.Clock
@@ -94,91 +92,91 @@
 	store *kv.Store
 
 	mu sync.Mutex
-	// copy is the latest version that the node has, nil before the first.
-	copy *routes.Config
-	// at is the revision of the store up to which no later version is known of, asOf when the
-	// store was asked that said so.
-	at   uint64
-	asOf time.Time
-	// placed is set while a watch can go on from at.
-	placed bool
-	// behind is since when the copy has been known to lack a change, or, where the place was
-	// lost, to lack one perhaps; zero where it is not.
-	behind time.Time
-	unsure bool
-	// changes lead to the copy, the last one to its revision.
+	// config is the latest version that the node has, nil before the first.
+	config *routes.Config
+	// checkedRevision is the store revision up to which no later version is known, confirmedAt when the call that
+	// confirmed this was sent.
+	checkedRevision uint64
+	confirmedAt     time.Time
+	// watchable is set while a watch can continue from checkedRevision.
+	watchable bool
+	// behindSince is since when the copy has been known to lack a change or, with maybeBehind, may lack one because
+	// the watch could not continue; zero if the copy is current.
+	behindSince time.Time
+	maybeBehind bool
+	// changes are the latest diffs; the last one leads to the copy's revision.
 	changes []*routediff.Diff
-	// later is closed with the next version.
-	later chan struct{}
-	// sending is until when the answers that other nodes got fill the link.
-	sending time.Time
+	// nextVersion is closed when the next version arrives.
+	nextVersion chan struct{}
+	// linkBusyUntil is until when answers to other nodes occupy the link.
+	linkBusyUntil time.Time
 
-	// down is set while the store does not answer.
-	down bool
-	// cancel gives the present call, or the pause after it, up.
+	// storeDown is set while the store does not answer.
+	storeDown bool
+	// cancel cancels the present call, or the pause after it.
 	cancel context.CancelFunc
 
-	// The rest belongs to Run.
-	// answer is how long the last answer of a watch took beyond its wait, size what the last
-	// value that the store sent took, in bytes.
-	answer time.Duration
-	size   int
-	// timeouts is how many calls to the store have timed out since the last success, counted only
-	// while there is no copy, or it is behind or older than maxVouchedAge. timedOut is set if the
-	// last call to the store timed out.
+	// The fields below are used by Run only.
+	//
+	// watchLatency is how long the last answer of a watch took beyond its wait, valueSize the encoded size in bytes
+	// of the last value that the store sent.
+	watchLatency time.Duration
+	valueSize    int
+	// timeouts is how many calls to the store have timed out since the last success, counted only while there is no
+	// copy, or it is behind or older than maxConfirmedAge. timedOut is set if the last call to the store timed out.
 	timeouts int
 	timedOut bool
-	// vouched is when another node was last asked how old its copy is.
-	vouched time.Time
-	// retry gives the pauses between tries.
+	// lastPeerCheck is when other nodes were last asked how old their copies are.
+	lastPeerCheck time.Time
+	// retry computes the pauses between attempts.
 	retry kv.Retry
-	// Of the present change: readLast is set where the last try was to read whole, asked is how
-	// many readers were left for the next one, failed how many in turn did not answer or were busy.
-	readLast      bool
-	asked, failed int
+	// State of the present change: lastWasFull is set if the last attempt was to read the full configuration,
+	// readersSkipped is how many readers were skipped in favour of the next one, failures how many in a row did not
+	// answer or were busy.
+	lastWasFull              bool
+	readersSkipped, failures int
 }
 
-// New returns a feed that Run keeps up to date.
+// New returns a feed; Run keeps its copy up to date.
 func New(clock clockwork.Clock, log logr.Logger, st *kv.Store, opts Options) *Feed {
 	return &Feed{
-		opts: opts, clock: clock, log: log.WithName("feed"), store: st, later: make(chan struct{}),
+		opts: opts, clock: clock, log: log.WithName("feed"), store: st, nextVersion: make(chan struct{}),
 	}
 }
 
-// Age returns how old the copy may be: the time since the sending of the last call, of this node or
-// of the one that it asked, by whose answer there was no later version. It reports false before
-// the first.
+// Age returns how old the copy may be: the time since the sending of the last call, by this node or by a node that
+// it asked, that confirmed that there was no later version. It returns false before the first.
 func (fd *Feed) Age() (time.Duration, bool) {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	return fd.clock.Since(fd.asOf), !fd.asOf.IsZero()
+	return fd.clock.Since(fd.confirmedAt), !fd.confirmedAt.IsZero()
 }
 
-// Behind reports whether a later version is known to be there, or may well be.
+// Behind reports whether a later version is known to exist, or may exist.
 func (fd *Feed) Behind() bool {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	return !fd.behind.IsZero()
+	return !fd.behindSince.IsZero()
 }
 
-// Run keeps the copy until the context ends.
+// Run keeps the copy up to date until the context ends.
 func (fd *Feed) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		call, cancel := context.WithCancel(ctx)
 		fd.setCancel(cancel)
 		if err := fd.step(call); err != nil && ctx.Err() == nil {
-			fd.lost(call, err)
+			fd.handleFailure(call, err)
 		}
 		cancel()
 	}
 }
 
-// Refresh gives the present call up, which may be dead, for the next one: the store is known to
-// answer again.
+// Refresh cancels the present call, whose connection may be dead, so that the next one is sent. It is called when
+// the store is known to answer again.
 func (fd *Feed) Refresh() {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	if fd.cancel != nil && fd.down && fd.behind.IsZero() { // else it may be bringing a version
+	if fd.cancel != nil && fd.storeDown && fd.behindSince.IsZero() { // otherwise it may be delivering a version
 		fd.cancel()
 	}
 }
@@ -192,108 +190,108 @@
 // step makes the call that is due.
 func (fd *Feed) step(ctx context.Context) error {
 	fd.mu.Lock()
-	placed, behind := fd.placed, fd.behind
+	watchable, behindSince := fd.watchable, fd.behindSince
 	fd.mu.Unlock()
 	switch {
-	case !behind.IsZero():
-		return fd.catchUp(ctx, behind)
-	case !placed:
-		return fd.read(ctx, fd.most())
+	case !behindSince.IsZero():
+		return fd.catchUp(ctx, behindSince)
+	case !watchable:
+		return fd.read(ctx, fd.maxReadSize())
 	}
 	return fd.watch(ctx)
 }
 
-// lost notes why the copy stands still, and waits before the next try.
-func (fd *Feed) lost(ctx context.Context, err error) {
+// handleFailure logs why the copy is not updated, and waits before the next attempt.
+func (fd *Feed) handleFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return // by Refresh
 	}
 	if fd.setDown(true) {
-		fd.log.Info("No answer about the configuration; the copy grows old.", "reason", err.Error())
+		fd.log.Info("Configuration could not be checked; the copy may become stale.", "reason", err.Error())
 	}
 	if !fd.Behind() {
-		fd.vouch(ctx)
+		fd.checkPeers(ctx)
 	}
-	if age, loaded := fd.Age(); fd.timedOut && (!loaded || age > maxVouchedAge || fd.Behind()) {
+	if age, loaded := fd.Age(); fd.timedOut && (!loaded || age > maxConfirmedAge || fd.Behind()) {
 		fd.timeouts++
 	}
 	fd.timedOut = false
 	loop.Pause(ctx, fd.clock, fd.retry.After(err))
 }
 
-// most is the largest answer that this node takes where it has no version yet, or lost its place; 0
-// is any.
-func (fd *Feed) most() int {
-	if fd.reads() {
+// maxReadSize returns the largest answer that this node accepts if it has no version yet or its watch cannot
+// continue; 0 means no limit.
+func (fd *Feed) maxReadSize() int {
+	if fd.isReader() {
 		return 0
 	}
-	return mostBytes
+	return maxDirectBytes
 }
 
-// mostOfWatch is the largest answer that this node takes from a watch.
-func (fd *Feed) mostOfWatch() int {
-	if fd.reads() {
-		return max(mostBytes, mostVersions*fd.size)
+// maxWatchSize returns the largest answer that this node accepts from a watch.
+func (fd *Feed) maxWatchSize() int {
+	if fd.isReader() {
+		return max(maxDirectBytes, maxWatchVersions*fd.valueSize)
 	}
-	return mostBytes
+	return maxDirectBytes
 }
 
 // watch waits once for a change.
 func (fd *Feed) watch(ctx context.Context) error {
 	fd.mu.Lock()
-	after, down := fd.at, fd.down
+	after, storeDown := fd.checkedRevision, fd.storeDown
 	fd.mu.Unlock()
-	wait := max(watchWait-max(fd.answer-slowAnswer, 0), leastWait)
-	if down {
-		wait = lookWait
+	wait := max(watchWait-max(fd.watchLatency-expectedLatency, 0), minWatchWait)
+	if storeDown {
+		wait = probeWait
 	}
 	call, cancel := context.WithTimeout(ctx, wait+firstByteTimeout.After(fd.timeouts-1))
 	defer cancel()
 	sent := fd.clock.Now()
-	events, err := fd.store.WatchKey(call, fd.opts.Key, after, wait, fd.mostOfWatch())
+	events, err := fd.store.WatchKey(call, fd.opts.Key, after, wait, fd.maxWatchSize())
 	fd.recordCall(call, "watch", sent, err)
 	switch {
 	case errors.Is(err, kv.ErrTooLarge):
-		fd.fallBehind(false)
+		fd.markBehind(false)
 		return nil
 	case errors.Is(err, kv.ErrHistoryGone):
-		fd.log.Info("Watch lost history; reading anew.", "after", after)
-		fd.losePlace()
+		fd.log.Info("Store no longer has the history for the watch; reading again.", "after", after)
+		fd.resetWatch()
 		return nil
 	case err != nil:
 		return err
 	}
 	if len(events.Items) == 0 {
-		fd.answer = max(fd.clock.Since(sent)-wait, 0)
+		fd.watchLatency = max(fd.clock.Since(sent)-wait, 0)
 	}
 	for _, item := range events.Items {
-		fd.take(item)
+		fd.applyItem(item)
 	}
-	fd.current(sent, events.At)
+	fd.confirm(sent, events.At)
 	return nil
 }
 
-// read reads the key, unless its value takes more than most bytes.
-func (fd *Feed) read(ctx context.Context, most int) error {
+// read reads the key, unless the answer takes more than maxSize bytes.
+func (fd *Feed) read(ctx context.Context, maxSize int) error {
 	call, cancel := context.WithTimeout(ctx, firstByteTimeout.After(fd.timeouts-1))
 	defer cancel()
 	sent := fd.clock.Now()
-	item, at, err := fd.store.Get(call, fd.opts.Key, most)
+	item, at, err := fd.store.Get(call, fd.opts.Key, maxSize)
 	fd.recordCall(call, "read", sent, err)
 	switch {
 	case errors.Is(err, kv.ErrTooLarge):
-		fd.fallBehind(true)
+		fd.markBehind(true)
 		return nil
 	case err != nil:
 		return err
 	}
-	fd.take(item)
-	fd.current(sent, at)
+	fd.applyItem(item)
+	fd.confirm(sent, at)
 	return nil
 }
 
-// recordCall records whether a call to the store timed out, resets the timeout count after an
-// answer, and logs a call that had none.
+// recordCall records whether a call to the store timed out, resets the timeout count after an answer, and logs a
+// failed call.
 func (fd *Feed) recordCall(call context.Context, name string, sent time.Time, err error) {
 	if err == nil || errors.Is(err, kv.ErrTooLarge) || errors.Is(err, kv.ErrHistoryGone) {
 		fd.timeouts, fd.timedOut = 0, false
@@ -304,33 +302,33 @@
 		"timeouts", fd.timeouts, "reason", err.Error())
 }
 
-func (fd *Feed) losePlace() {
+func (fd *Feed) resetWatch() {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	fd.placed = false
+	fd.watchable = false
 }
 
-// current notes that there was no version later than the copy's up to a revision, by the answer to
-// a call that was sent at a time.
-func (fd *Feed) current(sent time.Time, at uint64) {
+// confirm records that there was no version later than the copy's up to a revision, according to the answer to a
+// call sent at the given time.
+func (fd *Feed) confirm(sent time.Time, at uint64) {
 	fd.mu.Lock()
-	fd.at = max(fd.at, at)
-	fd.placed, fd.behind = true, time.Time{}
-	if sent.After(fd.asOf) {
-		fd.asOf = sent
+	fd.checkedRevision = max(fd.checkedRevision, at)
+	fd.watchable, fd.behindSince = true, time.Time{}
+	if sent.After(fd.confirmedAt) {
+		fd.confirmedAt = sent
 	}
 	fd.mu.Unlock()
 	fd.retry.Succeeded()
 	if fd.setDown(false) {
-		fd.log.Info("The configuration is known again.")
+		fd.log.Info("Configuration is up to date again.")
 	}
 }
 
-// setDown notes whether the store answers, and reports whether that is new.
-func (fd *Feed) setDown(down bool) bool {
+// setDown records whether the store answers, and reports whether that has changed.
+func (fd *Feed) setDown(storeDown bool) bool {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	changed := fd.down != down
-	fd.down = down
+	changed := fd.storeDown != storeDown
+	fd.storeDown = storeDown
 	return changed
 }
--- a/internal/feed/peers.go
+++ b/internal/feed/peers.go
@@ -11,138 +11,137 @@
 	"tackbeam.example/tackbeam/internal/joblog"
 )
 
-// How other nodes are asked.
+// Timeouts and limits of requests to other nodes.
 const (
-	// hold is how long a question waits at a reader that does not have the change yet, before the
-	// next one is asked.
-	hold = 150 * time.Millisecond
-	// nodeFirstByte is when a node's answer has to begin, beyond the hold: it answers from memory,
-	// and the next one is to be asked in time.
+	// readerWait is how long a request waits at a reader that does not have the change yet, before the next reader
+	// is asked.
+	readerWait = 150 * time.Millisecond
+	// nodeFirstByte is how long a node may take to begin its response, beyond the wait: it responds from memory,
+	// and the next node must be asked in time.
 	nodeFirstByte = 300 * time.Millisecond
-	// vouchAfter is the age of a copy from which other nodes are asked for theirs, where the store
-	// does not answer: half of the copies are younger.
-	vouchAfter = 900 * time.Millisecond
-	// vouchers is how many nodes are asked in turn for a younger copy, vouchEvery the time until
-	// they are asked again.
-	vouchers   = 3
-	vouchEvery = 300 * time.Millisecond
+	// peerCheckAge is the age of the copy from which other nodes are asked for theirs if the store does not answer.
+	// Half of the copies are younger.
+	peerCheckAge = 900 * time.Millisecond
+	// peerCheckCount is how many nodes are asked in turn for a younger copy, peerCheckInterval the minimum time
+	// until they are asked again.
+	peerCheckCount    = 3
+	peerCheckInterval = 300 * time.Millisecond
 )
 
 var (
-	// errAlone means that there is no other node to ask.
-	errAlone = errors.New("no other node is known")
-	// errNoLater means that the node that was asked knows no more than this one.
-	errNoLater = errors.New("the other node knows no more")
+	// errNoPeer means that there is no other node to ask.
+	errNoPeer = errors.New("no other node is known")
+	// errNotNewer means that the node that was asked has no later version than this one.
+	errNotNewer = errors.New("the other node has no later version")
 )
 
-// ask asks a reader for what the copy lacks. The nodes spread evenly over them; each stays with a
-// reader that is about to have it, and goes on to the next one from any other.
-func (fd *Feed) ask(ctx context.Context) error {
-	members, place := fd.place()
-	sources := fd.others(members[:readers(members)])
+// requestChanges asks a reader for the changes that the copy lacks. The nodes are spread evenly over the readers;
+// each stays with a reader that is about to have the change, and otherwise proceeds to the next one.
+func (fd *Feed) requestChanges(ctx context.Context) error {
+	members, rank := fd.rank()
+	sources := fd.otherNodes(members[:readerCount(members)])
 	if len(sources) == 0 {
-		return errAlone
+		return errNoPeer
 	}
-	source := sources[(max(place, 0)+fd.asked)%len(sources)]
-	an, err := fd.askNode(ctx, source, fd.patient())
-	if !an.Reader {
-		fd.asked++
+	source := sources[(max(rank, 0)+fd.readersSkipped)%len(sources)]
+	rs, err := fd.requestFrom(ctx, source, fd.requestWait())
+	if !rs.Reader {
+		fd.readersSkipped++
 	}
-	if err != nil && !errors.Is(err, errNoLater) {
-		fd.failed++
+	if err != nil && !errors.Is(err, errNotNewer) {
+		fd.failures++
 		return err
 	}
-	fd.failed = 0
+	fd.failures = 0
 	return err
 }
 
-// patient is how long a reader may hold its answer back: not at all where it can say at once
-// whether there is a later version.
-func (fd *Feed) patient() time.Duration {
+// requestWait returns how long a reader may delay its response: not at all if it can report at once whether there
+// is a later version.
+func (fd *Feed) requestWait() time.Duration {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	if fd.unsure && fd.copy != nil {
+	if fd.maybeBehind && fd.config != nil {
 		return 0
 	}
-	return hold
+	return readerWait
 }
 
-// vouch asks other nodes for their copies' age, where the own one grows old because the store does
-// not answer this node.
-func (fd *Feed) vouch(ctx context.Context) {
-	sources := fd.others(fd.opts.Members())
-	if !fd.agesBeyond(vouchAfter) || fd.clock.Since(fd.vouched) < vouchEvery {
+// checkPeers asks other nodes for the age of their copies if this node's copy is old because the store does not
+// answer.
+func (fd *Feed) checkPeers(ctx context.Context) {
+	sources := fd.otherNodes(fd.opts.Members())
+	if !fd.olderThan(peerCheckAge) || fd.clock.Since(fd.lastPeerCheck) < peerCheckInterval {
 		return
 	}
-	fd.vouched = fd.clock.Now()
+	fd.lastPeerCheck = fd.clock.Now()
 	rand.Shuffle(len(sources), func(a, b int) { sources[a], sources[b] = sources[b], sources[a] })
-	for _, source := range sources[:min(vouchers, len(sources))] {
-		if _, err := fd.askNode(ctx, source, 0); err != nil {
-			fd.log.V(1).Info("Another node did not tell how old its configuration is.", "reason", err.Error())
+	for _, source := range sources[:min(peerCheckCount, len(sources))] {
+		if _, err := fd.requestFrom(ctx, source, 0); err != nil {
+			fd.log.V(1).Info("Another node did not report the age of its configuration.", "reason", err.Error())
 		}
-		if !fd.agesBeyond(vouchAfter) {
+		if !fd.olderThan(peerCheckAge) {
 			return
 		}
 	}
 }
 
-// agesBeyond reports whether there is a copy that is older than an age.
-func (fd *Feed) agesBeyond(age time.Duration) bool {
+// olderThan reports whether there is a copy that is older than the given age.
+func (fd *Feed) olderThan(age time.Duration) bool {
 	now, loaded := fd.Age()
 	return loaded && now > age
 }
 
-// others returns the members without this node.
-func (fd *Feed) others(members []joblog.Member) []joblog.Member {
+// otherNodes returns the members without this node.
+func (fd *Feed) otherNodes(members []joblog.Member) []joblog.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(mb joblog.Member) bool { return mb.Node == fd.opts.Node })
 }
 
-// askNode asks one node, and takes in what it knows.
-func (fd *Feed) askNode(ctx context.Context, mb joblog.Member, hold time.Duration) (Response, error) {
-	qn := Request{Have: fd.revision(), MaxWait: hold}
-	call, cancel := context.WithTimeout(ctx, hold+nodeFirstByte)
+// requestFrom sends a request to one node and applies the response.
+func (fd *Feed) requestFrom(ctx context.Context, mb joblog.Member, wait time.Duration) (Response, error) {
+	rq := Request{Have: fd.revision(), MaxWait: wait}
+	call, cancel := context.WithTimeout(ctx, wait+nodeFirstByte)
 	defer cancel()
 	sent := fd.clock.Now()
-	an, err := fd.opts.Request(call, mb.Peers, qn)
+	rs, err := fd.opts.Request(call, mb.Peers, rq)
 	if err != nil {
-		return an, err
+		return rs, err
 	}
-	if err := fd.follow(an.Changes, mb.Node); err != nil {
-		return an, err
+	if err := fd.applyDiffs(rs.Changes, mb.Node); err != nil {
+		return rs, err
 	}
-	if !fd.agree(an, qn.Have, sent.Add(-an.Age)) && hold == 0 {
-		return an, errNoLater
+	if !fd.adoptState(rs, rq.Have, sent.Add(-rs.Age)) && wait == 0 {
+		return rs, errNotNewer
 	}
-	return an, nil
+	return rs, nil
 }
 
-// revision returns that of the copy, 0 where there is none.
+// revision returns the revision of the copy, 0 if there is none.
 func (fd *Feed) revision() uint64 {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	if fd.copy == nil {
+	if fd.config == nil {
 		return 0
 	}
-	return fd.copy.Revision
+	return fd.config.Revision
 }
 
-// agree takes over what another node knows of the version that is the copy now: up to which
-// revision there was no later one, and as of when. It reports whether the copy lacks nothing
-// that this node knows of.
-func (fd *Feed) agree(an Response, had uint64, asOf time.Time) bool {
+// adoptState adopts what another node knows about the version that both have: up to which revision there was no
+// later one, and when that was confirmed. It reports whether the copy lacks no change that this node knows of.
+func (fd *Feed) adoptState(rs Response, had uint64, confirmedAt time.Time) bool {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	if fd.copy == nil || fd.copy.Revision != an.Revision {
-		return fd.behind.IsZero() // the other's copy is older
+	if fd.config == nil || fd.config.Revision != rs.Revision {
+		return fd.behindSince.IsZero() // the other node's copy is older
 	}
-	if asOf.After(fd.asOf) {
-		fd.asOf = asOf
+	if confirmedAt.After(fd.confirmedAt) {
+		fd.confirmedAt = confirmedAt
 	}
-	if an.Revision > had || fd.unsure && an.At > fd.at {
-		fd.placed, fd.behind = true, time.Time{}
+	if rs.Revision > had || fd.maybeBehind && rs.At > fd.checkedRevision {
+		fd.watchable, fd.behindSince = true, time.Time{}
 	}
-	if fd.behind.IsZero() {
-		fd.at = max(fd.at, an.At)
+	if fd.behindSince.IsZero() {
+		fd.checkedRevision = max(fd.checkedRevision, rs.At)
 	}
-	return fd.behind.IsZero()
+	return fd.behindSince.IsZero()
 }
--- a/internal/feed/readers.go
+++ b/internal/feed/readers.go
@@ -7,22 +7,21 @@
 	"tackbeam.example/tackbeam/internal/joblog"
 )
 
-// Who reads the whole.
+// Selection of the nodes that read the full configuration from the store.
 const (
-	// leastReaders read the whole at the least: two may be lost with a change.
-	leastReaders = 3
-	// askers is how many nodes there are to each reader. 16 times 80 kB, which 1,400 routes take,
-	// are 1 s of a link of 10 Mbit/s; and 63 readers of 1,000 nodes take 1.4 MB each from a store
-	// in 0.7 s, at 1,000 Mbit/s.
-	askers = 16
-	// slowerLink is how many times slower than the fastest a reader's link may be: with a reader of
-	// 10 Mbit/s beside one of 200 a change came to 12 nodes after 2.9 s instead of 0.3 s.
-	slowerLink = 4
+	// minReaders is the minimum number of readers, so that two may fail during a change.
+	minReaders = 3
+	// nodesPerReader is the number of nodes per reader. 16 responses of 80 kB, for 1,400 routes, take 1 s of a link
+	// of 10 Mbit/s, and the 63 readers of 1,000 nodes read 1.4 MB each from the store in 0.7 s at 1,000 Mbit/s.
+	nodesPerReader = 16
+	// maxLinkRatio is how many times slower than the fastest link a reader's link may be: with a reader of
+	// 10 Mbit/s beside one of 200 Mbit/s a change reached 12 nodes after 2.9 s instead of 0.3 s.
+	maxLinkRatio = 4
 )
 
-// ranking returns the members in the order in which they read the whole, those with the fastest
-// links first: the same on all nodes that know the same members.
-func ranking(members []joblog.Member) []joblog.Member {
+// ranked returns the members in the order in which they become readers, those with the fastest links first. The
+// order is the same on all nodes that know the same members.
+func ranked(members []joblog.Member) []joblog.Member {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b joblog.Member) int {
 		return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(b.Processors, a.Processors), cmp.Compare(a.Node, b.Node))
@@ -30,25 +29,24 @@
 	return members
 }
 
-// readers returns how many of the members, in their ranking, read the whole.
-func readers(members []joblog.Member) int {
-	most := max(leastReaders, (len(members)+askers-1)/askers)
+// readerCount returns how many of the ranked members are readers.
+func readerCount(members []joblog.Member) int {
+	wanted := max(minReaders, (len(members)+nodesPerReader-1)/nodesPerReader)
 	count := 0
-	for count < min(most, len(members)) && members[count].Link*slowerLink >= members[0].Link {
+	for count < min(wanted, len(members)) && members[count].Link*maxLinkRatio >= members[0].Link {
 		count++
 	}
 	return count
 }
 
-// place returns the members in their ranking, and this node's place there, -1 where it is not
-// listed yet.
-func (fd *Feed) place() ([]joblog.Member, int) {
-	members := ranking(fd.opts.Members())
+// rank returns the ranked members and this node's index in them, -1 if it is not registered yet.
+func (fd *Feed) rank() ([]joblog.Member, int) {
+	members := ranked(fd.opts.Members())
 	return members, slices.IndexFunc(members, func(mb joblog.Member) bool { return mb.Node == fd.opts.Node })
 }
 
-// reads reports whether this node is a reader, or knows no other node.
-func (fd *Feed) reads() bool {
-	members, place := fd.place()
-	return len(members) == 0 || place >= 0 && place < readers(members)
+// isReader reports whether this node is a reader, or knows no other node.
+func (fd *Feed) isReader() bool {
+	members, rank := fd.rank()
+	return len(members) == 0 || rank >= 0 && rank < readerCount(members)
 }
--- a/internal/feed/slow_test.go
+++ b/internal/feed/slow_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestVerySlowStore guards against nodes that never get a change because the store takes longer
-// than the initial timeout to begin each answer.
+// TestVerySlowStore guards against nodes that never get a change because the store takes longer than the initial
+// timeout to begin each answer.
 func TestVerySlowStore(t *testing.T) {
 	for name, tc := range map[string]struct {
-		slow time.Duration
-		more int
+		storeDelay time.Duration
+		more       int
 	}{
 		"answers after 0.6 s, one route":   {600 * time.Millisecond, 1},
 		"answers after 0.6 s, many routes": {600 * time.Millisecond, 1400},
@@ -20,17 +20,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bd := newBed(t, 1, 2, 5000)
-				if took := bd.until(time.Minute); took >= time.Minute {
-					t.Fatal("first version not in force after one minute")
+				bd := newTestbed(t, 1, 2, 5000)
+				if took := bd.awaitActive(time.Minute); took >= time.Minute {
+					t.Fatal("first version not active after one minute")
 				}
 				time.Sleep(5 * time.Second)
-				bd.set(func() { bd.slow = tc.slow })
+				bd.set(func() { bd.storeDelay = tc.storeDelay })
 				time.Sleep(5 * time.Second)
 				bd.write(tc.more, 1)
-				limit := 4*tc.slow + inForce
-				if took := bd.until(time.Minute); took > limit {
-					t.Errorf("change in force after %v, want at most %v", took, limit)
+				limit := 4*tc.storeDelay + maxDelay
+				if took := bd.awaitActive(time.Minute); took > limit {
+					t.Errorf("change active after %v, want at most %v", took, limit)
 				}
 			})
 		})
--- a/internal/feed/testbed_test.go
+++ b/internal/feed/testbed_test.go
@@ -25,19 +25,19 @@
 	"tackbeam.example/tackbeam/internal/standin/vmclock"
 )
 
-// Links, in Mbit/s, and sizes.
+// Bandwidths of links in Mbit/s, and sizes in bytes.
 const (
 	smallLink, fastLink, storeLink = 10, 200, 1000
-	// window is what comes of an answer that is not taken.
+	// window is the part that arrives of an answer that the node rejects as too large.
 	window = 64 << 10
-	// routeBytes is a route as operators write it.
+	// routeBytes is the size of a route in the operators' configuration.
 	routeBytes = 205
-	// decodePace is how much of a configuration a node reads a second, in bytes.
-	decodePace = 10_000_000
+	// decodeRate is how many bytes of a configuration a node decodes per second.
+	decodeRate = 10_000_000
 	key        = "config"
 )
 
-// link is a bandwidth that transfers share. Its times are the bubble's.
+// link is a bandwidth that is shared by transfers, in the time of the synctest bubble.
 type link struct {
 	mu   sync.Mutex
 	mbps float64
@@ -45,7 +45,7 @@
 	sent int
 }
 
-// count returns how many bytes the link has sent since the last count.
+// count returns how many bytes the link has sent since the last call.
 func (li *link) count() int {
 	li.mu.Lock()
 	defer li.mu.Unlock()
@@ -54,51 +54,51 @@
 	return sent
 }
 
-// back gives the time back of bytes that do not come, of a transfer that would end at a time.
-func (li *link) back(bytes int, end time.Time) {
+// refund releases the reserved time of an aborted transfer that would have ended at the given time.
+func (li *link) refund(bytes int, end time.Time) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	left := min(max(time.Until(end), 0), transfer(bytes, li.mbps))
+	left := min(max(time.Until(end), 0), transferTime(bytes, li.mbps))
 	li.free = li.free.Add(-left)
 	li.sent -= int(left.Seconds() * li.mbps * 1e6 / 8)
 }
 
-// pass reserves the time for a number of bytes, and returns when they are through.
-func (li *link) pass(bytes int) time.Time {
+// reserve reserves the link for a number of bytes, and returns when they have been sent.
+func (li *link) reserve(bytes int) time.Time {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	li.sent += bytes
 	if now := time.Now(); li.free.Before(now) {
 		li.free = now
 	}
-	li.free = li.free.Add(transfer(bytes, li.mbps))
+	li.free = li.free.Add(transferTime(bytes, li.mbps))
 	return li.free
 }
 
-// transfer is how long a number of bytes takes.
-func transfer(bytes int, mbps float64) time.Duration {
+// transferTime returns how long a number of bytes takes.
+func transferTime(bytes int, mbps float64) time.Duration {
 	return time.Duration(float64(bytes) * 8 / (mbps * 1e6) * float64(time.Second))
 }
 
 // node is a feed with its links and faults.
 type node struct {
-	// suspended is for how long the node's VM was suspended.
+	// suspended is how long the node's VM was suspended.
 	suspended atomic.Int64
-	bed       *bed
+	testbed   *testbed
 	member    joblog.Member
 	feed      *feed.Feed
 	up, down  link
 
-	mu    sync.Mutex
-	taken *routes.Config
-	// dead nodes answer nobody; cut ones get no answer of the store.
-	dead, cut bool
-	// reset is closed when the node's connections end.
+	mu     sync.Mutex
+	active *routes.Config
+	// Nodes that are silent answer no other node; for nodes that are cut off, the store does not answer.
+	silent, cutOff bool
+	// reset is closed when the node's connections are reset.
 	reset chan struct{}
 }
 
-// bed is a store and nodes.
-type bed struct {
+// testbed is a store and its nodes.
+type testbed struct {
 	t     *testing.T
 	mem   *memkv.Store
 	out   link
@@ -108,14 +108,14 @@
 	versions map[uint64]*routes.Config
 	version  uint64
 	next     int
-	// mute has no node answer another one; slow is how much longer the store takes.
-	mute bool
-	slow time.Duration
+	// With peersSilent no node answers another; storeDelay is added to each answer of the store.
+	peersSilent bool
+	storeDelay  time.Duration
 }
 
-// newBed starts fast and small nodes with a first version.
-func newBed(t *testing.T, fast, small, count int) *bed {
-	bd := &bed{t: t, mem: memkv.New(clockwork.NewRealClock()), out: link{mbps: storeLink}, versions: map[uint64]*routes.Config{}}
+// newTestbed starts nodes with fast and with small links and a first version.
+func newTestbed(t *testing.T, fast, small, count int) *testbed {
+	bd := &testbed{t: t, mem: memkv.New(clockwork.NewRealClock()), out: link{mbps: storeLink}, versions: map[uint64]*routes.Config{}}
 	bd.write(count, 0)
 	for n := range fast + small {
 		mbps := float64(smallLink)
@@ -123,7 +123,7 @@
 			mbps = fastLink
 		}
 		bd.nodes = append(bd.nodes, &node{
-			bed: bd, reset: make(chan struct{}), up: link{mbps: mbps}, down: link{mbps: mbps},
+			testbed: bd, reset: make(chan struct{}), up: link{mbps: mbps}, down: link{mbps: mbps},
 			member: joblog.Member{Node: fmt.Sprintf("n%04d", n), Peers: fmt.Sprint(n), Link: mbps},
 		})
 	}
@@ -133,8 +133,8 @@
 	return bd
 }
 
-// write puts a version in the store that has some routes more, and lacks the first few.
-func (bd *bed) write(more, fewer int) {
+// write writes a version to the store that has some more routes and lacks the first few.
+func (bd *testbed) write(more, fewer int) {
 	bd.mu.Lock()
 	bd.version++
 	cf := &routes.Config{Version: bd.version}
@@ -155,65 +155,65 @@
 	bd.mem.Set(key, value)
 }
 
-// set changes the bed while nodes run.
-func (bd *bed) set(change func()) {
+// set changes the testbed while nodes run.
+func (bd *testbed) set(change func()) {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
 	change()
 }
 
-// faults returns whether nodes answer none, and how much longer the store takes.
-func (bd *bed) faults() (mute bool, slow time.Duration) {
+// faults returns whether nodes do not answer each other, and the delay of the store.
+func (bd *testbed) faults() (peersSilent bool, storeDelay time.Duration) {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
-	return bd.mute, bd.slow
+	return bd.peersSilent, bd.storeDelay
 }
 
-// find returns the version that a value names, nil where there is none.
-func (bd *bed) find(value []byte) *routes.Config {
+// find returns the version that a value identifies, or nil.
+func (bd *testbed) find(value []byte) *routes.Config {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
 	return bd.versions[binary.BigEndian.Uint64(value)]
 }
 
-// size is what the present version takes on the wire of the store.
-func (bd *bed) size() int { return len(bd.versions[bd.version].Routes) * routeBytes * 4 / 3 }
+// size returns the size of the present version as the store sends it.
+func (bd *testbed) size() int { return len(bd.versions[bd.version].Routes) * routeBytes * 4 / 3 }
 
 // start runs the node's feed until the test ends.
 func (nd *node) start() {
 	clock, err := vmclock.New(clockwork.NewRealClock(), func() time.Duration { return time.Duration(nd.suspended.Load()) })
 	if err != nil {
-		nd.bed.t.Fatal(err)
+		nd.testbed.t.Fatal(err)
 	}
 	nd.feed = feed.New(clock, logr.Discard(), nd.store(), feed.Options{
-		Key: key, Node: nd.member.Node, Link: nd.member.Link, Members: nd.bed.members, Request: nd.ask,
+		Key: key, Node: nd.member.Node, Link: nd.member.Link, Members: nd.testbed.members, Request: nd.request,
 		Decode: func(item kv.Item) (*routes.Config, error) {
-			time.Sleep(time.Duration(len(item.Value)) * time.Second / decodePace)
-			known := nd.bed.find(item.Value)
+			time.Sleep(time.Duration(len(item.Value)) * time.Second / decodeRate)
+			known := nd.testbed.find(item.Value)
 			if known == nil {
-				return nil, errors.New("unreadable")
+				return nil, errors.New("unknown version")
 			}
 			cf := *known
 			return &cf, nil
 		},
 		Activate: func(cf *routes.Config) bool {
-			nd.set(func() { nd.taken = cf })
+			nd.set(func() { nd.active = cf })
 			return true
 		},
 	})
-	ctx, cancel := context.WithCancel(nd.bed.t.Context())
+	ctx, cancel := context.WithCancel(nd.testbed.t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		nd.feed.Run(ctx)
 	}()
-	nd.bed.t.Cleanup(func() {
+	nd.testbed.t.Cleanup(func() {
 		cancel()
 		<-done
 	})
 }
 
-func (bd *bed) members() []joblog.Member {
+func (bd *testbed) members() []joblog.Member {
 	out := make([]joblog.Member, len(bd.nodes))
 	for at, nd := range bd.nodes {
 		out[at] = nd.member
@@ -221,27 +221,27 @@
 	return out
 }
 
-// store is the store as the node sees it, over its link.
+// store returns the node's client of the store, whose answers arrive over the node's link.
 func (nd *node) store() *kv.Store {
-	client := nd.bed.mem.Client(nd.member.Node)
+	client := nd.testbed.mem.Client(nd.member.Node)
 	get, watch := client.Get, client.WatchKey
-	client.Get = func(ctx context.Context, key string, most int) (kv.Item, uint64, error) {
-		item, at, err := get(ctx, key, most)
-		return item, at, nd.arrive(ctx, len(item.Value), most, err)
+	client.Get = func(ctx context.Context, key string, maxSize int) (kv.Item, uint64, error) {
+		item, at, err := get(ctx, key, maxSize)
+		return item, at, nd.arrive(ctx, len(item.Value), maxSize, err)
 	}
-	client.WatchKey = func(ctx context.Context, key string, after uint64, wait time.Duration, most int) (kv.Events, error) {
-		events, err := watch(ctx, key, after, wait, most)
+	client.WatchKey = func(ctx context.Context, key string, after uint64, wait time.Duration, maxSize int) (kv.Events, error) {
+		events, err := watch(ctx, key, after, wait, maxSize)
 		bytes := 0
 		for _, item := range events.Items {
 			bytes += len(item.Value)
 		}
-		return events, nd.arrive(ctx, bytes, most, err)
+		return events, nd.arrive(ctx, bytes, maxSize, err)
 	}
 	return client
 }
 
-// arrive waits until an answer of the store with a value of some bytes has come.
-func (nd *node) arrive(ctx context.Context, bytes, most int, err error) error {
+// arrive waits until an answer of the store with a value of the given size has arrived.
+func (nd *node) arrive(ctx context.Context, bytes, maxSize int, err error) error {
 	bytes = bytes * 4 / 3
 	switch {
 	case err != nil && err != kv.ErrTooLarge:
@@ -250,82 +250,82 @@
 		bytes = window
 	}
 	nd.mu.Lock()
-	reset, cut := nd.reset, nd.cut
+	reset, cutOff := nd.reset, nd.cutOff
 	nd.mu.Unlock()
-	_, slow := nd.bed.faults()
-	if cut {
+	_, storeDelay := nd.testbed.faults()
+	if cutOff {
 		<-ctx.Done()
 		return kv.ErrLost
 	}
-	if !wait(ctx, reset, time.Now().Add(slow)) {
+	if !wait(ctx, reset, time.Now().Add(storeDelay)) {
 		return kv.ErrLost
 	}
-	if !carry(reset, bytes, &nd.bed.out, &nd.down) {
+	if !transfer(reset, bytes, &nd.testbed.out, &nd.down) {
 		return kv.ErrLost
 	}
 	return err
 }
 
-// ask puts a question to the feed of the node with an address.
-func (nd *node) ask(ctx context.Context, address string, qn feed.Request) (feed.Response, error) {
+// request sends a request to the feed of the node with the given address.
+func (nd *node) request(ctx context.Context, address string, rq feed.Request) (feed.Response, error) {
 	var at int
 	if _, err := fmt.Sscan(address, &at); err != nil {
 		return feed.Response{}, err
 	}
-	other := nd.bed.nodes[at]
+	other := nd.testbed.nodes[at]
 	nd.mu.Lock()
 	reset := nd.reset
 	nd.mu.Unlock()
 	other.mu.Lock()
-	silent := other.dead
+	silent := other.silent
 	other.mu.Unlock()
-	if mute, _ := nd.bed.faults(); mute {
+	if peersSilent, _ := nd.testbed.faults(); peersSilent {
 		silent = true
 	}
 	if silent {
 		wait(ctx, reset, time.Now().Add(time.Hour))
 		return feed.Response{}, fault.New(fault.Unavailable, "no answer")
 	}
-	an, err := other.feed.Serve(ctx, qn)
+	rs, err := other.feed.Serve(ctx, rq)
 	if err != nil {
-		return an, err
+		return rs, err
 	}
-	raw, err := cbor.Marshal(an)
+	raw, err := cbor.Marshal(rs)
 	if err != nil {
-		return an, err
+		return rs, err
 	}
 	var sent feed.Response
 	if err := cbor.Unmarshal(raw, &sent); err != nil {
-		return an, err
+		return rs, err
 	}
-	if !carry(reset, len(raw), &other.up, &nd.down) {
-		return an, fault.New(fault.Unavailable, "reset")
+	if !transfer(reset, len(raw), &other.up, &nd.down) {
+		return rs, fault.New(fault.Unavailable, "reset")
 	}
 	return sent, nil
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// carry takes bytes over two links, and reports whether they came through.
-func carry(reset <-chan struct{}, bytes int, from, to *link) bool {
-	sent, came := from.pass(bytes), to.pass(bytes)
-	if wait(context.Background(), reset, later(sent, came)) {
+// transfer sends bytes over two links, and reports whether they arrived.
+func transfer(reset <-chan struct{}, bytes int, from, to *link) bool {
+	sent, arrived := from.reserve(bytes), to.reserve(bytes)
+	if wait(context.Background(), reset, latest(sent, arrived)) {
 		return true
 	}
-	from.back(bytes, sent)
-	to.back(bytes, came)
+	from.refund(bytes, sent)
+	to.refund(bytes, arrived)
 	return false
 }
 
-// wait waits until a time, and reports whether nothing came before.
-func wait(ctx context.Context, reset <-chan struct{}, until time.Time) bool {
+// wait waits until the given time, and reports whether neither a reset nor the context ended it before.
+func wait(ctx context.Context, reset <-chan struct{}, end time.Time) bool {
 	select {
-	case <-time.After(time.Until(until)):
+	case <-time.After(time.Until(end)):
 		return true
 	case <-reset:
 	case <-ctx.Done():
@@ -333,19 +333,19 @@
 	return false
 }
 
-// cutLinks ends the node's connections.
-func (nd *node) cutLinks() {
+// resetConnections resets the node's connections.
+func (nd *node) resetConnections() {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	close(nd.reset)
 	nd.reset = make(chan struct{})
 }
 
-// has reports whether the newest version is in force on the node, whole.
-func (nd *node) has() bool {
+// upToDate reports whether the newest version is active on the node, or the node is silent.
+func (nd *node) upToDate() bool {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	return nd.dead || nd.taken != nil && nd.taken.Version == nd.bed.version // which only the test's goroutine writes
+	return nd.silent || nd.active != nil && nd.active.Version == nd.testbed.version // only the test's goroutine writes it
 }
 
 // set changes a node while it runs.
@@ -355,11 +355,11 @@
 	change()
 }
 
-// until waits for the newest version to be in force on every node, and returns how long it took.
-func (bd *bed) until(patience time.Duration) time.Duration {
+// awaitActive waits until the newest version is active on every node, and returns how long that took.
+func (bd *testbed) awaitActive(timeout time.Duration) time.Duration {
 	began := time.Now()
 	for _, nd := range bd.nodes {
-		for !nd.has() && time.Since(began) < patience {
+		for !nd.upToDate() && time.Since(began) < timeout {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
