--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,5 +1,5 @@
-// Package intake accepts jobs and cancels on every node: it writes them to the
-// journal in batches and says what became of them, no more and no less.
+// Package intake accepts jobs and cancellations on every node. It writes them to the journal in batches and
+// reports the outcome of each write exactly.
 package intake
 
 import (
@@ -23,40 +23,39 @@
 	"tackbeam.example/tackbeam/internal/wake"
 )
 
-// Times and sizes of batches.
+// Timeouts and sizes of batches.
 const (
-	// gap is the shortest time between two batches of a node; jobs gather in it.
-	gap = 10 * time.Millisecond
-	// hedge is how long a write may be without an answer before it is sent again: the
-	// store answers in 4 ms.
+	// minInterval is the minimum time between two batches of a node, in which jobs are collected.
+	minInterval = 10 * time.Millisecond
+	// hedge is how long a write may go without an answer before it is sent again; the store normally answers within
+	// 4 ms.
 	hedge = 80 * time.Millisecond
-	// refusedFor is how long a batch that the store refuses is tried again.
-	refusedFor = 800 * time.Millisecond
-	// settleFor is how long a batch with an unknown outcome is settled.
-	settleFor = 10 * time.Second
-	// maxBytes keeps a batch far under the store's largest value of 1 MB.
+	// refusedRetryTime is how long a batch that the store refuses is retried.
+	refusedRetryTime = 800 * time.Millisecond
+	// settleTimeout limits the time to find out whether a batch was written.
+	settleTimeout = 10 * time.Second
+	// maxBytes keeps batches far below the store's maximum value size of 1 MB.
 	maxBytes = 256 << 10
-	// maxWriting is the number of batches whose outcome may be open at once.
-	maxWriting = 16
-	// comeBack is when a caller should try again after the store refused.
-	comeBack = time.Second
+	// maxOpenWrites is the maximum number of batches without a known outcome.
+	maxOpenWrites = 16
+	// retryAfter is when a caller should try again after a refusal.
+	retryAfter = time.Second
 )
 
-// Options of an intake.
+// Options configure an Intake.
 type Options struct {
 	Node string
 	// NodeCount returns how many nodes share the store's rate.
 	NodeCount func() int
-	// WriteRate is the store's rate for all nodes, a second.
+	// WriteRate is the store's limit for writes per second, shared by all nodes.
 	WriteRate float64
-	// StoreDown reports that the store is away: nothing is sent then.
+	// StoreDown reports that the store is unavailable: nothing is sent then.
 	StoreDown func() bool
-	// OnWritten is called, beside the callers' answers, with each batch that the store has; nil
-	// calls nobody.
+	// OnWritten, if set, is called with each batch that the store has, in addition to the answers to its callers.
 	OnWritten func(wr joblog.Written)
 }
 
-// Intake is one node's intake.
+// Intake accepts the jobs and cancellations sent to one node.
 type Intake struct {
 	opts        Options
 	clock       clockwork.Clock
@@ -64,14 +63,14 @@
 	store       *kv.Store
 	incarnation string
 
-	mu      sync.Mutex
-	open    *batch
-	writing int
-	count   int
-	wake    wake.Signal
+	mu         sync.Mutex
+	pending    *batch
+	openWrites int
+	batchCount int
+	wake       wake.Signal
 }
 
-// batch is what waits for one write.
+// batch is the content of one write.
 type batch struct {
 	joblog.Batch
 	bytes int
@@ -79,8 +78,7 @@
 	err   error
 }
 
-// ids returns what the batch is about: the jobs' ids, and those of cancelled ones with
-// a dash.
+// ids returns the ids of the batch's jobs, and those of cancelled jobs with a leading dash.
 func (bt *batch) ids() []string {
 	ids := make([]string, 0, len(bt.Jobs)+len(bt.Cancels))
 	for at := range bt.Jobs {
@@ -92,7 +90,7 @@
 	return ids
 }
 
-// New returns an intake that Run serves.
+// New returns an intake; Run writes its batches.
 func New(clock clockwork.Clock, log logr.Logger, st *kv.Store, opts Options) *Intake {
 	const base = 36
 	return &Intake{
@@ -101,19 +99,20 @@
 	}
 }
 
-// Submit accepts a job. It returns nil once the journal has it, an error of kind
-// Unavailable where it surely never runs, and Timeout where that is not known.
+// Submit accepts a job. It returns nil once the journal has it, an error of kind Unavailable if the job will
+// surely not run, and one of kind Timeout if that is unknown.
 func (in *Intake) Submit(ctx context.Context, jb *work.Job) error {
-	const overhead = 200 // bytes of a job beside its text
+	const overhead = 200 // bytes of a job in addition to its spec
 	return in.write(ctx, len(jb.Spec)+overhead*(1+len(jb.Steps)), func(bt *batch) { bt.Jobs = append(bt.Jobs, *jb) })
 }
 
-// away is the answer to what was not sent since the store is away.
-func away() error {
-	return fault.New(fault.Unavailable, "the store is away; not run").After(comeBack)
+// unavailable returns the error for a batch that was not sent because the store is unavailable.
+func unavailable() error {
+	return fault.New(fault.Unavailable, "the store is unavailable; not run").After(retryAfter)
 }
 
-// Cancel accepts a cancel by a workspace's caller, or by any caller where that is empty, with the same errors.
+// Cancel accepts a cancellation by a caller of the given workspace, or by any caller if that is empty. It returns
+// the same errors as Submit.
 func (in *Intake) Cancel(ctx context.Context, id, workspace string) error {
 	return in.write(ctx, len(id)+len(workspace), func(bt *batch) {
 		bt.Cancels = append(bt.Cancels, id)
@@ -129,17 +128,17 @@
 
 func (in *Intake) write(ctx context.Context, bytes int, add func(*batch)) error {
 	if in.opts.StoreDown() {
-		return away()
+		return unavailable()
 	}
 	in.mu.Lock()
-	if in.writing >= maxWriting {
+	if in.openWrites >= maxOpenWrites {
 		in.mu.Unlock()
-		return fault.New(fault.Unavailable, "too many writes are open; not run").After(comeBack)
+		return fault.New(fault.Unavailable, "too many writes are pending; not run").After(retryAfter)
 	}
-	if in.open == nil || in.open.bytes > maxBytes {
-		in.open = &batch{done: make(chan struct{})}
+	if in.pending == nil || in.pending.bytes > maxBytes {
+		in.pending = &batch{done: make(chan struct{})}
 	}
-	bt := in.open
+	bt := in.pending
 	add(bt)
 	bt.bytes += bytes
 	in.mu.Unlock()
@@ -164,73 +163,74 @@
 		case <-in.wake:
 		}
 		in.flush(&group)
-		loop.Pause(ctx, in.clock, in.pause())
+		loop.Pause(ctx, in.clock, in.interval())
 	}
 }
 
-// pause keeps all nodes together within half of the store's rate.
-func (in *Intake) pause() time.Duration {
+// interval returns the time between two batches, so that all nodes together use at most half of the store's write
+// rate.
+func (in *Intake) interval() time.Duration {
 	const share = 0.5
 	if in.opts.WriteRate <= 0 {
-		return gap
+		return minInterval
 	}
-	return max(gap, time.Duration(float64(in.opts.NodeCount())/(in.opts.WriteRate*share)*float64(time.Second)))
+	return max(minInterval, time.Duration(float64(in.opts.NodeCount())/(in.opts.WriteRate*share)*float64(time.Second)))
 }
 
 func (in *Intake) flush(group *sync.WaitGroup) {
 	in.mu.Lock()
-	bt := in.open
-	in.open = nil
+	bt := in.pending
+	in.pending = nil
 	if bt == nil {
 		in.mu.Unlock()
 		return
 	}
-	if in.opts.StoreDown() { // found while the batch gathered
+	if in.opts.StoreDown() { // detected while the batch was collected
 		in.mu.Unlock()
-		bt.err = away()
+		bt.err = unavailable()
 		close(bt.done)
-		in.log.Info("Batch was not sent: the store is away.", "ids", bt.ids())
+		in.log.Info("Batch was not sent: store is unavailable.", "ids", bt.ids())
 		return
 	}
-	in.writing++
-	in.count++
-	key := joblog.BatchKey(in.opts.Node, in.incarnation, in.count)
+	in.openWrites++
+	in.batchCount++
+	key := joblog.BatchKey(in.opts.Node, in.incarnation, in.batchCount)
 	in.mu.Unlock()
 	group.Go(func() {
 		bt.err = in.commit(key, bt)
 		close(bt.done)
 		in.mu.Lock()
-		in.writing--
+		in.openWrites--
 		in.mu.Unlock()
 	})
 }
 
-// commit writes a batch under a key that only it uses, so that a try whose answer
-// was lost can be told from one that failed.
+// commit writes a batch under a key that only this batch uses, so that a write whose answer was lost can be
+// distinguished from one that failed.
 func (in *Intake) commit(key string, bt *batch) error {
 	bt.At = bootclock.Wall(in.clock)
 	raw, err := joblog.Encode(&bt.Batch)
 	if err != nil {
-		return fault.New(fault.Internal, "batch cannot be written: %v", err)
+		return fault.New(fault.Internal, "batch could not be encoded: %v", err)
 	}
 	txn := kv.Txn{Conditions: []kv.Condition{{Key: key}}, Puts: []kv.Put{{Key: key, Value: raw}}}
 	began := in.clock.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), settleFor)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
-	revision, _, err := in.store.Settle(ctx, kv.Settling{Clock: in.clock, Hedge: hedge, Refused: refusedFor}, txn)
+	revision, _, err := in.store.Settle(ctx, kv.Settling{Clock: in.clock, Hedge: hedge, Refused: refusedRetryTime}, txn)
 	age := in.clock.Since(began)
 	switch {
 	case err == nil || errors.Is(err, kv.ErrConflict): // only this batch uses the key
-		in.log.Info("Batch is written.", "key", key, "ids", bt.ids(),
+		in.log.Info("Batch written.", "key", key, "ids", bt.ids(),
 			"revision", revision, "took", age.String())
 		if err == nil && in.opts.OnWritten != nil {
-			go in.opts.OnWritten(joblog.Written{Key: key, Revision: revision, Batch: bt.Batch}) // bounded by its call
+			go in.opts.OnWritten(joblog.Written{Key: key, Revision: revision, Batch: bt.Batch}) // limits its own duration
 		}
 		return nil
 	case errors.Is(err, kv.ErrRefused):
-		in.log.Info("Batch was refused.", "key", key, "ids", bt.ids(), "took", age.String())
-		return fault.New(fault.Unavailable, "the store refused the write; not run").After(comeBack)
+		in.log.Info("Store refused the batch.", "key", key, "ids", bt.ids(), "took", age.String())
+		return fault.New(fault.Unavailable, "the store refused the write; not run").After(retryAfter)
 	}
-	in.log.Info("Batch's outcome is not known.", "key", key, "ids", bt.ids(), "took", age.String(), "reason", err.Error())
+	in.log.Info("Outcome of the batch is unknown.", "key", key, "ids", bt.ids(), "took", age.String(), "reason", err.Error())
 	return fault.New(fault.Timeout, "the journal did not answer; send it again").AfterStart()
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -18,13 +18,13 @@
 	"tackbeam.example/tackbeam/internal/standin/memkv"
 )
 
-// TestUnsentBatch has the store found to be away while a batch gathers. Nothing of it was sent, so
-// its callers are told at once that it has not run; they waited for their 3 s, and were then told
-// that nobody knew.
+// TestUnsentBatch checks that callers get an error at once if the store is found to be unavailable while their
+// batch is collected. The batch was not sent, so its jobs have surely not run; a caller must not wait for its
+// timeout of 3 s and then be told that the outcome is unknown.
 func TestUnsentBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		clock := clockwork.NewRealClock() // the bubble's
+		clock := clockwork.NewRealClock() // the clock of the synctest bubble
 		store := memkv.New(clock)
 		var down atomic.Bool
 		in := intake.New(clock, logr.Discard(), store.Client("n1"), intake.Options{
@@ -38,7 +38,7 @@
 			defer cancel()
 			return in.Submit(call, &work.Job{ID: id})
 		}
-		is.NoErr(submit("first")) // the next batch gathers for 0.2 s
+		is.NoErr(submit("first")) // the next batch is collected for 0.2 s
 		answer := make(chan error)
 		go func() { answer <- submit("second") }()
 		time.Sleep(50 * time.Millisecond)
--- a/internal/mirror/busy_test.go
+++ b/internal/mirror/busy_test.go
@@ -16,19 +16,19 @@
 	"tackbeam.example/tackbeam/internal/standin/memkv"
 )
 
-// TestBusyKeys follows keys that are written more often than answers of the store hold in the
-// mirror's pauses, as 3,000 workers write their entries. A change is told of within a second, and
-// until then the copy says that it may be as old.
+// TestBusyKeys follows keys that are written more often than the store's answers can report in the mirror's
+// pauses, as with the entries of 3,000 workers. A change must be reported within a second, and until then the copy
+// must report an age at least as large.
 func TestBusyKeys(t *testing.T) {
 	const keys, page, each, rounds = 3000, 500, 10 * time.Millisecond, 600
 	for name, perRound := range map[string]int{"1,000 workers": 7, "3,000 workers": 23} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				clock := clockwork.NewRealClock() // the bubble's
+				clock := clockwork.NewRealClock() // the clock of the synctest bubble
 				st := memkv.New(clock)
-				cut := st.Client("n")
-				watch := cut.Watch
-				cut.Watch = func(ctx context.Context, prefix string, after uint64, wait time.Duration) (kv.Events, error) {
+				client := st.Client("n")
+				watch := client.Watch
+				client.Watch = func(ctx context.Context, prefix string, after uint64, wait time.Duration) (kv.Events, error) {
 					ev, err := watch(ctx, prefix, after, wait)
 					if len(ev.Items) > page {
 						ev.Items = ev.Items[:page]
@@ -36,9 +36,9 @@
 					}
 					return ev, err
 				}
-				tl := &tale{}
-				mr := mirror.New(clock, logr.Discard(), cut, mirror.Options{
-					Prefix: "a/", Wait: time.Second, Pause: 250 * time.Millisecond, OnChange: tl.add,
+				rc := &recorder{}
+				mr := mirror.New(clock, logr.Discard(), client, mirror.Options{
+					Prefix: "a/", Wait: time.Second, Pause: 250 * time.Millisecond, OnChange: rc.record,
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
@@ -55,17 +55,17 @@
 					write()
 				}
 				st.Set("a/news", nil)
-				since := time.Now()
+				written := time.Now()
 				for {
-					age, _ := mr.Age() // before what was told: the mirror runs on in between
-					if slices.Contains(tl.told(), "a/news") {
+					age, _ := mr.Age() // taken before the reported keys, because the mirror keeps running
+					if slices.Contains(rc.reported(), "a/news") {
 						break
 					}
-					if age < time.Since(since) {
-						t.Fatalf("a change of %v ago is not told of; the copy calls itself %v old", time.Since(since), age)
+					if age < time.Since(written) {
+						t.Fatalf("a change from %v ago is not reported, but the copy reports an age of %v", time.Since(written), age)
 					}
-					if time.Since(since) > time.Second {
-						t.Fatalf("a change of %v ago is not told of", time.Since(since))
+					if time.Since(written) > time.Second {
+						t.Fatalf("a change from %v ago is not reported", time.Since(written))
 					}
 					write()
 				}
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,5 +1,5 @@
-// Package mirror keeps a copy of the keys with a prefix of the store, by a read of
-// them all and a watch from there on.
+// Package mirror maintains a copy of the keys with a prefix of the store. It reads all of them once and then
+// follows a watch.
 package mirror
 
 import (
@@ -17,21 +17,21 @@
 	"tackbeam.example/tackbeam/internal/loop"
 )
 
-// Options of a mirror.
+// Options configure a Mirror.
 type Options struct {
 	Prefix string
 	// Wait is how long one watch may stay without an answer.
 	Wait time.Duration
-	// Pause follows each answer of a watch, so that changes gather. Pace, where it is set, returns it anew
-	// each time.
+	// Pause follows each answer of a watch, so that changes are batched. PauseFunc, if set, is called for the pause
+	// each time instead.
 	Pause     time.Duration
 	PauseFunc func() time.Duration
-	// OnChange is called with the keys that changed since the last call, in the order of
-	// their changes, and then, with Gone set, those that were removed. Whole says that all keys were read.
-	OnChange func(items []kv.Item, whole bool)
+	// OnChange is called with the keys that changed since the last call, in the order of their changes, followed by
+	// the removed ones, with Gone set. The argument full is set if all keys were read.
+	OnChange func(items []kv.Item, full bool)
 }
 
-// Mirror is one copy.
+// Mirror is a copy of the keys with one prefix.
 type Mirror struct {
 	opts  Options
 	clock clockwork.Clock
@@ -41,63 +41,63 @@
 	mu sync.Mutex
 	// keys holds the revision of each key.
 	keys map[string]uint64
-	// asked is when the last call that was answered was sent.
-	asked  time.Time
-	loaded bool
-	down   bool
-	// behind is set while more changes may wait than the last answer had. Only Run uses it.
+	// syncedAt is when the last answered call that brought the copy up to date was sent.
+	syncedAt time.Time
+	loaded   bool
+	down     bool
+	// behind is set while there may be more changes than the last answer contained. Only Run uses it.
 	behind bool
-	// retry gives the pauses between tries. Only Run uses it.
+	// retry computes the pauses between attempts. Only Run uses it.
 	retry kv.Retry
-	// cancel gives the present call up.
+	// cancel cancels the present call.
 	cancel context.CancelFunc
-	// reading is the read of all keys that has begun, nil where none has.
+	// reading is the unfinished read of all keys, or nil.
 	reading *kv.Reading
 }
 
-// New returns a mirror that Run fills.
+// New returns an empty mirror; Run fills it.
 func New(clock clockwork.Clock, log logr.Logger, st *kv.Store, opts Options) *Mirror {
 	return &Mirror{opts: opts, clock: clock, log: log.WithName("mirror").WithValues("prefix", opts.Prefix), store: st, keys: map[string]uint64{}}
 }
 
-// Age returns how old the copy may be: the time since the sending of the last call
-// whose answer was taken in. It reports false before the first read.
+// Age returns how old the copy may be: the time since the sending of the last call whose answer brought it up to
+// date. It returns false before the first read.
 func (mr *Mirror) Age() (time.Duration, bool) {
 	mr.mu.Lock()
 	defer mr.mu.Unlock()
-	return mr.clock.Since(mr.asked), mr.loaded
+	return mr.clock.Since(mr.syncedAt), mr.loaded
 }
 
-// Run keeps the copy until the context ends.
+// Run keeps the copy up to date until the context ends.
 func (mr *Mirror) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		at, err := mr.read(ctx)
 		for err == nil {
 			at, err = mr.watch(ctx, at)
 		}
-		mr.lost(ctx, err)
+		mr.handleFailure(ctx, err)
 	}
 }
 
-// lost notes why the copy stands still, and waits before the next try.
-func (mr *Mirror) lost(ctx context.Context, err error) {
+// handleFailure logs why the copy is not updated, and waits before the next attempt.
+func (mr *Mirror) handleFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	if errors.Is(err, kv.ErrHistoryGone) {
-		mr.log.Info("Watch lost history; reading all keys.")
+		mr.log.Info("Store no longer has the history for the watch; reading all keys.")
 		return
 	}
 	if !mr.down {
 		mr.down = true
-		mr.log.Info("Store does not answer; the copy grows old.", "reason", err.Error())
+		mr.log.Info("Store does not answer; the copy may become stale.", "reason", err.Error())
 	}
 	loop.Pause(ctx, mr.clock, mr.retry.After(err))
 }
 
-func (mr *Mirror) answered(sent time.Time) {
+func (mr *Mirror) markSynced(sent time.Time) {
 	mr.mu.Lock()
-	mr.asked = sent
+	mr.syncedAt = sent
 	mr.loaded = true
 	mr.mu.Unlock()
 	mr.retry.Succeeded()
@@ -107,8 +107,8 @@
 	}
 }
 
-// read reads all keys and tells of those that changed or went. After a page that failed
-// it goes on with that page.
+// read reads all keys and reports those that were changed or removed. After a failed page the next attempt
+// continues with that page.
 func (mr *Mirror) read(ctx context.Context) (uint64, error) {
 	call, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -125,32 +125,32 @@
 	for key := range mr.keys {
 		gone[key] = true
 	}
-	var fresh []kv.Item
+	var changed []kv.Item
 	for _, item := range reading.Items() {
 		delete(gone, item.Key)
 		if item.Revision > mr.keys[item.Key] {
 			mr.keys[item.Key] = item.Revision
-			fresh = append(fresh, item)
+			changed = append(changed, item)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b kv.Item) int { return cmp.Compare(a.Revision, b.Revision) })
+	slices.SortFunc(changed, func(a, b kv.Item) int { return cmp.Compare(a.Revision, b.Revision) })
 	for key := range gone {
 		delete(mr.keys, key)
-		fresh = append(fresh, kv.Item{Key: key, Gone: true})
+		changed = append(changed, kv.Item{Key: key, Gone: true})
 	}
-	mr.opts.OnChange(fresh, true)
+	mr.opts.OnChange(changed, true)
 	mr.behind = false
-	mr.answered(reading.Began())
+	mr.markSynced(reading.Began())
 	return reading.At(), nil
 }
 
-// watchSlack is what a watch may take beyond its wait before it counts as dropped: twice
-// what a slow store takes. A silent watch of 2 s is then noticed after 2.5 s, before a node
-// that lost its connections counts as in touch again, after 3 s; with a second it was not.
-const watchSlack = 500 * time.Millisecond
+// watchGrace is how long a watch may take beyond its wait before it counts as dropped: twice the latency of a slow
+// store. A dropped watch of 2 s is then noticed after 2.5 s, before a node that lost its connections is considered
+// connected again after 3 s; a grace of 1 s was too long for that.
+const watchGrace = 500 * time.Millisecond
 
-// Refresh gives the present call up, which may be dead, and reads all keys, or the rest of
-// them; what changed in those that were read the watch tells.
+// Refresh cancels the present call, whose connection may be dead, and reads all keys, or the pages not yet read.
+// Changes of keys in pages already read arrive with the watch.
 func (mr *Mirror) Refresh() {
 	mr.mu.Lock()
 	defer mr.mu.Unlock()
@@ -165,12 +165,13 @@
 	mr.cancel = cancel
 }
 
-// manyEvents is from how many events on an answer may have been cut: the store ends a page at about
-// 500 keys. 3,000 workers write their entries 2,000 times a second, which is more than one such
-// answer in each pause of 0.25 s: the copy fell behind for good, and called itself fresh.
-const manyEvents = 300
+// truncatedEvents is the number of events from which an answer may have been truncated: the store ends a page at
+// about 500 keys. 3,000 workers write their entries 2,000 times a second, which is more than one such answer per
+// pause of 0.25 s. Without an immediate next watch the copy fell further and further behind while reporting that
+// it was fresh.
+const truncatedEvents = 300
 
-// pause is the time between two watches.
+// pause returns the time between two watches.
 func (mr *Mirror) pause() time.Duration {
 	if mr.opts.PauseFunc != nil {
 		return mr.opts.PauseFunc()
@@ -178,13 +179,13 @@
 	return mr.opts.Pause
 }
 
-// watch waits once for changes and tells of them. After an answer that may have been cut it asks
-// again at once.
+// watch waits once for changes and reports them. An answer that may have been truncated is followed by the next
+// watch without a pause.
 func (mr *Mirror) watch(ctx context.Context, after uint64) (uint64, error) {
 	if pause := mr.pause(); pause > 0 && !mr.behind && !loop.Pause(ctx, mr.clock, pause) {
 		return 0, ctx.Err()
 	}
-	call, cancel := context.WithTimeout(ctx, mr.opts.Wait+watchSlack)
+	call, cancel := context.WithTimeout(ctx, mr.opts.Wait+watchGrace)
 	defer cancel()
 	mr.setCancel(cancel)
 	sent := mr.clock.Now()
@@ -192,23 +193,23 @@
 	if err != nil {
 		return 0, err
 	}
-	var fresh []kv.Item
+	var changed []kv.Item
 	for _, item := range events.Items {
 		if item.Revision <= mr.keys[item.Key] {
-			continue // pages of the first read are no snapshot
+			continue // the pages of the first read are not a snapshot
 		}
 		if item.Gone {
 			delete(mr.keys, item.Key)
 		} else {
 			mr.keys[item.Key] = item.Revision
 		}
-		fresh = append(fresh, item)
+		changed = append(changed, item)
 	}
-	if len(fresh) > 0 {
-		mr.opts.OnChange(fresh, false)
+	if len(changed) > 0 {
+		mr.opts.OnChange(changed, false)
 	}
-	if mr.behind = len(events.Items) >= manyEvents; !mr.behind {
-		mr.answered(sent)
+	if mr.behind = len(events.Items) >= truncatedEvents; !mr.behind {
+		mr.markSynced(sent)
 	}
 	return max(events.At, after), nil
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -17,45 +17,45 @@
 	"tackbeam.example/tackbeam/internal/standin/memkv"
 )
 
-// tale is what a mirror has told of.
-type tale struct {
+// recorder records the keys that a mirror reports.
+type recorder struct {
 	mu   sync.Mutex
 	keys []string
 }
 
-func (tl *tale) add(items []kv.Item, _ bool) {
-	tl.mu.Lock()
-	defer tl.mu.Unlock()
+func (rc *recorder) record(items []kv.Item, _ bool) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	for _, item := range items {
 		key := item.Key
 		if item.Gone {
 			key = "-" + key
 		}
-		tl.keys = append(tl.keys, key)
+		rc.keys = append(rc.keys, key)
 	}
 }
 
-// told returns the keys so far, those that are gone with a dash.
-func (tl *tale) told() []string {
-	tl.mu.Lock()
-	defer tl.mu.Unlock()
-	return slices.Clone(tl.keys)
+// reported returns the keys reported so far, removed ones with a leading dash.
+func (rc *recorder) reported() []string {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return slices.Clone(rc.keys)
 }
 
-// follow runs a mirror of a store.
-func follow(t *testing.T, st *memkv.Store) (*mirror.Mirror, *tale) {
-	clock := clockwork.NewRealClock() // the bubble's
-	tl := &tale{}
+// start runs a mirror of a store.
+func start(t *testing.T, st *memkv.Store) (*mirror.Mirror, *recorder) {
+	clock := clockwork.NewRealClock() // the clock of the synctest bubble
+	rc := &recorder{}
 	mr := mirror.New(clock, logr.Discard(), st.Client("n"), mirror.Options{
-		Prefix: "a/", Wait: 2 * time.Second, OnChange: tl.add,
+		Prefix: "a/", Wait: 2 * time.Second, OnChange: rc.record,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go mr.Run(ctx)
-	return mr, tl
+	return mr, rc
 }
 
-// TestOrder tells of keys in the order of their changes, whatever their names are.
+// TestOrder checks that keys are reported in the order of their changes, not by name.
 func TestOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -63,25 +63,25 @@
 		st.Set("a/z", nil)
 		st.Set("a/b", nil)
 		st.Set("other", nil)
-		_, tl := follow(t, st)
+		_, rc := start(t, st)
 		time.Sleep(time.Second)
-		is.Equal(tl.told(), []string{"a/z", "a/b"})
+		is.Equal(rc.reported(), []string{"a/z", "a/b"})
 		st.Set("a/m", nil)
 		st.Remove("a/z")
 		time.Sleep(time.Second)
-		is.Equal(tl.told(), []string{"a/z", "a/b", "a/m", "-a/z"})
+		is.Equal(rc.reported(), []string{"a/z", "a/b", "a/m", "-a/z"})
 	})
 }
 
-// TestLostHistory reads all keys again where the changes since the last look are
-// forgotten, and tells of each change once.
+// TestLostHistory checks that all keys are read again if the store has lost the history since the last watch, and
+// that each change is reported once.
 func TestLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		st := memkv.New(clockwork.NewRealClock())
 		st.Set("a/x", nil)
 		st.Set("a/y", nil)
-		_, tl := follow(t, st)
+		_, rc := start(t, st)
 		time.Sleep(time.Second)
 		st.SetFault(func(string, string) memkv.Fault { return memkv.Refused })
 		time.Sleep(time.Second)
@@ -90,16 +90,17 @@
 		st.Forget()
 		st.SetFault(func(string, string) memkv.Fault { return memkv.None })
 		time.Sleep(time.Second)
-		is.Equal(tl.told(), []string{"a/x", "a/y", "a/w", "-a/x"})
+		is.Equal(rc.reported(), []string{"a/x", "a/y", "a/w", "-a/x"})
 	})
 }
 
-// TestSilence gives a dead watch up after its wait and a second, and tells its age.
+// TestSilence checks that an unanswered watch is given up after its wait and a grace period, and that the
+// reported age covers that time.
 func TestSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		st := memkv.New(clockwork.NewRealClock())
-		mr, tl := follow(t, st)
+		mr, rc := start(t, st)
 		time.Sleep(time.Second)
 		st.SetFault(func(string, string) memkv.Fault { return memkv.Silent })
 		time.Sleep(2 * time.Second)
@@ -109,28 +110,28 @@
 		st.SetFault(func(string, string) memkv.Fault { return memkv.None })
 		st.Set("a/x", nil)
 		time.Sleep(2 * time.Second)
-		is.Equal(tl.told(), []string{"a/x"})
+		is.Equal(rc.reported(), []string{"a/x"})
 		age, _ = mr.Age()
 		is.True(age < 2*time.Second)
 	})
 }
 
-// TestRefreshDuringRead has the store swallow the reading of all keys. Once it is known
-// to answer again, Refresh reads anew at once instead of waiting for that call's end.
+// TestRefreshDuringRead makes the store ignore the read of all keys. Once the store is known to answer again,
+// Refresh must start a new read at once instead of waiting for the timeout of the pending call.
 func TestRefreshDuringRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		st := memkv.New(clockwork.NewRealClock())
-		mr, tl := follow(t, st)
+		mr, rc := start(t, st)
 		time.Sleep(time.Second)
 		st.SetFault(func(string, string) memkv.Fault { return memkv.Silent })
 		st.Set("a/new", nil)
-		time.Sleep(10 * time.Second) // the watch is given up, and the read after it is sent
+		time.Sleep(10 * time.Second) // the watch times out, and the read after it is sent
 		st.SetFault(func(string, string) memkv.Fault { return memkv.None })
 		time.Sleep(100 * time.Millisecond)
 		mr.Refresh()
 		time.Sleep(200 * time.Millisecond)
-		is.Equal(tl.told(), []string{"a/new"})
+		is.Equal(rc.reported(), []string{"a/new"})
 		age, _ := mr.Age()
 		is.True(age < time.Second)
 	})
--- a/internal/mirror/pages_test.go
+++ b/internal/mirror/pages_test.go
@@ -20,7 +20,7 @@
 	"tackbeam.example/tackbeam/internal/standin/memkv"
 )
 
-// run runs a mirror until the function that it returns is called.
+// run runs a mirror until the returned function is called.
 func run(t *testing.T, mr *mirror.Mirror) (end func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -34,29 +34,28 @@
 	}
 }
 
-// TestReadKeepsPages is the story of a planner that never got to know its journal: callers
-// got 503 and "the planner reads the journal" for as long as the store lost a third of its
-// answers, or the node's link needed over a second for a page. The copy is read in pages;
-// one that did not come in 1 s had the whole read begin again. In virtual time 16 pages took
-// 466 s on average with 35% of the answers lost, and pages of 1.05 s never came.
+// TestReadKeepsPages guards against a planner that never finished reading its journal: while the store lost a
+// third of its answers, or a page took more than 1 s on the node's link, callers got 503 and "the planner reads
+// the journal". The copy is read in pages, and a page that did not arrive within 1 s restarted the whole read.
+// With 35% of the answers lost, 16 pages took 466 s on average, and pages of 1.05 s never arrived.
 func TestReadKeepsPages(t *testing.T) {
-	const pages, most = 16, 500
+	const pages, pageSize = 16, 500
 	cases := map[string]struct {
-		lost  float64 // share of the answers
+		lost  float64 // fraction of the answers
 		takes time.Duration
 		want  time.Duration
 	}{
-		"calm":                      {0, 20 * time.Millisecond, time.Second},
-		"answers lost":              {0.35, 20 * time.Millisecond, 12 * time.Second},
-		"a slow link":               {0, 1050 * time.Millisecond, 22 * time.Second},
-		"a link shared with others": {0, 1900 * time.Millisecond, 40 * time.Second},
+		"no faults":      {0, 20 * time.Millisecond, time.Second},
+		"answers lost":   {0.35, 20 * time.Millisecond, 12 * time.Second},
+		"slow link":      {0, 1050 * time.Millisecond, 22 * time.Second},
+		"very slow link": {0, 1900 * time.Millisecond, 40 * time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				st := memkv.New(clockwork.NewRealClock())
-				for at := range pages * most {
+				for at := range pages * pageSize {
 					st.Set(fmt.Sprintf("a/%05d", at), nil)
 				}
 				client := st.Client("n")
@@ -73,9 +72,9 @@
 						return kv.Page{}, kv.ErrLost
 					}
 				}
-				tl := &tale{}
+				rc := &recorder{}
 				mr := mirror.New(clockwork.NewRealClock(), logr.Discard(), client, mirror.Options{
-					Prefix: "a/", Wait: 2 * time.Second, OnChange: tl.add,
+					Prefix: "a/", Wait: 2 * time.Second, OnChange: rc.record,
 				})
 				defer run(t, mr)()
 				began := time.Now()
@@ -84,21 +83,20 @@
 					_, loaded = mr.Age()
 				}
 				_, loaded := mr.Age()
-				is.True(loaded) // all pages came in time
+				is.True(loaded) // all pages arrived in time
 				t.Log("read after", time.Since(began))
-				is.Equal(len(tl.told()), pages*most)
+				is.Equal(len(rc.reported()), pages*pageSize)
 			})
 		})
 	}
 }
 
-// TestReadMissesNothing has keys change while a page is read again: in the pages that were
-// kept, and in those to come. Each change is told of, and the copy is as old as its first
-// page.
+// TestReadMissesNothing changes keys while a page is read again, both in pages already read and in pages to come.
+// Each change must be reported, and the age of the copy must be that of its first page.
 func TestReadMissesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		clock := clockwork.NewRealClock() // the bubble's
+		clock := clockwork.NewRealClock() // the clock of the synctest bubble
 		st := memkv.New(clock)
 		const keys = 1200 // three pages
 		for at := range keys {
@@ -111,13 +109,13 @@
 			}
 			return memkv.None
 		})
-		tl := &tale{}
+		rc := &recorder{}
 		mr := mirror.New(clock, logr.Discard(), st.Client("n"), mirror.Options{
-			Prefix: "a/", Wait: 2 * time.Second, OnChange: tl.add,
+			Prefix: "a/", Wait: 2 * time.Second, OnChange: rc.record,
 		})
 		began := time.Now()
 		defer run(t, mr)()
-		time.Sleep(100 * time.Millisecond) // the first page is there
+		time.Sleep(100 * time.Millisecond) // the first page has arrived
 		for _, key := range []string{"a/0003", "a/1100", "a/0003-new", "a/1100-new"} {
 			st.Set(key, nil)
 		}
@@ -133,21 +131,21 @@
 		is.True(loaded)
 		is.True(age >= time.Since(began)-10*time.Millisecond)
 		time.Sleep(time.Second)
-		left := map[string]bool{}
-		for _, key := range tl.told() {
+		present := map[string]bool{}
+		for _, key := range rc.reported() {
 			if gone, ok := strings.CutPrefix(key, "-"); ok {
-				delete(left, gone)
+				delete(present, gone)
 				continue
 			}
-			left[key] = true
+			present[key] = true
 		}
-		is.Equal(slices.Sorted(maps.Keys(left)), st.Keys("a/"))
-		times := 0
-		for _, key := range tl.told() {
+		is.Equal(slices.Sorted(maps.Keys(present)), st.Keys("a/"))
+		reports := 0
+		for _, key := range rc.reported() {
 			if key == "a/0003" {
-				times++
+				reports++
 			}
 		}
-		is.Equal(times, 2) // as it was, and its change
+		is.Equal(reports, 2) // the original value and its change
 	})
 }
