--- a/internal/routediff/routediff_test.go
+++ b/internal/routediff/routediff_test.go
@@ -14,7 +14,7 @@
 	"tackbeam.example/tackbeam/internal/routes"
 )
 
-// version returns a version with routes of the names, served by a service.
+// version returns a version with a route for each name, served by the given service.
 func version(revision uint64, service string, names ...string) *routes.Config {
 	cf := &routes.Config{Version: revision + 100, Revision: revision}
 	for _, name := range names {
@@ -23,7 +23,7 @@
 	return cf
 }
 
-// byName returns a version's routes by name; their order says nothing.
+// byName returns a version's routes by name, because their order does not matter.
 func byName(cf *routes.Config) map[string]routes.Route {
 	out := map[string]routes.Route{}
 	for _, rt := range cf.Routes {
@@ -32,21 +32,21 @@
 	return out
 }
 
-// TestBetween leads from one version to another, by no more than what differs.
+// TestBetween checks that a diff leads from one version to the other and contains only what differs.
 func TestBetween(t *testing.T) {
 	cases := map[string]struct {
 		old, cf      *routes.Config
 		put, removed int
 	}{
-		"nothing":              {version(3, "s", "a", "b"), version(7, "s", "a", "b"), 0, 0},
-		"one more":             {version(3, "s", "a", "b"), version(7, "s", "a", "b", "c"), 1, 0},
-		"one fewer":            {version(3, "s", "a", "b"), version(7, "s", "b"), 0, 1},
-		"others":               {version(3, "s", "a", "b"), version(7, "s", "c"), 1, 2},
-		"another service":      {version(3, "s", "a", "b"), version(7, "r", "a", "b"), 2, 0},
-		"none left":            {version(3, "s", "a"), version(7, "s"), 0, 1},
-		"none before":          {version(3, "s"), version(7, "s", "a"), 1, 0},
-		"a name twice, before": {version(3, "s", "a", "a"), version(7, "s", "a", "b"), 2, 0},
-		"a name twice, now":    {version(3, "s", "a"), version(7, "s", "b", "b"), 2, 0},
+		"no change":                         {version(3, "s", "a", "b"), version(7, "s", "a", "b"), 0, 0},
+		"one route added":                   {version(3, "s", "a", "b"), version(7, "s", "a", "b", "c"), 1, 0},
+		"one route removed":                 {version(3, "s", "a", "b"), version(7, "s", "b"), 0, 1},
+		"other routes":                      {version(3, "s", "a", "b"), version(7, "s", "c"), 1, 2},
+		"another service":                   {version(3, "s", "a", "b"), version(7, "r", "a", "b"), 2, 0},
+		"last route removed":                {version(3, "s", "a"), version(7, "s"), 0, 1},
+		"first route added":                 {version(3, "s"), version(7, "s", "a"), 1, 0},
+		"duplicate name in the old version": {version(3, "s", "a", "a"), version(7, "s", "a", "b"), 2, 0},
+		"duplicate name in the new version": {version(3, "s", "a"), version(7, "s", "b", "b"), 2, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestApplyElsewhere does not change a version that the diff was not made from.
-func TestApplyElsewhere(t *testing.T) {
+// TestApplyToOtherRevision checks that a diff is not applied to a version that it was not made from.
+func TestApplyToOtherRevision(t *testing.T) {
 	is := is.New(t)
 	df := routediff.Between(version(3, "s", "a"), version(7, "s", "b"))
 	for _, old := range []*routes.Config{nil, version(4, "s", "a")} {
@@ -82,7 +82,7 @@
 	is.Equal(cf.Revision, uint64(7))
 }
 
-// TestChain follows versions that are drawn, change by change.
+// TestChain applies a series of diffs between random versions.
 func TestChain(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(3, 4))
@@ -104,19 +104,19 @@
 	}
 }
 
-// TestBytes bounds what a change costs on the way to a node.
+// TestBytes limits the encoded size of a diff.
 func TestBytes(t *testing.T) {
-	const routesAtMost = 10_000
+	const totalRoutes = 10_000
 	var names []string
-	for n := range routesAtMost {
+	for n := range totalRoutes {
 		names = append(names, fmt.Sprintf("r-%07d", n))
 	}
-	old := version(3, "huvo11a", names[:routesAtMost-1400]...)
+	old := version(3, "huvo11a", names[:totalRoutes-1400]...)
 	cases := map[string]struct {
-		cf   *routes.Config
-		most int
+		cf       *routes.Config
+		maxBytes int
 	}{
-		"one route":    {version(7, "huvo11a", names[:routesAtMost-1399]...), 200},
+		"one route":    {version(7, "huvo11a", names[:totalRoutes-1399]...), 200},
 		"1,400 routes": {version(7, "huvo11a", names...), 1400 * 90},
 	}
 	for name, tc := range cases {
@@ -125,7 +125,7 @@
 			raw, err := cbor.Marshal(routediff.Between(old, tc.cf))
 			is.NoErr(err)
 			t.Log(len(raw), "bytes")
-			is.True(len(raw) <= tc.most)
+			is.True(len(raw) <= tc.maxBytes)
 		})
 	}
 }
--- a/internal/routes/index.go
+++ b/internal/routes/index.go
@@ -6,27 +6,27 @@
 	"tackbeam.example/tackbeam/internal/apikey"
 )
 
-// index finds a route among any number of them: each request looks one up. Of 10,000 routes
-// on 8 hosts a look took 62 us when all were walked through (BenchmarkFind).
+// index makes lookups independent of the number of routes, since each request looks one up. A linear search took
+// 62 us with 10,000 routes on 8 hosts (BenchmarkFind).
 type index struct {
 	hosts  map[string]*prefixes
 	queues map[string]*Route
-	// services are those whose workers run the queues' tasks.
+	// services are the services whose workers run the queues' tasks.
 	services map[string]bool
-	// keys and workspaces find a workspace by an API key and by its name.
+	// keys and workspaces map API keys and names to workspaces.
 	keys       map[apikey.Digest]*Workspace
 	workspaces map[string]*Workspace
 }
 
-// prefixes are the routes of one host.
+// prefixes holds the routes of one host by prefix.
 type prefixes struct {
-	// lengths are those that the prefixes have, the longest first.
+	// lengths are the distinct lengths of the prefixes, in descending order.
 	lengths []int
 	routes  map[string]*Route
 }
 
-// newIndex returns the index of a configuration. Of two routes with one host and prefix, or of two rows with
-// one name or key, the first counts.
+// newIndex returns the index of a configuration. If two routes have the same host and prefix, or two rows the same
+// name or key, the first one is used.
 func newIndex(routes []Route, workspaces []Workspace) *index {
 	ix := &index{
 		hosts: map[string]*prefixes{}, queues: make(map[string]*Route, len(routes)), services: map[string]bool{},
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,5 +1,5 @@
-// Package routes is the configuration that operators gave: which queue a caller's
-// host and path lead to. The version in force never goes back.
+// Package routes holds the operators' configuration, which maps a caller's host and path to a queue. An active
+// version is never replaced by an older one.
 package routes
 
 import (
@@ -13,27 +13,27 @@
 	"tackbeam.example/tackbeam/internal/apikey"
 )
 
-// Route leads callers of a host and path to a queue. It travels between nodes.
+// Route maps a host and path prefix to a queue. Nodes send it to each other.
 type Route struct {
 	Host   string     `cbor:"1,keyasint"`
 	Prefix string     `cbor:"2,keyasint"`
 	Queue  work.Queue `cbor:"3,keyasint"`
-	// Public routes take calls without an API key.
+	// Public routes accept calls without an API key.
 	Public bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Workspace is a workspace with the API keys of its callers. It travels between nodes.
+// Workspace is a workspace with the API keys of its callers. Nodes send it to each other.
 type Workspace struct {
 	work.Workspace `cbor:"1,keyasint"`
 	Keys           []apikey.Digest `cbor:"2,keyasint,omitempty"`
 }
 
-// Equal reports whether both are alike; the order of the keys counts.
+// Equal reports whether both are equal, including the order of the keys.
 func (ws *Workspace) Equal(other *Workspace) bool {
 	return ws.Workspace == other.Workspace && slices.Equal(ws.Keys, other.Keys)
 }
 
-// Limits are what the operators allow callers. They travel between nodes.
+// Limits are the operators' limits for callers. Nodes send them to each other.
 type Limits struct {
 	MaxBody int           `cbor:"1,keyasint"`
 	Idle    time.Duration `cbor:"2,keyasint"`
@@ -42,18 +42,18 @@
 // Config is one version of the configuration.
 type Config struct {
 	Version uint64
-	// Revision is the store's, at which the version was written.
+	// Revision is the store revision at which the version was written.
 	Revision uint64
 	Routes   []Route
 	Limits   Limits
-	// KeyRequired is set where calls need the API key of a workspace, unless their route is public.
+	// KeyRequired is set if calls need the API key of a workspace, unless their route is public.
 	KeyRequired bool
 	Workspaces  []Workspace
 }
 
-// Table is the version in force. It is safe for concurrent use.
+// Table holds the active version. It is safe for concurrent use.
 type Table struct {
-	inForce atomic.Pointer[indexed]
+	active atomic.Pointer[indexed]
 }
 
 // indexed is a version with its index.
@@ -62,123 +62,122 @@
 	index  *index
 }
 
-// Set puts a version in force, unless a later one is. It reports whether it did.
+// Set activates a version, unless the active one is at least as recent. It reports whether it did.
 func (tb *Table) Set(cf *Config) bool {
-	var fresh *indexed
+	var next *indexed
 	for {
-		old := tb.inForce.Load()
+		old := tb.active.Load()
 		if old != nil && cf.Version <= old.config.Version {
 			return false
 		}
-		if fresh == nil {
-			fresh = &indexed{cf, newIndex(cf.Routes, cf.Workspaces)}
+		if next == nil {
+			next = &indexed{cf, newIndex(cf.Routes, cf.Workspaces)}
 		}
-		if tb.inForce.CompareAndSwap(old, fresh) {
+		if tb.active.CompareAndSwap(old, next) {
 			return true
 		}
 	}
 }
 
-// Config returns the version in force, or nil before the first.
+// Config returns the active version, or nil before the first.
 func (tb *Table) Config() *Config {
-	if now := tb.inForce.Load(); now != nil {
-		return now.config
+	if active := tb.active.Load(); active != nil {
+		return active.config
 	}
 	return nil
 }
 
-// Find returns the route with the host and the longest prefix of the path, and the
-// rest of the path.
+// Find returns the route with the host and the longest prefix of the path, and the rest of the path.
 func (tb *Table) Find(host, path string) (route *Route, rest string) {
-	now := tb.inForce.Load()
-	if now == nil {
+	active := tb.active.Load()
+	if active == nil {
 		return nil, ""
 	}
-	found := now.index.find(bare(host), path)
+	found := active.index.find(normalizeHost(host), path)
 	if found == nil {
 		return nil, ""
 	}
-	route = now.dated(found)
+	route = active.withVersion(found)
 	return route, path[len(route.Prefix):]
 }
 
-// dated returns a route with the version that it is from.
-func (ix *indexed) dated(rt *Route) *Route {
+// withVersion returns a copy of a route with the version of its configuration.
+func (ix *indexed) withVersion(rt *Route) *Route {
 	out := *rt
 	out.Queue.Version = ix.config.Version
 	return &out
 }
 
-// bare returns a host without its port, in lower case.
-func bare(host string) string {
+// normalizeHost returns a host in lower case, without its port.
+func normalizeHost(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
 		host = host[:at]
 	}
 	return strings.ToLower(host)
 }
 
-// Queue returns the settings of a queue, or false where its route is gone.
+// Queue returns the settings of a queue, or false if no route leads to it.
 func (tb *Table) Queue(name string) (work.Queue, bool) {
-	now := tb.inForce.Load()
-	if now == nil {
+	active := tb.active.Load()
+	if active == nil {
 		return work.Queue{}, false
 	}
-	route, ok := now.index.queues[name]
+	route, ok := active.index.queues[name]
 	if !ok {
 		return work.Queue{}, false
 	}
-	return now.dated(route).Queue, true
+	return active.withVersion(route).Queue, true
 }
 
-// Caller is who calls, by a node's copy of the configuration. The zero value needs no API key. It travels
-// between nodes.
+// Caller identifies a caller according to a node's copy of the configuration. The zero value is a caller that
+// needs no API key. Nodes send it to each other.
 type Caller struct {
 	Key apikey.Digest `cbor:"1,keyasint"`
-	// Workspace is the key's, with the version of the configuration that says so.
+	// Workspace is the workspace of the key, with the version of the configuration it comes from.
 	Workspace work.Workspace `cbor:"2,keyasint"`
 }
 
 // KeyRequired reports whether calls of a route need an API key.
 func (tb *Table) KeyRequired(rt *Route) bool {
-	now := tb.inForce.Load()
-	return now != nil && now.config.KeyRequired && !rt.Public
+	active := tb.active.Load()
+	return active != nil && active.config.KeyRequired && !rt.Public
 }
 
-// Caller returns the caller with an API key, or false where no workspace has the key.
+// Caller returns the caller with an API key, or false if no workspace has the key.
 func (tb *Table) Caller(key apikey.Digest) (Caller, bool) {
-	now := tb.inForce.Load()
-	if now == nil {
+	active := tb.active.Load()
+	if active == nil {
 		return Caller{}, false
 	}
-	ws, ok := now.index.keys[key]
+	ws, ok := active.index.keys[key]
 	if !ok {
 		return Caller{}, false
 	}
-	return Caller{Key: key, Workspace: now.datedWorkspace(ws)}, true
+	return Caller{Key: key, Workspace: active.workspaceWithVersion(ws)}, true
 }
 
-// Workspace returns the settings of a workspace, or false where the configuration lacks it.
+// Workspace returns the settings of a workspace, or false if the configuration lacks it.
 func (tb *Table) Workspace(name string) (work.Workspace, bool) {
-	now := tb.inForce.Load()
-	if now == nil {
+	active := tb.active.Load()
+	if active == nil {
 		return work.Workspace{}, false
 	}
-	ws, ok := now.index.workspaces[name]
+	ws, ok := active.index.workspaces[name]
 	if !ok {
 		return work.Workspace{}, false
 	}
-	return now.datedWorkspace(ws), true
+	return active.workspaceWithVersion(ws), true
 }
 
-// datedWorkspace returns a workspace's settings with the version that they are from.
-func (ix *indexed) datedWorkspace(ws *Workspace) work.Workspace {
+// workspaceWithVersion returns a workspace's settings with the version of their configuration.
+func (ix *indexed) workspaceWithVersion(ws *Workspace) work.Workspace {
 	out := ws.Workspace
 	out.Version = ix.config.Version
 	return out
 }
 
-// HasService reports whether any queue's tasks run on workers of a service.
+// HasService reports whether tasks of any queue run on workers of the service.
 func (tb *Table) HasService(service string) bool {
-	now := tb.inForce.Load()
-	return now != nil && now.index.services[service]
+	active := tb.active.Load()
+	return active != nil && active.index.services[service]
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -13,7 +13,7 @@
 	"tackbeam.example/tackbeam/internal/routes"
 )
 
-// table returns a table with a route for each host and prefix, named by their place.
+// table returns a table with a route for each host and prefix; the queues are named by their index.
 func table(rows ...string) *routes.Table {
 	cf := &routes.Config{Version: 1}
 	for at, row := range rows {
@@ -25,18 +25,18 @@
 	return tb
 }
 
-// TestFind takes the longest prefix of the host, and the first of two equal ones.
+// TestFind checks that the longest prefix of the host is found, and the first of two equal ones.
 func TestFind(t *testing.T) {
 	tb := table("a/x/", "a/x/deep/", "a/x/", "b/", "a/xy")
 	cases := map[string]struct{ host, path, want, rest string }{
-		"the only one":        {"b", "/any/id", "3", "any/id"},
-		"a port and capitals": {"B:8080", "/id", "3", "id"},
-		"the longer prefix":   {"a", "/x/deep/id", "1", "id"},
-		"the first of two":    {"a", "/x/id", "0", "id"},
-		"no part of a path":   {"a", "/xyz", "4", "z"},
-		"a shorter path":      {"a", "/x", "", ""},
-		"another path":        {"a", "/y/id", "", ""},
-		"another host":        {"c", "/x/id", "", ""},
+		"only route of the host":       {"b", "/any/id", "3", "any/id"},
+		"port and upper case":          {"B:8080", "/id", "3", "id"},
+		"longest prefix":               {"a", "/x/deep/id", "1", "id"},
+		"first of two equal routes":    {"a", "/x/id", "0", "id"},
+		"prefix within a path segment": {"a", "/xyz", "4", "z"},
+		"path shorter than the prefix": {"a", "/x", "", ""},
+		"unknown path":                 {"a", "/y/id", "", ""},
+		"unknown host":                 {"c", "/x/id", "", ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestFindLikeWalk finds what a walk through all routes finds, for routes that are drawn.
-func TestFindLikeWalk(t *testing.T) {
+// TestFindMatchesLinearSearch compares Find with a linear search, for random routes.
+func TestFindMatchesLinearSearch(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	word := func() string { return strings.Repeat("x", rnd.IntN(3)) + strings.Repeat("/", rnd.IntN(2)) }
@@ -73,16 +73,16 @@
 		}
 		got, _ := tb.Find(host, path)
 		if want != nil {
-			dated := *want
-			dated.Queue.Version = 1 // the table's
-			want = &dated
+			withVersion := *want
+			withVersion.Queue.Version = 1 // the version of the table
+			want = &withVersion
 		}
 		is.Equal(got, want)
 	}
 }
 
-// TestNoWayBack keeps the later version in force, whichever comes last.
-func TestNoWayBack(t *testing.T) {
+// TestSetKeepsLatestVersion checks that the latest version stays active, in whatever order versions arrive.
+func TestSetKeepsLatestVersion(t *testing.T) {
 	is := is.New(t)
 	tb := &routes.Table{}
 	is.True(tb.Config() == nil)
@@ -92,8 +92,7 @@
 	is.Equal(tb.Config().Version, uint64(7))
 }
 
-// BenchmarkFind looks routes up among 10,000 on 8 hosts: 53 us a look when all were walked
-// through, 0.4 us by the index.
+// BenchmarkFind looks up routes among 10,000 on 8 hosts. A linear search took 53 us per lookup, the index 0.4 us.
 func BenchmarkFind(b *testing.B) {
 	const count, hosts = 10_000, 8
 	rows := make([]string, count)
