--- a/internal/clustermap/balance.go
+++ b/internal/clustermap/balance.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// balance gives every rack and partition to an active node and then evens the
-// numbers out, moving as few as it can. Equal maps give equal results.
+// balance assigns every rack and partition to an active node and then evens out their numbers with as few moves as
+// possible. Equal maps give equal results.
 func (mp *Map) balance() {
 	active := mp.Active()
 	if len(active) == 0 {
@@ -16,7 +16,7 @@
 	mp.balanceHomes(active)
 }
 
-// counts is the number of racks or partitions of each active node.
+// counts holds the number of racks or partitions of each active node.
 type counts map[string]int
 
 func newCounts(active []string) counts {
@@ -27,7 +27,7 @@
 	return ct
 }
 
-// least returns the name with the smallest count; the first of equals.
+// least returns the name with the smallest count, the first one of equals.
 func (ct counts) least(names []string) string {
 	best := ""
 	for _, name := range names {
@@ -38,7 +38,7 @@
 	return best
 }
 
-// most returns the name with the largest count; the first of equals.
+// most returns the name with the largest count, the first one of equals.
 func (ct counts) most(names []string) string {
 	best := ""
 	for _, name := range names {
@@ -59,23 +59,23 @@
 	keys := slices.Sorted(maps.Keys(mp.Racks))
 	for _, key := range keys {
 		rk := mp.Racks[key]
-		near := mp.near(rk.Hall, active)
-		if _, ok := owned[rk.Owner]; !ok || !slices.Contains(near, rk.Owner) {
-			mp.giveRack(key, owned.least(near), owned)
+		candidates := mp.candidates(rk.Hall, active)
+		if _, ok := owned[rk.Owner]; !ok || !slices.Contains(candidates, rk.Owner) {
+			mp.assignRack(key, owned.least(candidates), owned)
 		}
 	}
 	for _, key := range keys {
 		rk := mp.Racks[key]
-		to := owned.least(mp.near(rk.Hall, active))
+		to := owned.least(mp.candidates(rk.Hall, active))
 		if owned[rk.Owner] > owned[to]+1 {
-			mp.giveRack(key, to, owned)
+			mp.assignRack(key, to, owned)
 		}
 	}
 }
 
-// near returns the active nodes of a hall; without any, those of its region;
-// without any, all.
-func (mp *Map) near(hall string, active []string) []string {
+// candidates returns the active nodes of a hall; if there are none, those of its region; if there are none either,
+// all.
+func (mp *Map) candidates(hall string, active []string) []string {
 	region := mp.region(hall)
 	var inHall, inRegion []string
 	for _, name := range active {
@@ -96,7 +96,7 @@
 	return active
 }
 
-// region returns the region of a hall as far as a member tells it.
+// region returns the region of a hall, which is known if a member is in that hall.
 func (mp *Map) region(hall string) string {
 	for _, name := range slices.Sorted(maps.Keys(mp.Nodes)) {
 		if mp.Nodes[name].Hall == hall {
@@ -106,7 +106,7 @@
 	return ""
 }
 
-func (mp *Map) giveRack(key, to string, owned counts) {
+func (mp *Map) assignRack(key, to string, owned counts) {
 	rk := mp.Racks[key]
 	if _, ok := owned[rk.Owner]; ok {
 		owned[rk.Owner]--
@@ -126,7 +126,7 @@
 	}
 	for i := range mp.Homes {
 		if _, ok := held[mp.Homes[i].Node]; !ok {
-			mp.giveHome(i, held.least(active), held)
+			mp.assignHome(i, held.least(active), held)
 		}
 	}
 	for {
@@ -134,22 +134,22 @@
 		if held[from] <= held[to]+1 {
 			return
 		}
-		mp.giveHome(mp.firstHome(from), to, held)
+		mp.assignHome(mp.firstHome(from), to, held)
 	}
 }
 
-// firstHome returns the lowest partition of a node that has one.
+// firstHome returns the lowest partition of a node, or -1.
 func (mp *Map) firstHome(name string) int {
 	return slices.IndexFunc(mp.Homes, func(hm Home) bool { return hm.Node == name })
 }
 
-func (mp *Map) giveHome(part int, to string, held counts) {
+func (mp *Map) assignHome(part int, to string, held counts) {
 	hm := &mp.Homes[part]
 	if _, ok := held[hm.Node]; ok {
 		held[hm.Node]--
 	}
 	if nd, ok := mp.Nodes[hm.Node]; ok {
-		mp.unhome(part, nd)
+		mp.releaseHome(part, nd)
 	}
 	hm.Node = to
 	hm.Epoch = mp.Epoch
--- a/internal/clustermap/clustermap.go
+++ b/internal/clustermap/clustermap.go
@@ -1,7 +1,6 @@
-// Package clustermap is what the nodes agree on through the store: which nodes
-// there are, which node owns each rack's workers, and which node is home of each
-// partition of workspaces. It changes by compare-and-swap, only when the
-// membership or the set of racks changes.
+// Package clustermap defines the state that the nodes share through the store: the members, the owner of each
+// rack's workers, and the home node of each partition of workspaces. It is changed by compare-and-swap, only when
+// the membership or the set of racks changes.
 package clustermap
 
 import (
@@ -11,10 +10,10 @@
 	"tackbeam.example/tackbeam/internal/ids"
 )
 
-// Key is the key of the map in the store.
+// Key is the store key of the map.
 const Key = "cluster/map"
 
-// Node is one member.
+// Node is a member of the cluster.
 type Node struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation string `cbor:"2,keyasint"`
@@ -28,33 +27,30 @@
 // JournalName returns the name of the journal that the node writes.
 func (nd Node) JournalName() string { return nd.Name + "-" + nd.Incarnation }
 
-// Rack is a rack of workers and its owner. Epoch is the epoch of the map in
-// which the owner got it.
+// Rack is a rack of workers and its owner. Epoch is the epoch of the map in which the owner was assigned.
 type Rack struct {
 	Hall  string `cbor:"1,keyasint"`
 	Owner string `cbor:"2,keyasint"`
 	Epoch uint64 `cbor:"3,keyasint"`
 }
 
-// Home is a partition and the node that decides for its jobs. Former lists the
-// journals that may hold records of the partition which the present home has not
-// yet confirmed to have taken over.
+// Home is a partition and the node that decides for its jobs. Former lists the journals that may hold records of
+// the partition that the present home has not confirmed to have taken over yet.
 type Home struct {
 	Node   string   `cbor:"1,keyasint"`
 	Epoch  uint64   `cbor:"2,keyasint"`
 	Former []string `cbor:"3,keyasint,omitempty"`
 }
 
-// Map is the whole agreement.
+// Map is the state of the cluster that all nodes share.
 type Map struct {
 	Epoch   uint64          `cbor:"1,keyasint"`
 	Nodes   map[string]Node `cbor:"2,keyasint"`
 	Racks   map[string]Rack `cbor:"3,keyasint"`
 	Homes   []Home          `cbor:"4,keyasint"`
 	WriteID string          `cbor:"5,keyasint"`
-	// Age counts steps of time that members have measured, one after the other, each
-	// on its own steady clock. It tells how long records have been kept where the
-	// times of day of their writer and their reader may differ.
+	// Age counts time steps measured by members, one after the other, each with its own monotonic clock. It tells
+	// how long records have been kept even if the wall clocks of their writer and their reader differ.
 	Age uint64 `cbor:"6,keyasint,omitempty"`
 }
 
@@ -67,7 +63,7 @@
 	}
 }
 
-// RackKey names a rack uniquely over all halls.
+// RackKey returns a rack name that is unique over all halls.
 func RackKey(hall, rack string) string { return hall + "/" + rack }
 
 // Clone returns a deep copy.
@@ -89,7 +85,7 @@
 	return cp
 }
 
-// Active returns the names of the nodes that take work, sorted.
+// Active returns the sorted names of the nodes that take work.
 func (mp *Map) Active() []string {
 	var names []string
 	for name, nd := range mp.Nodes {
@@ -110,14 +106,13 @@
 	return owners
 }
 
-// Has reports whether the incarnation of the node is a member.
+// Has reports whether this incarnation of the node is a member.
 func (mp *Map) Has(nd Node) bool {
 	got, ok := mp.Nodes[nd.Name]
 	return ok && got.Incarnation == nd.Incarnation
 }
 
-// Join returns the map with the node in it. A former incarnation of the same
-// name leaves at once.
+// Join returns the map with the node added. A former incarnation with the same name is removed.
 func (mp *Map) Join(nd Node) *Map {
 	cp := mp.next()
 	if old, ok := cp.Nodes[nd.Name]; ok && old.Incarnation != nd.Incarnation {
@@ -128,8 +123,7 @@
 	return cp
 }
 
-// Leave returns the map with the node marked as leaving and its racks and homes
-// given to others.
+// Leave returns the map with the node marked as leaving and its racks and partitions assigned to others.
 func (mp *Map) Leave(name string) *Map {
 	cp := mp.next()
 	if nd, ok := cp.Nodes[name]; ok {
@@ -148,7 +142,7 @@
 	return cp
 }
 
-// AddRacks returns the map with the racks that it lacks, and whether there are any.
+// AddRacks returns the map with the missing racks added, and whether there were any.
 func (mp *Map) AddRacks(racks map[string]string) (*Map, bool) {
 	cp := mp.next()
 	added := false
@@ -164,8 +158,8 @@
 	return cp, added
 }
 
-// ConfirmTakeover returns the map with the former journals of the partitions forgotten,
-// where the node got them in the epochs given, and whether anything changed.
+// ConfirmTakeover returns the map without the former journals of the partitions that the node got in the given
+// epochs, and whether anything changed.
 func (mp *Map) ConfirmTakeover(name string, parts map[int]uint64) (*Map, bool) {
 	cp := mp.next()
 	changed := false
@@ -179,7 +173,7 @@
 	return cp, changed
 }
 
-// AdvanceAge returns the map one step of age later, unless it has left the age given.
+// AdvanceAge returns the map with its age increased by one, unless the age is no longer the given one.
 func (mp *Map) AdvanceAge(age uint64) (*Map, bool) {
 	if mp.Age != age {
 		return mp, false
@@ -189,7 +183,7 @@
 	return cp, true
 }
 
-// JournalNames returns the journals that somebody still writes or needs.
+// JournalNames returns the journals that a node still writes or needs.
 func (mp *Map) JournalNames() map[string]bool {
 	logs := map[string]bool{}
 	for _, nd := range mp.Nodes {
@@ -210,14 +204,14 @@
 	return cp
 }
 
-// remove takes a node out; its racks and homes are without a node until balance.
+// remove removes a node; its racks and partitions have no node until balance runs.
 func (mp *Map) remove(name string) {
 	nd, ok := mp.Nodes[name]
 	if !ok {
 		return
 	}
 	for i := range mp.Homes {
-		mp.unhome(i, nd)
+		mp.releaseHome(i, nd)
 	}
 	for key, rk := range mp.Racks {
 		if rk.Owner == name {
@@ -228,8 +222,8 @@
 	delete(mp.Nodes, name)
 }
 
-// unhome takes a partition from a node and notes where its records are.
-func (mp *Map) unhome(part int, nd Node) {
+// releaseHome takes a partition from a node and records which journal holds its records.
+func (mp *Map) releaseHome(part int, nd Node) {
 	hm := &mp.Homes[part]
 	if hm.Node != nd.Name {
 		return
--- a/internal/clustermap/clustermap_test.go
+++ b/internal/clustermap/clustermap_test.go
@@ -13,7 +13,7 @@
 )
 
 func init() {
-	_ = flag.Set("rapid.seed", "20261202") // the same verdict each time
+	_ = flag.Set("rapid.seed", "20261202") // makes results reproducible
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
@@ -40,18 +40,18 @@
 	}
 	mp = mp.Remove("b")
 	for _, rk := range mp.Racks {
-		is.True(rk.Owner == "a" || rk.Owner == "c") // no rack stays with a node that has gone
+		is.True(rk.Owner == "a" || rk.Owner == "c") // no rack stays with a removed node
 	}
 }
 
-func TestRestartOfTheSameName(t *testing.T) {
+func TestRestartWithSameName(t *testing.T) {
 	is := is.New(t)
 	mp := clustermap.New().Join(node("a", "h0"))
 	mp, _ = mp.AddRacks(racks(3))
 	before := mp.Racks["h0/r0"].Epoch
-	again := node("a", "h0")
-	again.Incarnation = "b"
-	mp = mp.Join(again)
+	restarted := node("a", "h0")
+	restarted.Incarnation = "b"
+	mp = mp.Join(restarted)
 	is.True(mp.Racks["h0/r0"].Epoch > before)     // the new incarnation fences the old one
 	is.Equal(mp.Homes[0].Former, []string{"a-a"}) // and reads the old one's journal
 	mp, changed := mp.ConfirmTakeover("a", map[int]uint64{0: mp.Homes[0].Epoch})
@@ -59,9 +59,9 @@
 	is.Equal(len(mp.Homes[0].Former), 0)
 }
 
-// TestAnyChangesKeepTheMapWhole checks that after any sequence of changes every
-// rack and partition has one active node, evenly, and epochs only rise.
-func TestAnyChangesKeepTheMapWhole(t *testing.T) {
+// TestInvariantsHoldAfterAnyChanges checks that after any sequence of changes every rack and partition has one
+// active node, evenly distributed, and that epochs only rise.
+func TestInvariantsHoldAfterAnyChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		mp := clustermap.New().Join(node("n0", "h0"))
 		mp, _ = mp.AddRacks(racks(12))
@@ -76,12 +76,12 @@
 			case "remove":
 				mp = mp.Remove(name)
 			}
-			checkWhole(rt, before, mp)
+			checkInvariants(rt, before, mp)
 		}
 	})
 }
 
-func checkWhole(rt *rapid.T, before, mp *clustermap.Map) {
+func checkInvariants(rt *rapid.T, before, mp *clustermap.Map) {
 	active := map[string]int{}
 	for _, name := range mp.Active() {
 		active[name] = 0
@@ -103,12 +103,12 @@
 		}
 		active[hm.Node]++
 		if old := before.Homes[i]; old.Node != "" && old.Node != hm.Node && len(hm.Former) == 0 {
-			rt.Fatalf("partition %d moved and its records are forgotten", i)
+			rt.Fatalf("partition %d moved without a former journal", i)
 		}
 	}
 	for name, n := range active {
 		if n > ids.Partitions/len(active)+1 {
-			rt.Fatalf("node %s is home of %d partitions", name, n)
+			rt.Fatalf("node %s is the home of %d partitions", name, n)
 		}
 	}
 }
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -13,26 +13,26 @@
 	"tackbeam.example/tackbeam/internal/peer"
 )
 
-// View is another node as this one hears it.
+// View is the state of another node as seen by this one.
 type View struct {
-	node  clustermap.Node
-	beat  nodemsg.Beat
-	heard bool
+	node      clustermap.Node
+	heartbeat nodemsg.Beat
+	reachable bool
 }
 
 // Node returns the node's entry in the map.
 func (vw View) Node() clustermap.Node { return vw.node }
 
-// Reachable reports whether the node was heard of late.
-func (vw View) Reachable() bool { return vw.heard }
+// Reachable reports whether a heartbeat of the node was received recently.
+func (vw View) Reachable() bool { return vw.reachable }
 
-// Summary returns the digest of the node's ledger.
-func (vw View) Summary() ledger.Room { return vw.beat.Room }
+// Summary returns the summary of the node's ledger.
+func (vw View) Summary() ledger.Room { return vw.heartbeat.Room }
 
 // Heartbeat returns the node's last heartbeat.
-func (vw View) Heartbeat() nodemsg.Beat { return vw.beat }
+func (vw View) Heartbeat() nodemsg.Beat { return vw.heartbeat }
 
-// Peers returns the other nodes of the map, by name.
+// Peers returns the other nodes of the map, sorted by name.
 func (mb *Member) Peers() []View {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -42,7 +42,7 @@
 		if !ok {
 			continue
 		}
-		views = append(views, View{node: nd, beat: ps.beat, heard: mb.hears(ps)})
+		views = append(views, View{node: nd, heartbeat: ps.heartbeat, reachable: mb.isReachable(ps)})
 	}
 	sort.Slice(views, func(i, j int) bool { return views[i].node.Name < views[j].node.Name })
 	return views
@@ -57,174 +57,173 @@
 	return addrs
 }
 
-// FreshAddresses returns the peer addresses of the other nodes, by name, after it has read
-// the map anew: this node may not have been told yet of a member that has joined.
-// Where the store does not answer, they are those that this node knows of.
+// FreshAddresses returns the peer addresses of the other nodes, by name, after reading the map again, since this
+// node may not know yet of a member that has joined. If the store does not answer, it returns the known addresses.
 func (mb *Member) FreshAddresses(ctx context.Context) map[string]string {
 	if err := mb.readMap(ctx); err != nil {
-		mb.log.Info("Map cannot be read, a new member may be passed over.", "cause", err.Error())
+		mb.log.Info("Cluster map could not be read; a new member may be missed.", "cause", err.Error())
 	}
 	return mb.Addresses()
 }
 
-func (mb *Member) hears(ps *peerState) bool {
-	return ps.beat.Node != "" && mb.clock.Since(ps.heard) < mb.opts.SuspectAfter
+func (mb *Member) isReachable(ps *peerState) bool {
+	return ps.heartbeat.Node != "" && mb.clock.Since(ps.lastHeard) < mb.opts.SuspectAfter
 }
 
-// Isolated reports whether there are other nodes and none was heard of late.
+// Isolated reports whether there are other nodes but none is reachable.
 func (mb *Member) Isolated() bool {
 	views := mb.Peers()
 	for _, vw := range views {
-		if vw.heard {
+		if vw.reachable {
 			return false
 		}
 	}
 	return len(views) > 0
 }
 
-// LastContact returns when this node last heard the store or another node.
+// LastContact returns when this node last received an answer from the store or a heartbeat from another node.
 func (mb *Member) LastContact() time.Time {
 	at := mb.store.LastOK()
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	for _, ps := range mb.peers {
-		if ps.beat.Node != "" && ps.heard.After(at) {
-			at = ps.heard
+		if ps.heartbeat.Node != "" && ps.lastHeard.After(at) {
+			at = ps.lastHeard
 		}
 	}
 	return at
 }
 
-// MembershipConfirmedAt returns when this node was last certain that no known member can have
-// taken it out: it reached the store, or every other member heard it. A node that
-// hears only some of the others may be on the side of a split without the store.
+// MembershipConfirmedAt returns when it was last certain that no known member can have removed this node from the
+// map: this node reached the store, or every other member received its heartbeats. A node that reaches only some
+// of the others may be on the side of a partition that does not reach the store.
 func (mb *Member) MembershipConfirmedAt() time.Time {
 	at := mb.store.LastOK()
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
-	heard := mb.clock.Now()
+	oldest := mb.clock.Now()
 	for _, ps := range mb.peers {
-		if !slices.Contains(ps.beat.Hears, mb.node.Name) {
+		if !slices.Contains(ps.heartbeat.Hears, mb.node.Name) {
 			return at
 		}
-		if ps.heard.Before(heard) {
-			heard = ps.heard
+		if ps.lastHeard.Before(oldest) {
+			oldest = ps.lastHeard
 		}
 	}
-	if heard.After(at) {
-		return heard
+	if oldest.After(at) {
+		return oldest
 	}
 	return at
 }
 
-// Stale reports whether this node may lack an edit that was accepted: it reaches
-// neither the store nor a node that does, and somebody else might.
+// Stale reports whether this node may lack an accepted edit: it reaches neither the store nor a node that does,
+// and another node might reach the store.
 func (mb *Member) Stale() bool {
 	if !mb.store.Down() {
 		return false
 	}
 	views := mb.Peers()
 	for _, vw := range views {
-		if !vw.heard {
-			return true // a node we cannot ask may reach the store
+		if !vw.reachable {
+			return true // a node that cannot be asked may reach the store
 		}
 	}
 	return false
 }
 
-// beatLoop exchanges heartbeats with every other node.
-func (mb *Member) beatLoop(ctx context.Context) {
-	loop.Every(ctx, mb.clock, mb.opts.HeartbeatInterval, func() { mb.beatAll(ctx) })
+// heartbeatLoop exchanges heartbeats with every other node.
+func (mb *Member) heartbeatLoop(ctx context.Context) {
+	loop.Every(ctx, mb.clock, mb.opts.HeartbeatInterval, func() { mb.exchangeHeartbeats(ctx) })
 }
 
-// beatAll calls the nodes that come after this one by name; they answer with
-// their own beat. A node before this one is called only when it has not called.
-func (mb *Member) beatAll(ctx context.Context) {
-	const patience = 3
-	own := mb.ownBeat()
+// exchangeHeartbeats calls the nodes whose names sort after this node's; they answer with their own heartbeat. A
+// node that sorts before it is called only if it has not called.
+func (mb *Member) exchangeHeartbeats(ctx context.Context) {
+	const halfIntervals = 3
+	own := mb.ownHeartbeat()
 	for _, vw := range mb.Peers() {
 		mb.mu.Lock()
 		ps := mb.peers[vw.node.Name]
-		quiet := ps != nil && mb.clock.Since(ps.heard) > patience*mb.opts.HeartbeatInterval/2
+		overdue := ps != nil && mb.clock.Since(ps.lastHeard) > halfIntervals*mb.opts.HeartbeatInterval/2
 		mb.mu.Unlock()
-		if vw.node.Name > own.Node || quiet {
-			go mb.beat(ctx, vw.node, own, quiet)
+		if vw.node.Name > own.Node || overdue {
+			go mb.sendHeartbeat(ctx, vw.node, own, overdue)
 		}
 	}
-	mb.tellSilence(mb.fallenSilent())
-	mb.judge(ctx)
+	mb.notifyUnreachable(mb.newlyUnreachable())
+	mb.removeDeadNode(ctx)
 }
 
-// fallenSilent returns the nodes whose silence has not been told yet.
-func (mb *Member) fallenSilent() []string {
+// newlyUnreachable returns the nodes that have become unreachable and were not reported yet.
+func (mb *Member) newlyUnreachable() []string {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	var names []string
 	for name, ps := range mb.peers {
-		if ps.beat.Node != "" && !ps.silent && !mb.hears(ps) {
-			ps.silent = true
+		if ps.heartbeat.Node != "" && !ps.unreachable && !mb.isReachable(ps) {
+			ps.unreachable = true
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-func (mb *Member) tellSilence(names []string) {
+func (mb *Member) notifyUnreachable(names []string) {
 	mb.mu.Lock()
-	acts := mb.silence
+	callbacks := mb.onUnreachable
 	mb.mu.Unlock()
 	for _, name := range names {
-		for _, act := range acts {
-			act(name)
+		for _, callback := range callbacks {
+			callback(name)
 		}
 	}
 }
 
-func (mb *Member) beat(ctx context.Context, nd clustermap.Node, own nodemsg.Beat, quiet bool) {
+func (mb *Member) sendHeartbeat(ctx context.Context, nd clustermap.Node, own nodemsg.Beat, overdue bool) {
 	call, cancel := context.WithTimeout(ctx, mb.opts.SuspectAfter)
 	defer cancel()
 	got, err := peer.Call[nodemsg.Beat, nodemsg.Beat](call, mb.peer, nd.Peer, nodemsg.KindBeat, own)
 	if err == nil {
-		mb.hear(got)
+		mb.handleHeartbeat(got)
 		return
 	}
-	if quiet && ctx.Err() == nil {
-		mb.peer.Forget(nd.Peer) // the link may lead to a process that is gone
+	if overdue && ctx.Err() == nil {
+		mb.peer.Forget(nd.Peer) // the connection may lead to a process that has ended
 	}
 }
 
-func (mb *Member) ownBeat() nodemsg.Beat {
+func (mb *Member) ownHeartbeat() nodemsg.Beat {
 	mb.mu.Lock()
 	bt := nodemsg.Beat{
 		Node: mb.node.Name, Incarnation: mb.node.Incarnation,
 		MapEpoch: mb.current.Epoch, Draining: mb.draining,
 	}
 	for name, ps := range mb.peers {
-		if mb.hears(ps) {
+		if mb.isReachable(ps) {
 			bt.Hears = append(bt.Hears, name)
 		}
 	}
 	mb.mu.Unlock()
 	sort.Strings(bt.Hears)
 	bt.StoreDown = mb.store.Down()
-	mb.fill(&bt)
+	mb.fillHeartbeat(&bt)
 	return bt
 }
 
-func (mb *Member) onBeat(_ context.Context, _ string, bt nodemsg.Beat) (nodemsg.Beat, error) {
-	mb.hear(bt)
-	return mb.ownBeat(), nil
+func (mb *Member) onHeartbeat(_ context.Context, _ string, bt nodemsg.Beat) (nodemsg.Beat, error) {
+	mb.handleHeartbeat(bt)
+	return mb.ownHeartbeat(), nil
 }
 
-// hear notes a heartbeat, and catches up where its sender is ahead.
-func (mb *Member) hear(bt nodemsg.Beat) {
+// handleHeartbeat records a heartbeat, and catches up with its sender if that has a newer map or another table.
+func (mb *Member) handleHeartbeat(bt nodemsg.Beat) {
 	mb.mu.Lock()
 	nd, known := mb.current.Nodes[bt.Node]
 	ps, ok := mb.peers[bt.Node]
 	if known && ok && nd.Incarnation == bt.Incarnation {
-		ps.heard = mb.clock.Now()
-		ps.beat = bt
-		ps.silent = false
+		ps.lastHeard = mb.clock.Now()
+		ps.heartbeat = bt
+		ps.unreachable = false
 	}
 	ahead := bt.MapEpoch > mb.current.Epoch
 	mb.mu.Unlock()
@@ -235,9 +234,9 @@
 		return
 	}
 	var own nodemsg.Beat
-	mb.fill(&own)
+	mb.fillHeartbeat(&own)
 	if own.Digest != bt.Digest {
-		mb.behind(nd.Peer)
+		mb.tableDiffers(nd.Peer)
 	}
 }
 
@@ -246,63 +245,63 @@
 	ctx, cancel := context.WithTimeout(context.Background(), mb.opts.SuspectAfter)
 	defer cancel()
 	if err := mb.readMap(ctx); err != nil {
-		mb.log.V(1).Info("Newer map cannot be read yet.", "cause", err.Error())
+		mb.log.V(1).Info("Newer cluster map could not be read yet.", "cause", err.Error())
 	}
 }
 
-// judge takes out one node that is surely gone. The nodes that would do so wait
-// by their rank, so that one of them writes.
-func (mb *Member) judge(ctx context.Context) {
-	gone, rank := mb.gone()
-	if gone.Name == "" || mb.store.Down() {
+// removeDeadNode removes one dead node from the map. The nodes that may do so wait according to their rank, so
+// that only one of them writes.
+func (mb *Member) removeDeadNode(ctx context.Context) {
+	dead, rank := mb.deadNode()
+	if dead.Name == "" || mb.store.Down() {
 		return
 	}
-	if mb.clock.Since(mb.heardAt(gone.Name)) < mb.opts.SuspectAfter+time.Duration(rank)*mb.opts.HeartbeatInterval {
+	if mb.clock.Since(mb.lastHeardFrom(dead.Name)) < mb.opts.SuspectAfter+time.Duration(rank)*mb.opts.HeartbeatInterval {
 		return
 	}
 	go func() {
 		call, cancel := context.WithTimeout(ctx, mb.opts.SuspectAfter)
 		defer cancel()
 		err := mb.Change(call, func(mp *clustermap.Map) (*clustermap.Map, bool) {
-			if !mp.Has(gone) {
+			if !mp.Has(dead) {
 				return mp, false
 			}
-			return mp.Remove(gone.Name), true
+			return mp.Remove(dead.Name), true
 		})
 		if err != nil {
-			mb.log.Error(err, "Node could not be taken out.", "node", gone.Name)
+			mb.log.Error(err, "Dead node could not be removed from the cluster map.", "node", dead.Name)
 			return
 		}
-		mb.log.Info("Node was taken out.", "node", gone.Name, "incarnation", gone.Incarnation)
+		mb.log.Info("Dead node was removed from the cluster map.", "node", dead.Name, "incarnation", dead.Incarnation)
 	}()
 }
 
-func (mb *Member) heardAt(name string) time.Time {
+func (mb *Member) lastHeardFrom(name string) time.Time {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	if ps, ok := mb.peers[name]; ok {
-		return ps.heard
+		return ps.lastHeard
 	}
 	return mb.clock.Now()
 }
 
-// gone returns a node whose record has lapsed and that nobody hears, and this
-// node's rank among those that could take it out.
-func (mb *Member) gone() (clustermap.Node, int) {
+// deadNode returns a node whose key in the store has expired and that no reachable node receives heartbeats from,
+// and this node's rank among those that may remove it.
+func (mb *Member) deadNode() (clustermap.Node, int) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
-	if mb.clock.Since(mb.liveAt) > liveAge {
+	if mb.clock.Since(mb.liveUpdatedAt) > maxLiveAge {
 		return clustermap.Node{}, 0
 	}
 	names := mb.current.Active()
 	for name, ps := range mb.peers {
 		nd := mb.current.Nodes[name]
-		if mb.live[nd.JournalName()] || mb.clock.Since(ps.heard) < mb.opts.SuspectAfter || mb.heardByOther(name) {
+		if mb.live[nd.JournalName()] || mb.clock.Since(ps.lastHeard) < mb.opts.SuspectAfter || mb.reachableFromOther(name) {
 			continue
 		}
 		rank := 0
 		for _, other := range names {
-			if other < mb.node.Name && other != name && mb.peers[other] != nil && mb.hears(mb.peers[other]) {
+			if other < mb.node.Name && other != name && mb.peers[other] != nil && mb.isReachable(mb.peers[other]) {
 				rank++
 			}
 		}
@@ -311,14 +310,14 @@
 	return clustermap.Node{}, 0
 }
 
-// heardByOther reports whether a node that we hear hears the one of the name.
-func (mb *Member) heardByOther(name string) bool {
+// reachableFromOther reports whether a reachable node receives heartbeats from the named node.
+func (mb *Member) reachableFromOther(name string) bool {
 	for other, ps := range mb.peers {
-		if other == name || !mb.hears(ps) {
+		if other == name || !mb.isReachable(ps) {
 			continue
 		}
-		for _, heard := range ps.beat.Hears {
-			if heard == name {
+		for _, reached := range ps.heartbeat.Hears {
+			if reached == name {
 				return true
 			}
 		}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,10 +1,9 @@
-// Package member knows who is here: it keeps this node in the cluster map, hears
-// the other nodes' heartbeats, and takes out those that are surely gone.
+// Package member maintains the cluster's membership: it keeps this node in the cluster map, exchanges heartbeats
+// with the other nodes, and removes dead nodes from the map.
 //
-// A node is taken out only when its own record in the store has lapsed and
-// neither this node nor any that it hears has heard from it. Nothing unsafe
-// follows from taking out a node that still runs: workers refuse its older epoch
-// and the store its journal.
+// A node is removed only when its own key in the store has expired and neither this node nor any node reachable
+// from it receives its heartbeats. Removing a node that still runs is safe: workers refuse its older epoch, and
+// the store refuses writes to its journal.
 package member
 
 import (
@@ -27,17 +26,17 @@
 	"tackbeam.example/tackbeam/internal/wire"
 )
 
-// livePrefix holds a key for each node, bound to the node's lease of the store.
+// livePrefix is the prefix of one key per node, bound to the node's lease of the store.
 const livePrefix = "live/"
 
-// liveAge is the age from which what is known of the nodes' records is too old
-// to take a node out by; a watch of the store answers more often.
-const liveAge = 40 * time.Second
+// maxLiveAge is the maximum age of the known live keys for removing a node; a watch of the store answers more
+// often than that.
+const maxLiveAge = 40 * time.Second
 
-// joinTime bounds one try to join again.
-const joinTime = 20 * time.Second
+// rejoinTimeout limits one attempt to join again.
+const rejoinTimeout = 20 * time.Second
 
-// Options of a member.
+// Options configure a Member.
 type Options struct {
 	Node              clustermap.Node
 	HeartbeatInterval time.Duration
@@ -45,15 +44,15 @@
 	LeaseTTL          time.Duration
 }
 
-// peerState is what this node has heard of another.
+// peerState is what this node knows about another node from its heartbeats.
 type peerState struct {
-	heard time.Time
-	beat  nodemsg.Beat
-	// silent is set once the silence was told.
-	silent bool
+	lastHeard time.Time
+	heartbeat nodemsg.Beat
+	// unreachable is set once the node was reported as unreachable.
+	unreachable bool
 }
 
-// Member is this node's view of the cluster.
+// Member is this node's membership in the cluster.
 type Member struct {
 	opts  Options
 	clock clockwork.Clock
@@ -61,108 +60,108 @@
 	store *store.Client
 	peer  *peer.Peer
 
-	// Fill completes this node's own heartbeat; set before Start.
-	fill func(*nodemsg.Beat)
-	// Behind is called when another node has a table that differs; set before Start.
-	behind func(addr string)
+	// fillHeartbeat completes this node's own heartbeat; set before Start.
+	fillHeartbeat func(*nodemsg.Beat)
+	// tableDiffers is called when another node has a different table; set before Start.
+	tableDiffers func(addr string)
 
-	mu        sync.Mutex
-	node      clustermap.Node
-	current   *clustermap.Map
-	version   uint64
-	peers     map[string]*peerState
-	live      map[string]bool
-	liveAt    time.Time
-	subs      []func(*clustermap.Map)
-	silence   []func(name string)
-	lease     string
-	stopped   bool
-	draining  bool
-	changing  sync.Mutex
-	rejoining sync.Mutex
-	applying  sync.Mutex
-	cancel    context.CancelFunc
-	wg        sync.WaitGroup
+	mu            sync.Mutex
+	node          clustermap.Node
+	current       *clustermap.Map
+	version       uint64
+	peers         map[string]*peerState
+	live          map[string]bool
+	liveUpdatedAt time.Time
+	subs          []func(*clustermap.Map)
+	onUnreachable []func(name string)
+	lease         string
+	stopped       bool
+	draining      bool
+	changing      sync.Mutex
+	rejoining     sync.Mutex
+	applying      sync.Mutex
+	cancel        context.CancelFunc
+	wg            sync.WaitGroup
 }
 
-// New returns a member that is not yet in the cluster.
+// New returns a member that has not joined the cluster yet.
 func New(
 	clock clockwork.Clock, log logr.Logger, cl *store.Client, pr *peer.Peer, opts Options,
 ) *Member {
 	mb := &Member{
 		opts: opts, clock: clock, log: log.WithName("member"), store: cl, peer: pr,
-		node:    opts.Node,
-		current: clustermap.New(),
-		peers:   map[string]*peerState{},
-		live:    map[string]bool{},
-		fill:    func(*nodemsg.Beat) {},
-		behind:  func(string) {},
+		node:          opts.Node,
+		current:       clustermap.New(),
+		peers:         map[string]*peerState{},
+		live:          map[string]bool{},
+		fillHeartbeat: func(*nodemsg.Beat) {},
+		tableDiffers:  func(string) {},
 	}
 	mb.node.Incarnation = ids.Random(5)
-	peer.Handle(pr, nodemsg.KindBeat, mb.onBeat)
+	peer.Handle(pr, nodemsg.KindBeat, mb.onHeartbeat)
 	return mb
 }
 
-// SetHeartbeatFiller sets the function that completes this node's heartbeats.
-func (mb *Member) SetHeartbeatFiller(fill func(*nodemsg.Beat)) { mb.fill = fill }
+// SetHeartbeatFiller sets the function that completes this node's heartbeats. Call it before Start.
+func (mb *Member) SetHeartbeatFiller(fill func(*nodemsg.Beat)) { mb.fillHeartbeat = fill }
 
-// OnTableDiffers sets the function called with the address of a node whose table differs.
-func (mb *Member) OnTableDiffers(behind func(addr string)) { mb.behind = behind }
+// OnTableDiffers sets the function called with the address of a node whose table differs. Call it before Start.
+func (mb *Member) OnTableDiffers(callback func(addr string)) { mb.tableDiffers = callback }
 
-// Subscribe calls act with each new map, one at a time, in order. The function
-// must not change the map itself; it may start a goroutine that does.
-func (mb *Member) Subscribe(act func(*clustermap.Map)) {
+// Subscribe registers a function called with each new map, one at a time, in order. The function must not change
+// the map itself; it may start a goroutine that does.
+func (mb *Member) Subscribe(callback func(*clustermap.Map)) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
-	mb.subs = append(mb.subs, act)
+	mb.subs = append(mb.subs, callback)
 }
 
-// OnUnreachable calls act with the name of each node that has not been heard for too
-// long, once for each silence, and of each that left the map.
-func (mb *Member) OnUnreachable(act func(name string)) {
+// OnUnreachable registers a function called with the name of each node from which no heartbeat has been received
+// for too long, once each time, and of each node that left the map.
+func (mb *Member) OnUnreachable(callback func(name string)) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
-	mb.silence = append(mb.silence, act)
+	mb.onUnreachable = append(mb.onUnreachable, callback)
 }
 
-// Node returns this node as it stands in the map, with its present incarnation.
+// Node returns this node's entry in the map, with its present incarnation.
 func (mb *Member) Node() clustermap.Node {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	return mb.node
 }
 
-// Map returns the newest map this node knows. The caller does not change it.
+// Map returns the newest map that this node knows. The caller must not change it.
 func (mb *Member) Map() *clustermap.Map {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	return mb.current
 }
 
-// SetHTTP sets the address for callers that the map shows; before Start.
+// SetHTTP sets the address for callers in the node's entry. Call it before Start.
 func (mb *Member) SetHTTP(addr string) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	mb.node.HTTP = addr
 }
 
-// Start joins the cluster and begins to watch and to beat.
+// Start joins the cluster and starts the watches and heartbeats.
 func (mb *Member) Start(ctx context.Context) error {
 	run, cancel := context.WithCancel(context.Background())
 	mb.cancel = cancel
-	if err := mb.joinUntil(ctx); err != nil {
+	if err := mb.joinWithRetry(ctx); err != nil {
 		cancel()
 		return errors.Wrap(err, "join cluster")
 	}
-	for _, act := range []func(context.Context){mb.beatLoop, mb.leaseLoop, mb.followMap, mb.followLive} {
+	for _, callback := range []func(context.Context){mb.heartbeatLoop, mb.leaseLoop, mb.watchMap, mb.watchLive} {
 		mb.wg.Go(func() {
-			act(run)
+			callback(run)
 		})
 	}
 	return nil
 }
 
-// Stop ends the loops. Leave comes before it on a planned stop.
+// Stop ends the loops. For a planned stop, call Leave first.
 func (mb *Member) Stop(context.Context) error {
 	mb.mu.Lock()
 	mb.stopped = true
@@ -174,25 +173,25 @@
 	return nil
 }
 
-// joinUntil joins, again and again while the store does not answer.
-func (mb *Member) joinUntil(ctx context.Context) error {
-	for try := 0; ; try++ {
+// joinWithRetry joins the cluster, trying again while the store does not answer.
+func (mb *Member) joinWithRetry(ctx context.Context) error {
+	for attempt := 0; ; attempt++ {
 		err := mb.join(ctx)
 		if err == nil || !fault.Is(err, fault.Unavailable) {
 			return err
 		}
-		if try == 0 {
-			mb.log.Info("Store does not answer, the node waits to join.", "cause", err.Error())
+		if attempt == 0 {
+			mb.log.Info("Store does not answer; waiting to join the cluster.", "cause", err.Error())
 		}
-		if !loop.Pause(ctx, mb.clock, store.Backoff(try)) {
+		if !loop.Pause(ctx, mb.clock, store.Backoff(attempt)) {
 			return err
 		}
 	}
 }
 
-// join puts this node into the map and makes its live key.
+// join adds this node to the map and creates its live key.
 func (mb *Member) join(ctx context.Context) error {
-	if err := mb.renew(ctx); err != nil {
+	if err := mb.renewLease(ctx); err != nil {
 		return err
 	}
 	err := mb.Change(ctx, func(mp *clustermap.Map) (*clustermap.Map, bool) {
@@ -205,11 +204,11 @@
 	if err != nil {
 		return err
 	}
-	mb.log.Info("Node joined.", "epoch", mb.Map().Epoch)
+	mb.log.Info("Node joined the cluster.", "epoch", mb.Map().Epoch)
 	return nil
 }
 
-// MarkLeaving gives this node's racks and homes to others, in one write.
+// MarkLeaving marks this node as leaving and moves its racks and partitions to others, in one write.
 func (mb *Member) MarkLeaving(ctx context.Context) error {
 	mb.mu.Lock()
 	mb.draining = true
@@ -223,7 +222,7 @@
 	})
 }
 
-// Leave takes this node out of the map.
+// Leave removes this node from the map.
 func (mb *Member) Leave(ctx context.Context) error {
 	mb.mu.Lock()
 	mb.draining = true
@@ -244,13 +243,13 @@
 	return mb.draining
 }
 
-// Change edits the map by compare-and-swap until it is kept or needs no change.
+// Change edits the map by compare-and-swap until the edit is stored or changes nothing.
 func (mb *Member) Change(
 	ctx context.Context, edit func(*clustermap.Map) (*clustermap.Map, bool),
 ) error {
 	mb.changing.Lock()
 	defer mb.changing.Unlock()
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		item, err := mb.store.Get(ctx, store.Ownership, clustermap.Key)
 		if err != nil {
 			return err
@@ -264,15 +263,15 @@
 			mb.apply(mp, item.Version)
 			return nil
 		}
-		kept, ok, err := mb.write(ctx, next, item.Version)
+		newVersion, ok, err := mb.write(ctx, next, item.Version)
 		if err != nil {
 			return err
 		}
 		if ok {
-			mb.apply(next, kept)
+			mb.apply(next, newVersion)
 			return nil
 		}
-		mb.clock.Sleep(store.Backoff(min(try, 2)))
+		mb.clock.Sleep(store.Backoff(min(attempt, 2)))
 	}
 }
 
@@ -293,12 +292,12 @@
 	}
 	mp := clustermap.New()
 	if err := wire.Decode(raw, mp); err != nil {
-		return nil, errors.Wrap(err, "read cluster map")
+		return nil, errors.Wrap(err, "decode cluster map")
 	}
 	return mp.Clone(), nil
 }
 
-// apply takes a map into force if it is newer, and tells the subscribers.
+// apply makes a map the current one if it is newer, and calls the subscribers.
 func (mb *Member) apply(mp *clustermap.Map, version uint64) {
 	mb.applying.Lock()
 	defer mb.applying.Unlock()
@@ -313,31 +312,31 @@
 	now := mb.clock.Now()
 	for name := range mp.Nodes {
 		if _, ok := mb.peers[name]; !ok && name != mb.node.Name {
-			mb.peers[name] = &peerState{heard: now}
+			mb.peers[name] = &peerState{lastHeard: now}
 		}
 	}
-	var gone []string
+	var removed []string
 	for name := range mb.peers {
 		if _, ok := mp.Nodes[name]; !ok {
 			delete(mb.peers, name)
-			gone = append(gone, name)
+			removed = append(removed, name)
 		}
 	}
 	subs := slices.Clone(mb.subs)
 	evicted := !mb.stopped && !mp.Has(mb.node) && mp.Epoch > 0
 	mb.mu.Unlock()
-	for _, act := range subs {
-		act(mp)
+	for _, callback := range subs {
+		callback(mp)
 	}
-	mb.tellSilence(gone)
+	mb.notifyUnreachable(removed)
 	if evicted && mb.cancel != nil {
 		go mb.rejoin()
 	}
 }
 
-// rejoin comes back under a new incarnation after others took this node out.
+// rejoin joins again with a new incarnation after others removed this node from the map.
 func (mb *Member) rejoin() {
-	mb.rejoining.Lock() // several maps without this node may come at once
+	mb.rejoining.Lock() // several maps without this node may arrive at the same time
 	defer mb.rejoining.Unlock()
 	mb.mu.Lock()
 	if mb.stopped || mb.draining || mb.current.Has(mb.node) {
@@ -347,10 +346,10 @@
 	mb.node.Incarnation = ids.Random(5)
 	mb.lease = ""
 	mb.mu.Unlock()
-	mb.log.Info("Node was taken out, joining again.")
-	ctx, cancel := context.WithTimeout(context.Background(), joinTime)
+	mb.log.Info("Node was removed from the cluster map; joining again.")
+	ctx, cancel := context.WithTimeout(context.Background(), rejoinTimeout)
 	defer cancel()
 	if err := mb.join(ctx); err != nil {
-		mb.log.Error(err, "Node could not join again.")
+		mb.log.Error(err, "Node could not join the cluster again.")
 	}
 }
--- a/internal/member/watch.go
+++ b/internal/member/watch.go
@@ -10,21 +10,20 @@
 	"tackbeam.example/tackbeam/internal/storemsg"
 )
 
-// leaseLoop renews this node's lease of the store, three times in its length.
+// leaseLoop renews this node's lease of the store three times per TTL.
 func (mb *Member) leaseLoop(ctx context.Context) {
 	const renewals = 3
 	loop.Every(ctx, mb.clock, mb.opts.LeaseTTL/renewals, func() {
 		call, cancel := context.WithTimeout(ctx, mb.opts.LeaseTTL/renewals)
 		defer cancel()
-		if err := mb.renew(call); err != nil {
-			mb.log.V(1).Info("Lease was not renewed.", "cause", err.Error())
+		if err := mb.renewLease(call); err != nil {
+			mb.log.V(1).Info("Lease could not be renewed.", "cause", err.Error())
 		}
 	})
 }
 
-// renew renews the lease; where it has lapsed, it makes a new one and the live
-// key bound to it.
-func (mb *Member) renew(ctx context.Context) error {
+// renewLease renews the lease; if it has expired, it creates a new one and the live key bound to it.
+func (mb *Member) renewLease(ctx context.Context) error {
 	mb.mu.Lock()
 	id := mb.lease
 	key := livePrefix + mb.node.JournalName()
@@ -55,8 +54,8 @@
 	return nil
 }
 
-// followMap keeps up with the cluster map.
-func (mb *Member) followMap(ctx context.Context) {
+// watchMap follows the cluster map.
+func (mb *Member) watchMap(ctx context.Context) {
 	apply := func(items []storemsg.Item) {
 		for _, item := range items {
 			mb.applyItem(item)
@@ -68,10 +67,10 @@
 	})
 }
 
-// followLive keeps up with which nodes' records stand.
-func (mb *Member) followLive(ctx context.Context) {
+// watchLive follows the live keys of the nodes.
+func (mb *Member) watchLive(ctx context.Context) {
 	mb.store.Follow(ctx, store.Following{
-		Prefix: livePrefix, Class: store.Ownership, All: mb.allLive, Changed: mb.changedLive,
+		Prefix: livePrefix, Class: store.Ownership, All: mb.resetLive, Changed: mb.updateLive,
 	})
 }
 
@@ -89,20 +88,20 @@
 	}
 	mp, err := decode(item.Value)
 	if err != nil {
-		mb.log.Error(err, "Map in the store cannot be read.")
+		mb.log.Error(err, "Cluster map in the store could not be decoded.")
 		return
 	}
 	mb.apply(mp, item.Version)
 }
 
-func (mb *Member) allLive(items []storemsg.Item, _ uint64) {
+func (mb *Member) resetLive(items []storemsg.Item, _ uint64) {
 	mb.mu.Lock()
 	mb.live = map[string]bool{}
 	mb.mu.Unlock()
-	mb.changedLive(items)
+	mb.updateLive(items)
 }
 
-func (mb *Member) changedLive(items []storemsg.Item) {
+func (mb *Member) updateLive(items []storemsg.Item) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	for _, item := range items {
@@ -113,5 +112,5 @@
 		}
 		mb.live[name] = true
 	}
-	mb.liveAt = mb.clock.Now()
+	mb.liveUpdatedAt = mb.clock.Now()
 }
