--- a/internal/planner/waits.go
+++ b/internal/planner/waits.go
@@ -21,9 +21,9 @@
 	for _, wt := range ld.cell.LongestWaiting(now, waitsLeast, waitsMost) {
 		ld.log.Info("Step waits.", "step", wt.Step.StepName(), "for", wt.Waited.String(), "tasks", wt.Tasks,
 			"placed", wt.Placed, "asking", wt.AdvicePending, "asked", wt.Asked, "allowed", wt.Allowed, "room", wt.Startable,
-			"kept_free", wt.Reserved, "tickets", wt.Tickets, "questions", wt.Questions, "unanswered", wt.Unanswered, "late", wt.Late,
-			"workspace", wt.Use.Workspace.Name, "at_limit", wt.AtLimit, "excess", wt.Excess,
-			"running", wt.Use.Running.String(), "limit", wt.Use.Workspace.Limit.String())
+			"kept_free", wt.Reserved, "tickets", wt.Tickets, "questions", wt.Requests, "unanswered", wt.Unanswered, "late", wt.Late,
+			"workspace", wt.Usage.Workspace.Name, "at_limit", wt.AtLimit, "excess", wt.Excess,
+			"running", wt.Usage.Running.String(), "limit", wt.Usage.Workspace.Limit.String())
 	}
 	ld.measureLimits()
 }
--- a/internal/standin/memworkers/memworkers.go
+++ b/internal/standin/memworkers/memworkers.go
@@ -170,7 +170,7 @@
 		case !done.After(fl.clock.Now()) && !done.After(over):
 			fl.end(wk, name, cell.ResultDone)
 		case fl.clock.Now().After(over):
-			fl.end(wk, name, cell.ResultLapsed)
+			fl.end(wk, name, cell.ResultLeaseExpired)
 		}
 	}
 }
--- a/policy/cell/advice.go
+++ b/policy/cell/advice.go
@@ -8,143 +8,144 @@
 	"tackbeam.example/policy/work"
 )
 
-// advice is what the advisor said of the workers for one step.
+// advice is what the advisor has said about the workers for one step.
 type advice struct {
-	// verdicts hold for good: the leave of a worker that may run the step, nil for one that may not.
-	verdicts map[life.Life]*leave
-	// good are those that may.
-	good []*leave
-	// until is when the last of the tickets ends.
+	// verdicts are final: the permission of a worker that may run the step, nil for a worker that may not.
+	verdicts map[life.Life]*permission
+	// allowed are the permissions of the workers that may run the step.
+	allowed []*permission
+	// until is when the last of the tickets expires.
 	until time.Duration
-	// open counts the questions without an answer yet.
-	open int
-	// again is when the next question may be asked after one that failed.
-	again time.Duration
-	// questions counts the questions, unanswered those that had no answer.
-	questions, unanswered int
+	// pending counts the requests without an answer yet.
+	pending int
+	// retryAt is the earliest time for the next request after one that failed.
+	retryAt time.Duration
+	// requests counts the requests, unanswered those of them that got no answer.
+	requests, unanswered int
 }
 
-// leave is the advisor's word that a worker may run the step.
-type leave struct {
+// permission is the advisor's decision that a worker may run the step.
+type permission struct {
 	id life.Life
-	// worker is the one that had the id when it was last looked for.
+	// worker is the result of the last lookup of the ID.
 	worker *worker
-	// ticket proves the leave to the worker until a time.
+	// ticket proves the permission to the worker until a time.
 	ticket string
 	until  time.Duration
 }
 
-// Ticket is one row of an answer: the worker may run the step.
+// Ticket is one row of an answer: the worker may run the step. Nodes exchange it encoded under these field
+// names.
 type Ticket struct {
 	Worker life.Life
 	Text   string
 }
 
 func newAdvice() advice {
-	return advice{verdicts: map[life.Life]*leave{}}
+	return advice{verdicts: map[life.Life]*permission{}}
 }
 
 // advised reports whether the step runs only on workers that the advisor allows.
 func (st *step) advised() bool { return st.round.job.spec.Queue.Advised }
 
-// ticketed returns the workers that could start a task of the step now and have a ticket for it.
-// Most steps that wait have none, and of the others most workers' have ended.
-func (cl *Cell) ticketed(now time.Duration, st *step) []candidate {
-	need := cl.reaches(now)
-	if st.advice.until <= need {
+// withTickets returns the workers that could start a task of the step now and have a valid ticket for it. Most
+// waiting steps have no valid ticket, and the others have few.
+func (cl *Cell) withTickets(now time.Duration, st *step) []candidate {
+	until := cl.latestArrival(now)
+	if st.advice.until <= until {
 		return nil
 	}
-	valid := func(lv *leave) bool { return lv.until > need }
-	return slices.Collect(cl.holding(st, cl.allowed(st, valid), cl.room))
+	valid := func(pm *permission) bool { return pm.until > until }
+	return slices.Collect(cl.candidates(st, cl.allowedWorkers(st, valid), cl.startable))
 }
 
-// reaches returns when a start that is decided now has surely reached its worker, so that its
-// ticket must be good until then.
-func (cl *Cell) reaches(now time.Duration) time.Duration {
-	return now + ticketMargin + cl.window.late(cl.now)
+// latestArrival returns when a start that is decided now will have reached its worker at the latest. The ticket
+// must be valid until then.
+func (cl *Cell) latestArrival(now time.Duration) time.Duration {
+	return now + ticketMargin + cl.window.expectedLag(cl.now)
 }
 
-// goodUntil reports whether the worker has a ticket that ends after a time.
-func (ad *advice) goodUntil(wk *worker, at time.Duration) bool {
-	lv := ad.verdicts[wk.ID]
-	return lv != nil && lv.until > at
+// hasTicketUntil reports whether the worker has a ticket that expires after a time.
+func (ad *advice) hasTicketUntil(wk *worker, at time.Duration) bool {
+	pm := ad.verdicts[wk.ID]
+	return pm != nil && pm.until > at
 }
 
-// ticket is what proves to a worker that it may run the step, if anything does.
+// ticket returns the ticket that proves to a worker that it may run the step, or "".
 func (ad *advice) ticket(wk *worker) string {
-	if lv := ad.verdicts[wk.ID]; lv != nil {
-		return lv.ticket
+	if pm := ad.verdicts[wk.ID]; pm != nil {
+		return pm.ticket
 	}
 	return ""
 }
 
-// lapse takes in that a worker did not take its ticket.
-func (ad *advice) lapse(id life.Life) {
-	if lv := ad.verdicts[id]; lv != nil {
-		lv.until = 0
+// expireTicket records that a worker rejected its ticket.
+func (ad *advice) expireTicket(id life.Life) {
+	if pm := ad.verdicts[id]; pm != nil {
+		pm.until = 0
 	}
 }
 
-// AddAdvice takes in the answer to a question: the rows are good for a time from now.
-func (cl *Cell) AddAdvice(now time.Duration, qn AdviceRequest, rows []Ticket, valid time.Duration) {
-	st := cl.step(qn.Step)
+// AddAdvice records the answer to a request. The tickets are valid for the given time from now.
+func (cl *Cell) AddAdvice(now time.Duration, rq AdviceRequest, rows []Ticket, valid time.Duration) {
+	st := cl.step(rq.Step)
 	if st == nil {
 		return
 	}
-	st.advice.open--
-	st.claimed = 0 // with what is known now, other room may come sooner
-	fresh := 0
-	for _, id := range qn.Workers {
+	st.advice.pending--
+	st.selectedAt = 0 // with the new information, other capacity may become free sooner
+	unknown := 0
+	for _, id := range rq.Workers {
 		if _, asked := st.advice.verdicts[id]; !asked {
 			st.advice.verdicts[id] = nil
-			fresh++
+			unknown++
 		}
 	}
-	good := 0
+	allowed := 0
 	if len(rows) > 0 {
-		st.ticketsFirst, st.complete = false, 0
+		st.ticketsFirst, st.completeSince = false, 0
 	}
 	for _, row := range rows {
-		lv := st.advice.verdicts[row.Worker]
-		if lv == nil {
-			good++
-			lv = &leave{id: row.Worker}
-			st.advice.good = append(st.advice.good, lv)
-			st.advice.verdicts[row.Worker] = lv
+		pm := st.advice.verdicts[row.Worker]
+		if pm == nil {
+			allowed++
+			pm = &permission{id: row.Worker}
+			st.advice.allowed = append(st.advice.allowed, pm)
+			st.advice.verdicts[row.Worker] = pm
 		}
-		lv.ticket, lv.until = row.Text, now+valid
-		st.advice.until = max(st.advice.until, lv.until)
+		pm.ticket, pm.until = row.Text, now+valid
+		st.advice.until = max(st.advice.until, pm.until)
 	}
-	if fresh > 0 {
+	if unknown > 0 {
 		const weight = 0.1
 		qu := cl.queue(st.round.job.spec.Queue.Name)
-		qu.good += weight * (max(float64(good)/float64(fresh), minGood) - qu.good)
+		qu.allowedShare += weight * (max(float64(allowed)/float64(unknown), minAllowedShare) - qu.allowedShare)
 	}
 }
 
-// minGood keeps the expected share of allowed workers above zero.
-const minGood = 0.05
+// minAllowedShare keeps the estimated share of allowed workers above zero.
+const minAllowedShare = 0.05
 
-// AdviceFailed takes in that a question was not answered.
-func (cl *Cell) AdviceFailed(now time.Duration, qn AdviceRequest) {
-	if st := cl.step(qn.Step); st != nil {
-		st.advice.open--
+// AdviceFailed records that a request got no answer.
+func (cl *Cell) AdviceFailed(now time.Duration, rq AdviceRequest) {
+	if st := cl.step(rq.Step); st != nil {
+		st.advice.pending--
 		st.advice.unanswered++
-		st.advice.again = now + askPause
+		st.advice.retryAt = now + failedRequestPause
 	}
 }
 
-// AdviceDeferred takes in that a question was not put, since the advisor is busy.
-func (cl *Cell) AdviceDeferred(now time.Duration, qn AdviceRequest) {
-	if st := cl.step(qn.Step); st != nil {
-		st.advice.open--
+// AdviceDeferred records that a request was not sent because the advisor is busy.
+func (cl *Cell) AdviceDeferred(now time.Duration, rq AdviceRequest) {
+	if st := cl.step(rq.Step); st != nil {
+		st.advice.pending--
 		st.advice.unanswered++
-		if st.urgent() { // these do not wait for their turn, so each pauses by itself
-			st.advice.again = now + askPause
+		if st.urgent() { // these do not wait for their turn, so each step pauses by itself
+			st.advice.retryAt = now + failedRequestPause
 			return
 		}
 	}
-	cl.askAgain, cl.busy = now+busyPause, now
+	cl.nextRequestAt, cl.advisorBusyAt = now+advisorBusyPause, now
 }
 
 func (cl *Cell) step(name work.Task) *step {
--- a/policy/cell/cell.go
+++ b/policy/cell/cell.go
@@ -1,9 +1,9 @@
-// Package cell decides for one cell of workers: which task starts where and when,
-// what is stopped, and what a job's state is.
+// Package cell schedules the jobs of one cell of workers: it decides which task starts where and when, which
+// runs are stopped, and what state each job is in.
 //
-// A Cell is pure: times come in with each call, orders and records go out through
-// Take. It learns from three sources: the journal (jobs, cancels and records of
-// earlier planners), the workers' reports, and the advisor's answers.
+// A Cell performs no I/O and reads no clock: the time is passed to each call, and orders and records are
+// collected with TakeOutput. Its inputs are the journal (jobs, cancellations and records of earlier planners),
+// the workers' reports, and the advisor's answers.
 package cell
 
 import (
@@ -15,99 +15,99 @@
 	"tackbeam.example/policy/quota"
 )
 
-// Options of a cell.
+// Options configure a cell.
 type Options struct {
-	// Retention is how long an ended job can still be asked for.
+	// Retention is how long an ended job can still be queried.
 	Retention time.Duration
-	// FirstRun is the lowest number of a run that this planner starts.
+	// FirstRun is the lowest run number that this planner assigns.
 	FirstRun int
-	// InitialWindow is how many starts may be under way at first; it follows how fast they
-	// are answered. 0 is no limit.
+	// InitialWindow is the initial limit on starts in flight; the limit then adapts to how fast they are
+	// answered. 0 means no limit.
 	InitialWindow int
-	// StopTimeout is how long a worker may take to stop a run. Its reports do not name
-	// the run meanwhile, though it still runs.
+	// StopTimeout is how long a worker may take to stop a run. Meanwhile its reports omit the run although it
+	// is still running.
 	StopTimeout time.Duration
 }
 
 // Cell is the state of one cell. It is not safe for concurrent use.
 type Cell struct {
 	opts Options
-	// now is the time of the present plan; overClaims is set while room that is kept free
-	// for gangs may be used by others.
-	now        time.Duration
-	overClaims bool
-	// plans counts the plans.
-	plans int
-	// askAgain is when questions that are not urgent may be put again, asked how many the
-	// present plan has put.
-	askAgain time.Duration
-	// busy is when the last such question found the advisor busy.
-	busy    time.Duration
-	asked   int
-	jobs    map[string]*job
-	workers map[life.Life]*worker
-	// open are the steps with tasks that wait.
+	// now is the time of the current plan; ignoreReserved is set while a step may use capacity reserved for
+	// gangs.
+	now            time.Duration
+	ignoreReserved bool
+	// planCount is the number of plans made so far.
+	planCount int
+	// nextRequestAt is the earliest time for further non-urgent advice requests; requestsSent counts those of
+	// the current plan.
+	nextRequestAt time.Duration
+	// advisorBusyAt is when a non-urgent request was last deferred because the advisor was busy.
+	advisorBusyAt time.Duration
+	requestsSent  int
+	jobs          map[string]*job
+	workers       map[life.Life]*worker
+	// open holds the steps that are ready and not finished.
 	open    map[*step]bool
 	pools   map[string]*pool
 	queues  map[string]*queue
 	cancels map[string]cancel
-	// quota bounds what the workspaces have running.
+	// quota limits what each workspace has running.
 	quota *quota.Book
-	// doubted is when it was last counted what may be running unknown.
-	doubted time.Duration
-	// services are those that a job's tasks run on.
+	// unreportedAt is when the unreported usage of the workspaces was last estimated.
+	unreportedAt time.Duration
+	// services are the services that tasks of any job run on.
 	services map[string]bool
 	out      Output
-	// stops wait until the journal has them.
-	stops []provenStop
-	// recorded counts all records so far, committed those that are in the journal.
+	// stops are held back until the journal has their records.
+	stops []journaledStop
+	// recorded counts all records so far, committed those that the journal has.
 	recorded, committed int
-	settled             bool
-	// window bounds the starts under way, pending counts the urgent tasks of the present plan that
-	// have tickets or a question.
-	window  window
-	pending int
-	ended   []*job
-	// looks counts the workers that planning looked at.
-	looks int
-	// silences are when workers fell silent of late, excuses what was attributed to the tasks of each
-	// worker that has lapsed.
-	silences []time.Duration
-	excuses  map[life.Life]excuse
-	// predecessors are earlier lives of workers, by their ids.
+	recovered           bool
+	// window limits the starts in flight; urgentPending counts the urgent tasks of the current plan that have
+	// tickets or an advice request.
+	window        window
+	urgentPending int
+	ended         []*job
+	// examined counts the workers that planning has examined.
+	examined int
+	// unreachableTimes are the times at which workers recently became unreachable; attributions are the crashes
+	// attributed to tasks, by the worker whose lease expired.
+	unreachableTimes []time.Duration
+	attributions     map[life.Life]attribution
+	// predecessors are earlier incarnations of workers, by worker ID.
 	predecessors map[string][]predecessor
 }
 
-// queue is what the cell learned of a route's jobs.
+// queue is what the cell has learned from the jobs of a route.
 type queue struct {
-	pending int
-	runs    forecast.Model
-	// good is the share of workers that the advisor allowed of late.
-	good float64
+	queued   int
+	runTimes forecast.Model
+	// allowedShare is a moving average of the share of workers that the advisor allows.
+	allowedShare float64
 }
 
-// New returns an empty cell. Until Settle, tasks that an earlier planner may have
-// started wait.
+// New returns an empty cell. Tasks that an earlier planner may have started are not placed before
+// FinishRecovery.
 func New(opts Options) *Cell {
 	return &Cell{
 		opts: opts, jobs: map[string]*job{}, workers: map[life.Life]*worker{},
 		window: window{limit: opts.InitialWindow},
 		open:   map[*step]bool{}, pools: map[string]*pool{}, queues: map[string]*queue{}, cancels: map[string]cancel{}, quota: quota.New(),
-		services: map[string]bool{}, excuses: map[life.Life]excuse{}, predecessors: map[string][]predecessor{},
+		services: map[string]bool{}, attributions: map[life.Life]attribution{}, predecessors: map[string][]predecessor{},
 	}
 }
 
-// provenStop is a stop with the record that must be in the journal first: a run that
-// is being stopped is in no report, so that only the journal tells the next planner.
-type provenStop struct {
+// journaledStop is a stop together with the record that the journal must have first: reports omit a run that is
+// being stopped, so the next planner learns of it only from the journal.
+type journaledStop struct {
 	Stop
-	proof int
+	record int
 }
 
-// TakeOutput returns what the cell wants done and forgets it. Stops of runs that have
-// ended meanwhile are left out.
+// TakeOutput returns the pending output and clears it. Stops of runs that have ended in the meantime are
+// dropped.
 func (cl *Cell) TakeOutput() Output {
-	for len(cl.stops) > 0 && cl.stops[0].proof <= cl.committed {
+	for len(cl.stops) > 0 && cl.stops[0].record <= cl.committed {
 		cl.out.Stops = append(cl.out.Stops, cl.stops[0].Stop)
 		cl.stops = cl.stops[1:]
 	}
@@ -119,10 +119,10 @@
 	return out
 }
 
-// RecordCount returns how many records the cell has given out so far.
+// RecordCount returns the number of records produced so far.
 func (cl *Cell) RecordCount() int { return cl.recorded }
 
-// SetCommitted tells the cell that its first n records are in the journal.
+// SetCommitted marks the first n records as committed to the journal.
 func (cl *Cell) SetCommitted(n int) { cl.committed = max(cl.committed, n) }
 
 func (cl *Cell) record(rec Record) {
@@ -133,26 +133,26 @@
 func (cl *Cell) queue(name string) *queue {
 	qu, ok := cl.queues[name]
 	if !ok {
-		qu = &queue{good: firstGood}
+		qu = &queue{allowedShare: initialAllowedShare}
 		cl.queues[name] = qu
 	}
 	return qu
 }
 
-// firstGood is the share of workers expected to be allowed before any answer came.
-const firstGood = 0.4
+// initialAllowedShare is the assumed share of allowed workers before the advisor has answered.
+const initialAllowedShare = 0.4
 
-// Phase returns a job's state as far as the journal proves it, or false where the
-// job is not known, or is not the workspace's; an empty workspace stands for any.
+// Phase returns the state of a job as far as the journal has it, and false if the job is not known or belongs
+// to another workspace. An empty workspace matches any.
 func (cl *Cell) Phase(id, workspace string) (Phase, bool) {
 	jb, ok := cl.jobs[id]
-	if !ok || !jb.isOf(workspace) {
+	if !ok || !jb.belongsTo(workspace) {
 		return "", false
 	}
 	if !jb.phase.Ended() {
 		return jb.phase, true
 	}
-	if jb.proof > cl.committed {
+	if jb.endRecord > cl.committed {
 		return Running, true
 	}
 	return jb.phase, true
@@ -161,16 +161,16 @@
 // QueuedJobs returns how many accepted jobs of a queue have not begun.
 func (cl *Cell) QueuedJobs(name string) int {
 	if qu, ok := cl.queues[name]; ok {
-		return qu.pending
+		return qu.queued
 	}
 	return 0
 }
 
-// Counts returns the numbers of jobs, of steps that wait and of workers, for measures.
+// Counts returns the numbers of jobs, open steps and workers, for metrics.
 func (cl *Cell) Counts() (jobs, waiting, workers int) {
 	return len(cl.jobs), len(cl.open), len(cl.workers)
 }
 
-// WorkersExamined returns how many workers planning has looked at: its effort, which must not grow
-// with steps times workers.
-func (cl *Cell) WorkersExamined() int { return cl.looks }
+// WorkersExamined returns how many workers planning has examined, a measure of its cost. It must not grow with
+// the product of steps and workers.
+func (cl *Cell) WorkersExamined() int { return cl.examined }
--- a/policy/cell/crash.go
+++ b/policy/cell/crash.go
@@ -8,123 +8,122 @@
 	"tackbeam.example/policy/work"
 )
 
-// A task may crash each worker that starts it, and a worker that crashed reports no end. Its runs
-// are counted here, or it is started without an end and takes worker after worker along. A healthy task that ran beside it must not be lost for that, nor
-// one whose workers died of something else.
+// A task may crash every worker that starts it. A crashed worker reports no end, so crashes are counted here:
+// otherwise such a task would be restarted forever and take down one worker after the other. A healthy task
+// that ran beside it must not fail for that, nor one whose workers were lost for another reason.
 const (
-	// mostBlamed is how many workers may crash under a task, with nothing else to explain it,
-	// before its job fails. Two may be chance.
-	mostBlamed = 3
-	// mostCrashed is the same with all crashes, explained or not. Users allow two starts more
-	// after the third crash; one is left for a crash that nobody saw, as its planner died with it.
-	mostCrashed = 4
-	// provenAtWork is how long a run of a lasting task is at work before it clears the task: it
-	// meets every crash of a day.
-	provenAtWork = 20 * time.Second
-	// together is the time within which workers that fall silent may have one cause: a hold
-	// notices after 0 to 1 s that its worker is gone.
-	together = 500 * time.Millisecond
-	// manyTogether is how many others have to fall silent then.
-	manyTogether = 2
-	// silencesKept is how long silences are remembered: what follows from one is known after
-	// the lease of the worker, 5 s.
-	silencesKept = 30 * time.Second
+	// maxUnexplained is how many workers may crash under a task, without another explanation, before its
+	// job fails. Two may be coincidence.
+	maxUnexplained = 3
+	// maxCrashes is the limit for all crashes, explained or not. Users allow two more starts after the third
+	// crash; one of them is reserved for a crash that went unrecorded because its planner died with it.
+	maxCrashes = 4
+	// harmlessAfter is how long a run of a long-running task must be up before the task is cleared of its
+	// crashes: longer than any crash of a day's load takes to occur.
+	harmlessAfter = 20 * time.Second
+	// correlationWindow is the time within which workers that become unreachable may have a common cause: a
+	// pending report call notices after 0 to 1 s that its worker is gone.
+	correlationWindow = 500 * time.Millisecond
+	// minCorrelated is how many other workers must become unreachable in that window.
+	minCorrelated = 2
+	// unreachableRetention is how long these times are kept: the consequences are known once the worker's lease
+	// of 5 s has expired.
+	unreachableRetention = 30 * time.Second
 )
 
-// crashes are the runs of a task under which a worker crashed; true are those that nothing else
-// explains.
+// crashes maps the runs of a task under which a worker crashed to whether the crash has no other explanation.
 type crashes map[int]bool
 
-// blamed counts the crashes that nothing else explains.
-func (cs crashes) blamed() int {
+// unexplained counts the crashes without another explanation.
+func (cs crashes) unexplained() int {
 	count := 0
-	for _, blamed := range cs {
-		if blamed {
+	for _, unexplained := range cs {
+		if unexplained {
 			count++
 		}
 	}
 	return count
 }
 
-// tooMany reports whether the task is to be given up.
-func (cs crashes) tooMany() bool { return cs.blamed() >= mostBlamed || len(cs) >= mostCrashed }
+// exceeded reports whether the task is to be given up.
+func (cs crashes) exceeded() bool { return cs.unexplained() >= maxUnexplained || len(cs) >= maxCrashes }
 
-// excuse is what a lapsed worker's runs are cleared of, should the worker answer again.
-type excuse struct {
+// attribution lists the runs that a worker's loss was attributed to, to be withdrawn if the worker answers
+// again.
+type attribution struct {
 	at   time.Duration
 	runs []Run
 }
 
-// fellSilent notes when a worker ceased to answer.
-func (cl *Cell) fellSilent(now time.Duration, wk *worker) {
-	if wk.silent {
+// markUnreachable records when a worker stopped answering.
+func (cl *Cell) markUnreachable(now time.Duration, wk *worker) {
+	if wk.unreachable {
 		return
 	}
-	wk.silent, wk.silentAt = true, now
-	cl.silences = append(cl.silences, now)
+	wk.unreachable, wk.unreachableAt = true, now
+	cl.unreachableTimes = append(cl.unreachableTimes, now)
 }
 
-// withOthers reports whether other workers fell silent when this one did.
-func (cl *Cell) withOthers(wk *worker) bool {
+// correlated reports whether other workers became unreachable at the same time as this one.
+func (cl *Cell) correlated(wk *worker) bool {
 	count := 0
-	for _, at := range cl.silences {
-		if max(at-wk.silentAt, wk.silentAt-at) <= together {
+	for _, at := range cl.unreachableTimes {
+		if max(at-wk.unreachableAt, wk.unreachableAt-at) <= correlationWindow {
 			count++
 		}
 	}
-	return count > manyTogether // itself is one of them
+	return count > minCorrelated // the worker itself is one of them
 }
 
-// layCrash lays the loss of a worker to the tasks that ran on it, and returns those that are to
-// be given up.
-func (cl *Cell) layCrash(now time.Duration, wk *worker) (over []*task) {
-	if wk.Draining || wk.left {
-		return nil // it left, as it said or as others do that do not say so
+// attributeLoss attributes the loss of a worker to the tasks that ran on it, and returns those to be given up.
+func (cl *Cell) attributeLoss(now time.Duration, wk *worker) (exceeded []*task) {
+	if wk.Draining || wk.departed {
+		return nil // it left, announced or not
 	}
-	blamed := !cl.withOthers(wk)
-	for _, pl := range wk.places {
+	unexplained := !cl.correlated(wk)
+	for _, pl := range wk.placements {
 		tk := pl.task
-		if pl.inherited || tk.done || tk.step.round.job.phase.Ended() || cl.proven(wk, pl) {
+		if pl.inherited || tk.done || tk.step.round.job.phase.Ended() || cl.harmless(wk, pl) {
 			continue
 		}
-		cl.lay(now, pl, blamed)
-		if tk.crashes.tooMany() {
-			over = append(over, tk)
+		cl.attributeCrash(now, pl, unexplained)
+		if tk.crashes.exceeded() {
+			exceeded = append(exceeded, tk)
 		}
 	}
-	return over
+	return exceeded
 }
 
-// lay lays a crash to the task of a run.
-func (cl *Cell) lay(now time.Duration, pl *placement, blamed bool) {
-	if !pl.task.addCrash(pl.run, blamed) {
+// attributeCrash attributes a crash to the task of a run.
+func (cl *Cell) attributeCrash(now time.Duration, pl *placement, unexplained bool) {
+	if !pl.task.addCrash(pl.run, unexplained) {
 		return
 	}
 	name, id := pl.task.name(), pl.worker.ID
-	cl.record(Record{Job: name.Job, Task: &name, Result: ResultCrashed, Run: pl.run, Explained: !blamed, LostWorker: id})
-	cl.keepExcuse(now, id, Run{Task: name, Number: pl.run})
+	cl.record(Record{Job: name.Job, Task: &name, Result: ResultCrashed, Run: pl.run, Explained: !unexplained, LostWorker: id})
+	cl.keepAttribution(now, id, Run{Task: name, Number: pl.run})
 }
 
-// keepExcuse remembers what was attributed to a run, should its worker answer again.
-func (cl *Cell) keepExcuse(now time.Duration, id life.Life, run Run) {
-	cl.excuses[id] = excuse{now, append(cl.excuses[id].runs, run)}
+// keepAttribution remembers an attribution, to be withdrawn if the worker answers again.
+func (cl *Cell) keepAttribution(now time.Duration, id life.Life, run Run) {
+	cl.attributions[id] = attribution{now, append(cl.attributions[id].runs, run)}
 }
 
-// proven reports whether a run shows that its task does not crash workers, and clears the task.
-func (cl *Cell) proven(wk *worker, pl *placement) bool {
+// harmless reports whether a run proves that its task does not crash workers, and if so clears the task.
+func (cl *Cell) harmless(wk *worker, pl *placement) bool {
 	tk := pl.task
-	if !tk.step.def.Lasting || pl.since == 0 || wk.reported-pl.since < provenAtWork {
+	if !tk.step.def.Lasting || pl.runningSince == 0 || wk.lastReport-pl.runningSince < harmlessAfter {
 		return false
 	}
 	for run := range tk.crashes {
-		cl.clear(tk, run)
+		cl.clearCrash(tk, run)
 	}
 	return true
 }
 
-// clear takes a crash off a task.
-func (cl *Cell) clear(tk *task, run int) {
-	if _, laid := tk.crashes[run]; !laid {
+// clearCrash removes a crash from a task.
+func (cl *Cell) clearCrash(tk *task, run int) {
+	if _, attributed := tk.crashes[run]; !attributed {
 		return
 	}
 	delete(tk.crashes, run)
@@ -132,20 +131,20 @@
 	cl.record(Record{Job: name.Job, Task: &name, Result: ResultCleared, Run: run})
 }
 
-// addCrash counts a run under which a worker crashed. It reports false where it was counted before.
-func (tk *task) addCrash(run int, blamed bool) bool {
+// addCrash counts a run under which a worker crashed. It reports false if the run was counted before.
+func (tk *task) addCrash(run int, unexplained bool) bool {
 	if _, known := tk.crashes[run]; known {
 		return false
 	}
 	if tk.crashes == nil {
 		tk.crashes = crashes{}
 	}
-	tk.crashes[run], tk.step.hit = blamed, true
+	tk.crashes[run], tk.step.crashSeen = unexplained, true
 	return true
 }
 
-// giveUp fails the jobs of tasks under which too many workers crashed.
-func (cl *Cell) giveUp(now time.Duration, tks []*task) {
+// failJobs fails the jobs of tasks under which too many workers crashed.
+func (cl *Cell) failJobs(now time.Duration, tks []*task) {
 	for _, tk := range tks {
 		if jb := tk.step.round.job; !jb.phase.Ended() {
 			cl.finish(now, jb, Failed)
@@ -153,32 +152,32 @@
 	}
 }
 
-// excuse takes the loss of a worker off the tasks that ran on it: it answers again, so that it was
-// cut off and did not crash.
-func (cl *Cell) excuse(id life.Life) {
-	for _, rn := range cl.excuses[id].runs {
+// withdrawAttributions removes the loss of a worker from the tasks that ran on it: it answers again, so it was
+// disconnected and did not crash.
+func (cl *Cell) withdrawAttributions(id life.Life) {
+	for _, rn := range cl.attributions[id].runs {
 		if tk := cl.find(rn.Task); tk != nil {
-			cl.clear(tk, rn.Number)
+			cl.clearCrash(tk, rn.Number)
 		}
 	}
-	delete(cl.excuses, id)
+	delete(cl.attributions, id)
 }
 
-// forgetLosses forgets silences and excuses that can matter no more.
-func (cl *Cell) forgetLosses(now time.Duration) {
-	cl.silences = slices.DeleteFunc(cl.silences, func(at time.Duration) bool { return now-at > silencesKept })
-	for id, ex := range cl.excuses {
-		if now-ex.at > cl.opts.Retention {
-			delete(cl.excuses, id)
+// pruneLosses discards unreachable times and attributions that no longer matter.
+func (cl *Cell) pruneLosses(now time.Duration) {
+	cl.unreachableTimes = slices.DeleteFunc(cl.unreachableTimes, func(at time.Duration) bool { return now-at > unreachableRetention })
+	for id, at := range cl.attributions {
+		if now-at.at > cl.opts.Retention {
+			delete(cl.attributions, id)
 		}
 	}
 }
 
-// CrashCounts returns how many workers crashed under a task, and how many of these crashes nothing
-// else explains, for the log.
-func (cl *Cell) CrashCounts(name work.Task) (all, blamed int) {
+// CrashCounts returns how many workers crashed under a task, and how many of these crashes have no other
+// explanation, for the log.
+func (cl *Cell) CrashCounts(name work.Task) (all, unexplained int) {
 	if tk := cl.find(name); tk != nil {
-		return len(tk.crashes), tk.crashes.blamed()
+		return len(tk.crashes), tk.crashes.unexplained()
 	}
 	return 0, 0
 }
--- a/policy/cell/evacuate.go
+++ b/policy/cell/evacuate.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// Limits of moving work off workers that leave.
+// Limits of moving work off draining workers.
 const (
-	// lastCall is how long before a worker leaves the tasks that save their progress
-	// are stopped, so that they go on elsewhere from there: a stop takes up to 0.9 s.
-	lastCall = 1200 * time.Millisecond
-	// hopeless is by how much more than the worker's remaining time a task must need to
-	// be moved at once: a worker may stay longer than it promises.
-	hopeless = 1500 * time.Millisecond
+	// checkpointLead is how long before a worker leaves that tasks which save checkpoints are stopped, so that
+	// they continue elsewhere from there: a stop takes up to 0.9 s.
+	checkpointLead = 1200 * time.Millisecond
+	// overrunMargin is how far a task's remaining time must exceed the worker's for it to be moved at once: a
+	// worker may stay longer than it announced.
+	overrunMargin = 1500 * time.Millisecond
 )
 
-// evacuate moves work off workers that leave, where staying would lose it.
+// evacuate moves work off draining workers if staying would lose it.
 func (cl *Cell) evacuate(now time.Duration) {
 	for _, wk := range cl.workers {
 		if !wk.Draining || !wk.answered {
 			continue
 		}
-		for _, pl := range wk.places {
+		for _, pl := range wk.placements {
 			if pl.state == running && cl.shouldMove(now, wk, pl) {
-				cl.stop(pl, "worker leaves")
+				cl.stop(pl, "worker is draining")
 				if pl.task.step.def.Gang {
-					cl.breakGang(pl.task.step, "gang's worker leaves")
+					cl.stopGang(pl.task.step, "worker of a gang member is draining")
 				}
 			}
 		}
 	}
 }
 
-// shouldMove reports whether a run is better ended now than by the worker's leaving.
+// shouldMove reports whether a run is better ended now than when the worker leaves.
 func (cl *Cell) shouldMove(now time.Duration, wk *worker, pl *placement) bool {
 	def := pl.task.step.def
-	left := wk.leaves - now
+	left := wk.leavesAt - now
 	switch {
 	case def.Lasting:
-		return pl.task.step.away() < def.MayMiss
-	case pl.percent >= whole:
+		return pl.task.step.unavailable() < def.MayMiss
+	case pl.percent >= fullPercent:
 		return false
-	case cl.remains(now, pl) <= left:
+	case cl.remainingTime(now, pl) <= left:
 		return false
 	case def.Checkpoints:
-		return left < lastCall
+		return left < checkpointLead
 	}
-	return cl.remains(now, pl) > left+hopeless
+	return cl.remainingTime(now, pl) > left+overrunMargin
 }
 
-// away counts the tasks of a lasting step that are not at work.
-func (st *step) away() int {
+// unavailable counts the tasks of a long-running step that are not up.
+func (st *step) unavailable() int {
 	count := 0
 	for _, tk := range st.tasks {
-		if tk.place == nil || tk.place.state != running || tk.place.percent < whole {
+		if tk.placement == nil || tk.placement.state != running || tk.placement.percent < fullPercent {
 			count++
 		}
 	}
--- a/policy/cell/gang.go
+++ b/policy/cell/gang.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// lookEvery is how often a late gang that does not gather is looked at: a backlog consists
-// of such ones, and looking at each in each plan takes longer than the pause between two.
-const lookEvery = 50 * time.Millisecond
+// lateGangInterval is how often a late gang without a reservation is considered: a backlog consists of such
+// gangs, and considering each in every plan takes longer than the pause between two plans.
+const lateGangInterval = 50 * time.Millisecond
 
-// planGang places all tasks of a gang, or none. It reports whether the gang lacks room,
-// not only the advisor's answer.
-func (cl *Cell) planGang(now time.Duration, rd ranked) (short bool) {
+// planGang places all tasks of a gang or none. It reports whether the gang lacks capacity, and not just the
+// advisor's answer.
+func (cl *Cell) planGang(now time.Duration, rd ranked) (lacksCapacity bool) {
 	st := rd.step
-	if rd.rank.late && len(st.claims) == 0 && now-st.looked < lookEvery {
+	if rd.rank.late && len(st.reserved) == 0 && now-st.lastTried < lateGangInterval {
 		return false
 	}
 	if !cl.window.open(st.urgent()) {
-		st.gathered = cl.plans // an urgent gang that asks ahead
+		st.reservePlan = cl.planCount // an urgent gang that requests advice ahead of its start
 		return false
 	}
-	st.looked = now
-	if chosen, ok := cl.seat(st, cl.startable(now, st)); ok {
+	st.lastTried = now
+	if chosen, ok := cl.selectGangWorkers(st, cl.gangCandidates(now, st)); ok {
 		cl.startGang(now, st, chosen)
 		return false
 	}
-	cl.gather(now, st)
-	cl.askWide(now, st)
-	return !st.advised() || len(st.advice.good) > 0
+	cl.reserve(now, st)
+	cl.requestForReservation(now, st)
+	return !st.advised() || len(st.advice.allowed) > 0
 }
 
-// startable returns the workers that could start tasks of the gang now.
-func (cl *Cell) startable(now time.Duration, st *step) []candidate {
+// gangCandidates returns the workers that could start tasks of the gang now.
+func (cl *Cell) gangCandidates(now time.Duration, st *step) []candidate {
 	if st.advised() {
-		return cl.ticketed(now, st)
+		return cl.withTickets(now, st)
 	}
-	return slices.Collect(cl.tight(st))
+	return slices.Collect(cl.bestFit(st))
 }
 
-// startGang starts all tasks of the gang with one run number and one checkpoint.
+// startGang starts all tasks of the gang with the same run number and checkpoint.
 func (cl *Cell) startGang(now time.Duration, st *step, chosen []candidate) {
 	run, checkpoint := 0, ""
 	for _, tk := range st.tasks {
@@ -49,22 +49,22 @@
 			checkpoint = tk.checkpoint
 		}
 	}
-	at := 0
+	i := 0
 	for _, tk := range st.tasks {
-		for chosen[at].room == 0 {
-			at++
+		for chosen[i].slots == 0 {
+			i++
 		}
-		chosen[at].room--
+		chosen[i].slots--
 		tk.checkpoint = checkpoint
-		cl.start(now, tk, chosen[at].worker, run)
+		cl.start(now, tk, chosen[i].worker, run)
 	}
-	cl.unclaim(st)
-	st.promised, st.complete = 0, 0
+	cl.releaseReservation(st)
+	st.promisedAt, st.completeSince = 0, 0
 }
 
-// seat chooses workers that together have room for the whole gang: on one rack if
-// the gang asks for that and one suffices, near its data first, few of them.
-func (cl *Cell) seat(st *step, cands []candidate) ([]candidate, bool) {
+// selectGangWorkers chooses workers that together have capacity for the whole gang: in one rack if the gang
+// asks for that and one suffices, preferably near its data, and as few as possible.
+func (cl *Cell) selectGangWorkers(st *step, cands []candidate) ([]candidate, bool) {
 	if st.def.SameRack {
 		racks := map[string][]candidate{}
 		for _, cand := range cands {
@@ -79,26 +79,26 @@
 	return st.fill(cands)
 }
 
-// fill takes the workers with most room until the gang has its places.
+// fill takes the workers with most capacity until all tasks of the gang have a place.
 func (st *step) fill(cands []candidate) ([]candidate, bool) {
 	left := len(st.tasks)
-	if total(cands) < left {
+	if totalSlots(cands) < left {
 		return nil, false
 	}
 	cands = slices.Clone(cands)
 	suspect := st.suspect()
 	slices.SortFunc(cands, func(a, b candidate) int {
 		return cmp.Or(
-			cmp.Compare(st.shunned(a.worker, suspect), st.shunned(b.worker, suspect)),
-			cmp.Compare(st.far(a.worker), st.far(b.worker)),
-			cmp.Compare(b.room, a.room), cmp.Compare(a.worker.free(), b.worker.free()),
+			cmp.Compare(st.avoided(a.worker, suspect), st.avoided(b.worker, suspect)),
+			cmp.Compare(st.rackDistance(a.worker), st.rackDistance(b.worker)),
+			cmp.Compare(b.slots, a.slots), cmp.Compare(a.worker.freeProcessors(), b.worker.freeProcessors()),
 			cmp.Compare(a.worker.ID, b.worker.ID),
 		)
 	})
 	var chosen []candidate
 	for _, cand := range cands {
-		cand.room = min(cand.room, left)
-		left -= cand.room
+		cand.slots = min(cand.slots, left)
+		left -= cand.slots
 		chosen = append(chosen, cand)
 		if left == 0 {
 			return chosen, true
@@ -107,19 +107,19 @@
 	return nil, false
 }
 
-// total is the room of all candidates together.
-func total(cands []candidate) int {
+// totalSlots is the number of tasks that all candidates together could start.
+func totalSlots(cands []candidate) int {
 	sum := 0
 	for _, cand := range cands {
-		sum += cand.room
+		sum += cand.slots
 	}
 	return sum
 }
 
-// shunned is 1 for workers on which a member failed or stood still, and where the step is
-// suspect for those with another that is.
-func (st *step) shunned(wk *worker, suspect bool) int {
-	if suspect && wk.carriesSuspect(st) {
+// avoided is 1 for workers on which a member failed or hung, and, if the step is suspect, for workers with
+// another suspect.
+func (st *step) avoided(wk *worker, suspect bool) int {
+	if suspect && wk.hasOtherSuspect(st) {
 		return 1
 	}
 	for _, tk := range st.tasks {
--- a/policy/cell/job.go
+++ b/policy/cell/job.go
@@ -6,32 +6,32 @@
 	"tackbeam.example/policy/work"
 )
 
-// job is one accepted job.
+// job is an accepted job.
 type job struct {
 	spec *work.Job
-	// inherited jobs were there before this planner: workers may hold their tasks.
+	// inherited jobs were accepted before this planner took over: workers may hold their tasks.
 	inherited bool
-	arrived   time.Duration
-	// excess jobs are beyond what their workspace is owed.
+	arrivedAt time.Duration
+	// excess jobs exceed the rate that their workspace is entitled to.
 	excess   bool
 	rounds   map[int]*round
 	opened   int
 	finished int
 	phase    Phase
-	// proof is the number of records that must be committed to show that the job has ended.
-	proof   int
-	endedAt time.Duration
+	// endRecord is the number of records that must be committed to prove that the job has ended.
+	endRecord int
+	endedAt   time.Duration
 }
 
-// Add takes in a job of the journal. Inherited ones were there before this planner.
-// A job that is known already stays as it is.
+// Add adds a job from the journal. Inherited jobs were accepted before this planner took over. A job that is
+// already known is left unchanged.
 func (cl *Cell) Add(now time.Duration, spec *work.Job, inherited bool) {
 	cl.add(now, now, spec, inherited)
 }
 
-// AddAged takes in an inherited job that was accepted a while ago: with its age it keeps its
-// place among those that wait. Where each planner counted from its own beginning, what had
-// waited longest began anew behind the rest.
+// AddAged adds an inherited job that was accepted some time ago, so that it keeps its place among the waiting
+// jobs. When each planner measured age from its own start, the jobs that had waited longest were put behind the
+// rest again.
 func (cl *Cell) AddAged(now, age time.Duration, spec *work.Job) {
 	cl.add(now, now-age, spec, true)
 }
@@ -40,13 +40,13 @@
 	if _, known := cl.jobs[spec.ID]; known {
 		return
 	}
-	jb := &job{spec: spec, inherited: inherited, arrived: arrived, rounds: map[int]*round{}, phase: Queued}
+	jb := &job{spec: spec, inherited: inherited, arrivedAt: arrived, rounds: map[int]*round{}, phase: Queued}
 	cl.jobs[spec.ID] = jb
 	cl.services[spec.Queue.Service] = true
-	cl.queue(spec.Queue.Name).pending++
+	cl.queue(spec.Queue.Name).queued++
 	cl.quota.Set(spec.Workspace)
 	jb.excess = !inherited && !cl.quota.Owes(spec.Workspace.Name, arrived)
-	if cn, cancelled := cl.cancels[spec.ID]; cancelled && jb.isOf(cn.workspace) {
+	if cn, cancelled := cl.cancels[spec.ID]; cancelled && jb.belongsTo(cn.workspace) {
 		cl.finish(now, jb, Cancelled)
 		return
 	}
@@ -55,24 +55,24 @@
 	}
 }
 
-// cancel is a cancel by a workspace's caller, at a time; an empty workspace stands for any.
+// cancel is a cancellation by a caller of a workspace; an empty workspace matches any.
 type cancel struct {
 	at        time.Duration
 	workspace string
 }
 
-// isOf reports whether the job is a workspace's; an empty name stands for any, and a job without a workspace
-// is everybody's.
-func (jb *job) isOf(workspace string) bool {
+// belongsTo reports whether the job belongs to a workspace. An empty name matches any, and a job without a
+// workspace belongs to all.
+func (jb *job) belongsTo(workspace string) bool {
 	name := jb.spec.Workspace.Name
 	return workspace == "" || name == "" || name == workspace
 }
 
-// Cancel takes in a cancel of the journal, which may come before its job. One by a caller of another
-// workspace has no effect.
+// Cancel applies a cancellation from the journal, which may come before its job. A cancellation by a caller of
+// another workspace has no effect.
 func (cl *Cell) Cancel(now time.Duration, id, workspace string) {
 	jb, ok := cl.jobs[id]
-	if ok && !jb.isOf(workspace) {
+	if ok && !jb.belongsTo(workspace) {
 		return
 	}
 	cl.cancels[id] = cancel{now, workspace}
@@ -81,7 +81,7 @@
 	}
 }
 
-// Restore takes in the records of earlier planners. Jobs come before their records.
+// Restore applies the records of earlier planners. Jobs must have been added before.
 func (cl *Cell) Restore(now time.Duration, recs []Record) {
 	for _, rec := range recs {
 		if jb, ok := cl.jobs[rec.Job]; ok && rec.Phase.Ended() && !jb.phase.Ended() {
@@ -108,25 +108,25 @@
 		return
 	}
 	tk.run = max(tk.run, rec.Run)
-	over := false
+	exceeded := false
 	switch rec.Result {
 	case ResultDone:
 		cl.taskDone(now, tk, false)
 	case ResultCrashed:
 		tk.addCrash(rec.Run, !rec.Explained)
-		cl.keepExcuse(now, rec.LostWorker, Run{Task: *rec.Task, Number: rec.Run})
-		over = tk.crashes.tooMany()
+		cl.keepAttribution(now, rec.LostWorker, Run{Task: *rec.Task, Number: rec.Run})
+		exceeded = tk.crashes.exceeded()
 	case ResultCleared:
 		delete(tk.crashes, rec.Run)
 	default:
-		over = tk.addFail(rec.Run) && tk.exhausted()
+		exceeded = tk.addFailure(rec.Run) && tk.exhausted()
 	}
-	if over {
-		cl.finish(now, rd.job, Failed) // the earlier planner ended before it could say so
+	if exceeded {
+		cl.finish(now, rd.job, Failed) // the earlier planner ended before it could record that
 	}
 }
 
-// find returns the task of the name, or nil where no open round has it.
+// find returns the task of that name, or nil if no open round has it.
 func (cl *Cell) find(name work.Task) *task {
 	jb, ok := cl.jobs[name.Job]
 	if !ok {
@@ -139,47 +139,47 @@
 	return rd.task(name)
 }
 
-// begin notes that a task of the job has begun.
+// begin records that a task of the job has begun.
 func (cl *Cell) begin(jb *job) {
 	if jb.phase == Queued {
 		jb.phase = Running
-		cl.queue(jb.spec.Queue.Name).pending--
+		cl.queue(jb.spec.Queue.Name).queued--
 	}
 }
 
-// finish ends a job, stops what it still runs and records the end.
+// finish ends a job, stops its remaining runs and records its end.
 func (cl *Cell) finish(now time.Duration, jb *job, phase Phase) {
 	cl.close(now, jb, phase)
 	cl.record(Record{Job: jb.spec.ID, Phase: phase})
-	jb.proof = cl.recorded
+	jb.endRecord = cl.recorded
 }
 
 func (cl *Cell) close(now time.Duration, jb *job, phase Phase) {
 	if jb.phase == Queued {
-		cl.queue(jb.spec.Queue.Name).pending--
+		cl.queue(jb.spec.Queue.Name).queued--
 	}
 	jb.phase = phase
 	jb.endedAt = now
 	cl.ended = append(cl.ended, jb)
 	for _, rd := range jb.rounds {
 		for _, st := range rd.steps {
-			cl.shut(st)
+			cl.closeStep(st)
 			for _, tk := range st.tasks {
-				if tk.place != nil && !tk.done {
-					cl.stop(tk.place, "job "+string(phase))
+				if tk.placement != nil && !tk.done {
+					cl.stop(tk.placement, "job "+string(phase))
 				}
 			}
 		}
 	}
 }
 
-// prune forgets jobs that ended long ago, and cancels whose job never came.
+// prune discards jobs that ended long ago, and cancellations whose job never arrived.
 func (cl *Cell) prune(now time.Duration) {
 	for len(cl.ended) > 0 && now-cl.ended[0].endedAt > cl.opts.Retention {
 		delete(cl.jobs, cl.ended[0].spec.ID)
 		cl.ended = cl.ended[1:]
 	}
-	cl.forgetLosses(now)
+	cl.pruneLosses(now)
 	for id, cn := range cl.cancels {
 		if now-cn.at > cl.opts.Retention {
 			delete(cl.cancels, id)
@@ -187,15 +187,15 @@
 	}
 }
 
-// Retains reports whether the cell still keeps a job or a cancel with the id.
+// Retains reports whether the cell has a job or a cancellation with the ID.
 func (cl *Cell) Retains(id string) bool {
 	_, job := cl.jobs[id]
 	_, cancel := cl.cancels[id]
 	return job || cancel
 }
 
-// UpdateQueues takes the present settings of queues over into the jobs that have not
-// ended, unless they came with later ones. A queue whose route is gone keeps the settings that its jobs came with.
+// UpdateQueues applies the current settings of queues to the jobs that have not ended, unless a job came with
+// later ones. Jobs of a queue whose route has been removed keep theirs.
 func (cl *Cell) UpdateQueues(settings func(name string) (work.Queue, bool)) {
 	for _, jb := range cl.jobs {
 		if qu, ok := settings(jb.spec.Queue.Name); ok && !jb.phase.Ended() {
--- a/policy/cell/limits.go
+++ b/policy/cell/limits.go
@@ -8,13 +8,13 @@
 	"tackbeam.example/policy/work"
 )
 
-// What a workspace has running counts from the order to start it until the worker shows that it is gone, or
-// cannot hold it any more, like the worker's room.
+// The usage of a workspace includes a run from the order to start it until the worker shows that it is gone, or
+// cannot hold it any more, like the resources taken on the worker.
 
-// workspace returns the name of the workspace whose work the step is.
+// workspace returns the name of the workspace that the step belongs to.
 func (st *step) workspace() string { return st.round.job.spec.Workspace.Name }
 
-// UpdateWorkspaces takes in the present settings of the workspaces that have jobs.
+// UpdateWorkspaces applies the current settings of the workspaces that have jobs.
 func (cl *Cell) UpdateWorkspaces(settings func(name string) (work.Workspace, bool)) {
 	cl.quota.Update(settings)
 }
@@ -25,11 +25,11 @@
 // allowance is how many more tasks of the step its workspace may have running.
 func (cl *Cell) allowance(st *step) int { return cl.quota.Room(st.workspace(), st.need()) }
 
-// wants is how many of the step's tasks wait, as far as its workspace may have them running.
-func (cl *Cell) wants(st *step) int { return min(st.waits, cl.allowance(st)) }
+// wanted is how many tasks of the step wait, as far as its workspace may have them running.
+func (cl *Cell) wanted(st *step) int { return min(st.waits, cl.allowance(st)) }
 
-// atLimit reports whether nothing of the step may start by the limit of its workspace. Such a step keeps no
-// room free and asks for no tickets, which others could use.
+// atLimit reports whether the limit of its workspace keeps the step from starting. Such a step reserves no
+// capacity and requests no tickets, which others could use.
 func (cl *Cell) atLimit(st *step) bool {
 	if st.def.Gang {
 		return cl.allowance(st) < len(st.tasks)
@@ -37,35 +37,36 @@
 	return cl.allowance(st) == 0
 }
 
-// doubtsEvery is how often doubts are counted: meanwhile they only become fewer, and counting goes through all
-// jobs.
-const doubtsEvery = 50 * time.Millisecond
+// unreportedInterval is how often unreported usage is estimated: it only decreases in between, and the estimate
+// visits all jobs.
+const unreportedInterval = 50 * time.Millisecond
 
-// countDoubts bounds what workspaces may have running of which nobody knows: until each worker has reported to
-// this planner or lapsed, any task of an earlier planner may be on one of those that have not.
-func (cl *Cell) countDoubts(now time.Duration) {
-	if cl.settled || cl.doubted > 0 && now-cl.doubted < doubtsEvery {
+// updateUnreported estimates an upper bound of what workspaces have running without the cell knowing where:
+// until each worker has reported to this planner or its lease has expired, any task of an earlier planner may
+// be on one of those that have not.
+func (cl *Cell) updateUnreported(now time.Duration) {
+	if cl.recovered || cl.unreportedAt > 0 && now-cl.unreportedAt < unreportedInterval {
 		return
 	}
-	cl.doubted = now
-	most, bounded := cl.unheard()
-	doubts := map[string]size.Size{}
+	cl.unreportedAt = now
+	limit, bounded := cl.unreportedCapacity()
+	usages := map[string]size.Size{}
 	for _, jb := range cl.jobs {
 		name := jb.spec.Workspace.Name
 		if !jb.inherited || name == "" || jb.phase == Succeeded {
 			continue
 		}
-		doubts[name] = doubts[name].Add(jb.unplaced())
+		usages[name] = usages[name].Add(jb.unplaced())
 	}
-	for name, doubt := range doubts {
+	for name, usage := range usages {
 		if bounded {
-			doubts[name] = doubt.Min(most)
+			usages[name] = usage.Min(limit)
 		}
 	}
-	cl.quota.SetDoubts(doubts)
+	cl.quota.SetDoubts(usages)
 }
 
-// unplaced is the room of the job's tasks that are neither done nor known to be on a worker.
+// unplaced is what those tasks of the job take that are neither done nor known to be on a worker.
 func (jb *job) unplaced() size.Size {
 	var sum size.Size
 	for _, rd := range jb.rounds {
@@ -76,9 +77,9 @@
 	return sum
 }
 
-// unheard is the room of all workers that have not reported to this planner; false where that of one is not
-// known.
-func (cl *Cell) unheard() (size.Size, bool) {
+// unreportedCapacity is the capacity of all workers that have not reported to this planner; it returns false if
+// that of any is unknown.
+func (cl *Cell) unreportedCapacity() (size.Size, bool) {
 	var sum size.Size
 	for _, wk := range cl.workers {
 		if wk.answered {
--- a/policy/cell/messages.go
+++ b/policy/cell/messages.go
@@ -20,64 +20,64 @@
 	Cancelled Phase = "cancelled"
 )
 
-// Ended reports whether a job in the phase runs no more.
+// Ended reports whether the phase is final.
 func (ph Phase) Ended() bool { return ph == Succeeded || ph == Failed || ph == Cancelled }
 
-// Worker is what a worker says of itself.
+// Worker is the description that a worker gives of itself.
 type Worker struct {
 	ID       life.Life
 	Service  string
 	Capacity size.Size
-	// Rack is its rack's label, Labels are all of its labels.
+	// Rack is the label of its rack, Labels are all of its labels.
 	Rack   string
 	Labels []string
-	// Draining workers take no new tasks. Remaining is how long they stay, at least.
+	// Draining workers take no new tasks. Remaining is the least time that they stay.
 	Draining  bool
 	Remaining time.Duration
 }
 
-// Run is one start of a task, as a worker reports it while it is there.
+// Run is one start of a task, as the worker reports it.
 type Run struct {
 	Task       work.Task `cbor:"1,keyasint"`
 	Number     int       `cbor:"2,keyasint"`
 	Checkpoint string    `cbor:"3,keyasint,omitempty"`
-	// Percent of the task's work that is done.
+	// Percent is the progress of the task.
 	Percent int `cbor:"4,keyasint,omitempty"`
-	// TailLatencyMS is, for a task that serves users, the tail of their latency in milliseconds
-	// over the last half second.
+	// TailLatencyMS is, for a task that serves users, their tail latency over the last half second.
 	TailLatencyMS int `cbor:"5,keyasint,omitempty"`
 }
 
 // Result is how a run ended.
 type Result string
 
-// The results. Stopped, Lapsed, Broken and Alone do not count as attempts.
+// Results of runs. Stopped, LeaseExpired, Broken and Alone do not count as attempts.
 const (
-	ResultDone    Result = "done"
-	ResultFailed  Result = "failed"
-	ResultStopped Result = "stopped"
-	ResultLapsed  Result = "lapsed"
-	ResultBroken  Result = "broken"
-	ResultAlone   Result = "alone"
+	ResultDone         Result = "done"
+	ResultFailed       Result = "failed"
+	ResultStopped      Result = "stopped"
+	ResultLeaseExpired Result = "lapsed"
+	ResultBroken       Result = "broken"
+	ResultAlone        Result = "alone"
 )
 
-// The results that stand only in records: the run's worker crashed, or did not after all.
+// Results that appear in records only: the run's worker crashed, or the crash is no longer held against the
+// task.
 const (
 	ResultCrashed Result = "crashed"
 	ResultCleared Result = "cleared"
 )
 
-// End is one end of a run; its worker counts its ends by Seq.
+// End is the end of a run. Seq numbers the ends of one worker.
 type End struct {
 	Seq int
 	Run
 	Result Result
 }
 
-// Refusal is why a worker did not start a run.
+// Refusal is the reason why a worker did not start a run.
 type Refusal string
 
-// The refusals. RefusedUnhealthy stands for a worker that took nothing on.
+// Reasons for refusals. RefusedUnhealthy stands for a worker that accepted nothing.
 const (
 	RefusedStale      Refusal = "old"
 	RefusedLate       Refusal = "late"
@@ -95,56 +95,57 @@
 	Spec       string
 	Ticket     string
 	Checkpoint string
-	// Urgent is set for queues that go before others.
+	// Urgent is set for queues that are served before others.
 	Urgent bool
-	// DecidedAt is when the plan placed it.
+	// DecidedAt is when the plan placed the task.
 	DecidedAt time.Duration
 }
 
-// Stop is an order to end a run on a worker, and to keep it from starting later.
+// Stop is an order to end a run on a worker, and to prevent it from starting later.
 type Stop struct {
 	Worker life.Life
 	Task   work.Task
 	Run    int
 	// Reason is for the log.
 	Reason string
-	// Unknown is set for a run of which the cell knows nothing.
+	// Unknown is set for a run that the cell does not know.
 	Unknown bool
 	// Attempts counts the orders that were not confirmed.
 	Attempts int
 }
 
-// AdviceRequest asks the advisor which workers may run a step.
+// AdviceRequest asks the advisor which workers may run a step. Nodes exchange it encoded under these field
+// names.
 type AdviceRequest struct {
 	Step    work.Task
 	Workers []life.Life
 	// Takes is how long the advisor is expected to need.
 	Takes time.Duration
-	// Urgent questions go before others.
+	// Urgent requests are served before others.
 	Urgent bool
 }
 
-// Record is a fact that must outlive the planner.
+// Record is a fact that must survive a change of planner.
 type Record struct {
 	Job   string `cbor:"1,keyasint,omitempty"`
 	Phase Phase  `cbor:"2,keyasint,omitempty"`
-	// Task is set with Result and the number of the run that ended so.
+	// Task is set together with Result and the number of the run that ended.
 	Task   *work.Task `cbor:"3,keyasint,omitempty"`
 	Result Result     `cbor:"4,keyasint,omitempty"`
 	Run    int        `cbor:"5,keyasint,omitempty"`
-	// Worker is one that may hold any run from now on; with Closed it gets no more
-	// runs and holds at most Held, with Gone it holds none.
+	// Worker may hold any run from now on. With Closed, it gets no more runs and holds at most those in Held;
+	// with Gone, it holds none.
 	Worker life.Life `cbor:"6,keyasint,omitempty"`
 	Gone   bool      `cbor:"7,keyasint,omitempty"`
 	Closed bool      `cbor:"8,keyasint,omitempty"`
 	Held   []Run     `cbor:"9,keyasint,omitempty"`
-	// Stop says instead that the worker is told to stop the runs in Held.
+	// Stop instead marks the runs in Held as being stopped on the worker.
 	Stop bool `cbor:"10,keyasint,omitempty"`
-	// Explained says of a run that crashed that something else explains it, Left of a worker that
-	// is closed that it leaves in order.
+	// Explained marks a crash that has another explanation than the run's task, Departed a closed worker that
+	// leaves in an orderly way.
 	Explained bool `cbor:"11,keyasint,omitempty"`
 	Departed  bool `cbor:"12,keyasint,omitempty"`
-	// LostWorker is the worker that was lost with a run that crashed.
+	// LostWorker is the worker that was lost with a crashed run.
 	LostWorker life.Life `cbor:"13,keyasint,omitempty"`
 }
 
@@ -153,7 +154,7 @@
 	Starts []Start
 	Stops  []Stop
 	Paces  []Pace
-	// ReportRequests are workers whose next report is wanted at once.
+	// ReportRequests are workers whose next report is wanted immediately.
 	ReportRequests []life.Life
 	AdviceRequests []AdviceRequest
 	Records        []Record
--- a/policy/cell/placement.go
+++ b/policy/cell/placement.go
@@ -8,105 +8,104 @@
 	"tackbeam.example/policy/work"
 )
 
-// state of a placement.
+// state is the state of a placement.
 type state int
 
 const (
-	ordered state = iota // the start was sent, its answer is open
-	unsure               // the start was not answered; a report will tell
+	ordered     state = iota // the start was sent and has not been answered
+	unconfirmed              // the start got no answer; a report will show whether it was carried out
 	running
-	stopping // a stop was sent; the room is taken until the end is seen
+	stopping // a stop was sent; the resources are taken until the end is seen
 )
 
-// placement is a run on a worker. Its room is taken until the worker shows that the
-// run is gone, or cannot hold it any more.
+// placement is a run on a worker. Its resources are taken until the worker shows that the run is gone, or
+// cannot hold it any more.
 type placement struct {
 	task   *task
 	worker *worker
 	run    int
 	need   size.Size
 	state  state
-	// since is when the worker was known to have the run.
-	since time.Duration
-	// stopped is when the worker confirmed the stop, 0 before that; lost is when the
-	// start was given up.
-	stopped, lost time.Duration
+	// runningSince is when the worker was first known to have the run.
+	runningSince time.Duration
+	// stoppedAt is when the worker confirmed the stop, 0 before that; unconfirmedAt is when the start was given
+	// up.
+	stoppedAt, unconfirmedAt time.Duration
 	// inherited is set for a stop that an earlier planner may have sent.
 	inherited bool
 	percent   int
-	// moved is when percent last rose; from is what it was when the run was first seen at
-	// work, at the time begun.
-	moved, begun time.Duration
-	from         int
-	// resumed is set for a run that goes on from a checkpoint, midway for one that another planner
-	// started: what it had done when it was first seen says nothing of its speed.
-	resumed, midway bool
-	// reported is set once the worker has listed the run, delayed where a try of its start had no
-	// answer.
+	// progressAt is when percent last changed; initialPercent is its value when the run was first seen at work,
+	// at the time begunAt.
+	progressAt, begunAt time.Duration
+	initialPercent      int
+	// resumed is set for a run that continues from a checkpoint, adopted for one that another planner started:
+	// the progress that it had when first seen says nothing about its speed.
+	resumed, adopted bool
+	// reported is set once the worker has listed the run, delayed if an attempt of its start got no answer.
 	reported, delayed bool
-	// load is the worker's figure of the task's load, pace the percentage of its speed
-	// that it was last ordered to work at.
-	load, pace int
+	// tailLatencyMS is the latency reported for the task, pace the percentage of full speed that it was last
+	// ordered to run at.
+	tailLatencyMS, pace int
 }
 
-// key names a placement on its worker.
+// key identifies a placement on its worker.
 type key struct {
 	task work.Task
 	run  int
 }
 
-// FinishRecovery says that every worker on which an earlier planner may have started tasks
-// has answered or lapsed.
+// FinishRecovery records that every worker on which an earlier planner may have started tasks has answered, or
+// that its lease has expired.
 func (cl *Cell) FinishRecovery() {
-	cl.settled = true
+	cl.recovered = true
 	cl.quota.SetDoubts(nil)
 	for st := range cl.open {
 		if st.def.Gang && st.waits > 0 && st.waits < len(st.tasks) {
-			cl.breakGang(st, "gang is not complete")
+			cl.stopGang(st, "gang is incomplete")
 		}
 	}
 }
 
-// Recovered reports whether Settle was called.
-func (cl *Cell) Recovered() bool { return cl.settled }
+// Recovered reports whether FinishRecovery was called.
+func (cl *Cell) Recovered() bool { return cl.recovered }
 
-// place takes room for a run of a task.
+// place takes resources on a worker for a run of a task.
 func (cl *Cell) place(now time.Duration, tk *task, wk *worker, run int) *placement {
 	need := tk.step.need()
-	pl := &placement{task: tk, worker: wk, run: run, need: need, moved: now, begun: now, pace: whole}
+	pl := &placement{task: tk, worker: wk, run: run, need: need, progressAt: now, begunAt: now, pace: fullPercent}
 	pl.resumed = tk.checkpoint != ""
-	wk.places[key{tk.name(), run}] = pl
+	wk.placements[key{tk.name(), run}] = pl
 	wk.used = wk.used.Add(need)
 	cl.quota.Add(tk.step.workspace(), need)
 	if tk.runs == 0 && !tk.done {
 		tk.step.waits--
 	}
 	tk.runs++
-	if tk.place == nil || tk.place.run < run {
-		tk.place = pl
+	if tk.placement == nil || tk.placement.run < run {
+		tk.placement = pl
 	}
 	tk.run = max(tk.run, run)
 	return pl
 }
 
-// release gives the room of a run back.
+// release frees the resources of a run.
 func (cl *Cell) release(pl *placement) {
-	at := key{pl.task.name(), pl.run}
-	if pl.worker.places[at] != pl {
+	ky := key{pl.task.name(), pl.run}
+	if pl.worker.placements[ky] != pl {
 		return
 	}
-	delete(pl.worker.places, at)
+	delete(pl.worker.placements, ky)
 	pl.task.runs--
 	if st := pl.task.step; pl.task.runs == 0 && !pl.task.done {
 		if st.waits == 0 {
-			st.lacks = cl.now
+			st.lackingSince = cl.now
 		}
 		st.waits++
 	}
 	pl.worker.used = pl.worker.used.Sub(pl.need)
 	cl.quota.Sub(pl.task.step.workspace(), pl.need)
-	if pl.task.place == pl {
-		pl.task.place = nil
+	if pl.task.placement == pl {
+		pl.task.placement = nil
 	}
 }
 
@@ -118,25 +117,25 @@
 	pl.state = stopping
 	run := Run{Task: pl.task.name(), Number: pl.run}
 	cl.record(Record{Worker: pl.worker.ID, Stop: true, Held: []Run{run}})
-	cl.stops = append(cl.stops, provenStop{
+	cl.stops = append(cl.stops, journaledStop{
 		Stop{Worker: pl.worker.ID, Task: run.Task, Run: run.Number, Reason: reason}, cl.recorded,
 	})
 }
 
-// breakGang stops all members, so that the gang can start anew.
-func (cl *Cell) breakGang(st *step, reason string) {
+// stopGang stops all members, so that the gang can restart.
+func (cl *Cell) stopGang(st *step, reason string) {
 	for _, tk := range st.tasks {
-		if tk.place != nil {
-			cl.stop(tk.place, reason)
+		if tk.placement != nil {
+			cl.stop(tk.placement, reason)
 		}
 	}
 }
 
-// afterLoss does what follows when a run is gone without an end that counts.
+// afterLoss handles a run that is gone without an end that counts.
 func (cl *Cell) afterLoss(pl *placement) {
 	st := pl.task.step
 	if st.def.Gang && !pl.task.done {
-		cl.breakGang(st, "gang lost a member")
+		cl.stopGang(st, "gang lost a member")
 	}
 }
 
@@ -145,33 +144,33 @@
 	if !ok {
 		return nil
 	}
-	return wk.places[key{task, run}]
+	return wk.placements[key{task, run}]
 }
 
-// answered takes in that a start that was under way has its answer.
-func (cl *Cell) answered(now time.Duration, sr Start) {
+// startAnswered records that a start in flight was answered.
+func (cl *Cell) startAnswered(now time.Duration, sr Start) {
 	cl.window.add(sr.Urgent, -1)
 	cl.window.answered(now, now-sr.DecidedAt)
 }
 
-// Started takes in that a worker has a run.
+// Started records that a worker has a run.
 func (cl *Cell) Started(now time.Duration, sr Start) {
-	cl.answered(now, sr)
+	cl.startAnswered(now, sr)
 	pl := cl.placement(sr.Worker, sr.Task, sr.Run)
 	if pl == nil || pl.state != ordered {
 		return
 	}
 	pl.state = running
-	pl.since, pl.moved, pl.begun = now, now, now
+	pl.runningSince, pl.progressAt, pl.begunAt = now, now, now
 	if !pl.task.step.def.Lasting {
-		pl.task.tries = tries{}
+		pl.task.startFailures = startFailures{}
 	}
 	cl.begin(pl.task.step.round.job)
 }
 
-// Refused takes in that a worker did not start a run and never will.
+// Refused records that a worker did not start a run and never will.
 func (cl *Cell) Refused(now time.Duration, sr Start, why Refusal) {
-	cl.answered(now, sr)
+	cl.startAnswered(now, sr)
 	pl := cl.placement(sr.Worker, sr.Task, sr.Run)
 	if pl == nil {
 		return
@@ -179,14 +178,14 @@
 	st := pl.task.step
 	switch why {
 	case RefusedTicket:
-		st.advice.lapse(sr.Worker)
+		st.advice.expireTicket(sr.Worker)
 	case RefusedNoCapacity:
-		pl.worker.rest = now + restRoom
+		pl.worker.quarantineUntil = now + quarantineNoCapacity
 	case RefusedUnhealthy:
-		pl.worker.rest = now + restFails
+		pl.worker.quarantineUntil = now + quarantineFailures
 	case RefusedInvalid:
-		if pl.task.vain(now); !pl.task.tries.blamed() {
-			pl.worker.rest = now + restFails
+		if pl.task.startFailed(now); !pl.task.startFailures.taskAtFault() {
+			pl.worker.quarantineUntil = now + quarantineFailures
 		}
 	case RefusedStale, RefusedLate:
 	}
@@ -194,9 +193,9 @@
 	cl.afterLoss(pl)
 }
 
-// StartValid reports whether a start may still be sent, or sent again: since it was decided its worker may have
-// begun to leave, or shrunk, or have told of the run. One that is sent after the run has ended does nothing
-// in the same life of the worker, and begins it again in the next.
+// StartValid reports whether a start may still be sent or repeated: since it was decided, its worker may have
+// begun to drain, shrunk, or reported the run. Sent after the run has ended, a start has no effect in the same
+// incarnation of the worker, but would run the task again in the next.
 func (cl *Cell) StartValid(sr Start) bool {
 	pl := cl.placement(sr.Worker, sr.Task, sr.Run)
 	if pl == nil || pl.state != ordered {
@@ -206,33 +205,32 @@
 	return wk.listed && !wk.Draining && wk.used.Fits(wk.Capacity)
 }
 
-// StartUnconfirmed takes in that nobody knows whether a worker has started a run or will: its
-// next report tells, and where it does not have the run, a stop keeps it off for good.
+// StartUnconfirmed records that it is unknown whether a worker has started a run or will. Its next report
+// tells; if the run is not in it, a stop prevents it for good.
 func (cl *Cell) StartUnconfirmed(now time.Duration, sr Start) {
 	cl.window.add(sr.Urgent, -1)
 	pl := cl.placement(sr.Worker, sr.Task, sr.Run)
 	if pl == nil || pl.state != ordered {
 		return
 	}
-	pl.state, pl.lost = unsure, now
+	pl.state, pl.unconfirmedAt = unconfirmed, now
 	cl.out.ReportRequests = append(cl.out.ReportRequests, sr.Worker)
 }
 
-// Stopped takes in that a worker has confirmed a stop. It reports whether only a
-// report will tell that the run is gone, because nobody knows that it ever was there.
+// Stopped records that a worker has confirmed a stop. It reports whether only a report will show that the run
+// is gone, because it is unknown whether it ever began.
 func (cl *Cell) Stopped(now time.Duration, sp Stop) bool {
 	pl := cl.placement(sp.Worker, sp.Task, sp.Run)
 	if pl == nil {
 		return false
 	}
-	pl.stopped = now
-	return pl.since == 0
+	pl.stoppedAt = now
+	return pl.runningSince == 0
 }
 
-// StopUnconfirmed takes in that a stop was not confirmed; it is ordered again while the run
-// may be there.
+// StopUnconfirmed records that a stop was not confirmed. It is ordered again while the run may exist.
 func (cl *Cell) StopUnconfirmed(sp Stop) {
-	if pl := cl.placement(sp.Worker, sp.Task, sp.Run); pl != nil && pl.stopped == 0 {
+	if pl := cl.placement(sp.Worker, sp.Task, sp.Run); pl != nil && pl.stoppedAt == 0 {
 		sp.Attempts++
 		cl.out.Stops = append(cl.out.Stops, sp)
 	}
--- a/policy/cell/pool.go
+++ b/policy/cell/pool.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// pool holds the workers of one service that take new runs now, those with least left
-// of their processors first. A plan looks only at the part of it that has room for a
-// step, so that its effort does not grow with the workers.
+// pool holds the workers of one service that take new runs now, in ascending order of free processors. A plan
+// examines only the part that has capacity for a step, so that its cost does not grow with the number of
+// workers.
 type pool struct {
 	workers []*worker
-	// used is how many whole workers are in use when the plan begins, idle how many stand
-	// idle while room on them is kept free: of each worker its scarcest resource counts.
+	// used is how many whole workers are in use when the plan begins, idle how many are idle because they are
+	// reserved. The scarcest resource of each worker counts.
 	used, idle float64
-	// fresh counts the workers that were put there since it was sorted.
-	fresh int
+	// unsorted counts the workers added since the pool was last sorted.
+	unsorted int
 }
 
-// fillPools puts the workers into their pools for one plan. Pools last from plan to plan, since
-// few workers gain or lose room between two of them, and sorting all anew each time costs as much as the
-// rest of a plan while little waits.
+// fillPools adds the workers to their pools for a plan. Pools are kept between plans, since few workers gain or
+// lose capacity between two of them, and sorting all workers each time costs as much as the rest of a plan when
+// little waits.
 func (cl *Cell) fillPools(now time.Duration) {
 	for service, po := range cl.pools {
 		po.used, po.idle = 0, 0
 		po.workers = slices.DeleteFunc(po.workers, func(wk *worker) bool {
-			if cl.takes(now, wk) && wk.Service == service && !wk.forgotten {
+			if cl.acceptsRuns(now, wk) && wk.Service == service && !wk.forgotten {
 				return false
 			}
 			wk.pool = nil
@@ -34,15 +34,15 @@
 		})
 	}
 	for _, wk := range cl.workers {
-		cl.looks++
-		if wk.pool == nil && cl.takes(now, wk) {
-			cl.pool(wk.Service).put(wk)
+		cl.examined++
+		if wk.pool == nil && cl.acceptsRuns(now, wk) {
+			cl.pool(wk.Service).add(wk)
 		}
 	}
 	for _, po := range cl.pools {
 		po.sort()
 		for _, wk := range po.workers {
-			po.used += min(wk.used.Share(wk.Capacity), 1) // one that shrank may be over its room
+			po.used += min(wk.used.Share(wk.Capacity), 1) // a worker that shrank may be over its capacity
 		}
 	}
 }
@@ -57,82 +57,82 @@
 	return po
 }
 
-// put adds a worker at no place yet.
-func (po *pool) put(wk *worker) {
+// add appends a worker; sort moves it to its position.
+func (po *pool) add(wk *worker) {
 	wk.pool = po
 	po.workers = append(po.workers, wk)
-	po.fresh++
+	po.unsorted++
 }
 
-// mostFresh is the part of a pool from which on it is sorted anew: below that most workers are in
-// their places, and the others are moved there.
-const mostFresh = 8
+// resortDivisor is the fraction of the pool, one in so many, beyond which new workers cause a full sort. With
+// fewer, most workers are in position and the others are moved there.
+const resortDivisor = 8
 
 func (po *pool) sort() {
-	if po.fresh > len(po.workers)/mostFresh {
-		slices.SortFunc(po.workers, (*worker).byRoom)
+	if po.unsorted > len(po.workers)/resortDivisor {
+		slices.SortFunc(po.workers, (*worker).compareFree)
 	}
-	po.fresh = 0
-	for at, wk := range po.workers {
-		for ; at > 0 && wk.byRoom(po.workers[at-1]) < 0; at-- {
-			po.workers[at] = po.workers[at-1]
+	po.unsorted = 0
+	for i, wk := range po.workers {
+		for ; i > 0 && wk.compareFree(po.workers[i-1]) < 0; i-- {
+			po.workers[i] = po.workers[i-1]
 		}
-		po.workers[at] = wk
+		po.workers[i] = wk
 	}
-	for at, wk := range po.workers {
-		wk.slot = at
+	for i, wk := range po.workers {
+		wk.poolIndex = i
 	}
 }
 
-// byRoom orders workers by what is left of their processors.
-func (wk *worker) byRoom(other *worker) int {
-	if free, others := wk.free(), other.free(); free != others {
+// compareFree orders workers by free processors.
+func (wk *worker) compareFree(other *worker) int {
+	if free, others := wk.freeProcessors(), other.freeProcessors(); free != others {
 		return cmp.Compare(free, others)
 	}
 	return cmp.Compare(wk.ID, other.ID)
 }
 
-// sink moves a worker to its place after it has lost room.
-func (po *pool) sink(wk *worker) {
-	for at := wk.slot; at > 0 && po.workers[at-1].free() > wk.free(); at-- {
-		before := po.workers[at-1]
-		po.workers[at], before.slot = before, at
-		po.workers[at-1], wk.slot = wk, at-1
+// moveDown moves a worker to its position after it has lost free capacity.
+func (po *pool) moveDown(wk *worker) {
+	for i := wk.poolIndex; i > 0 && po.workers[i-1].freeProcessors() > wk.freeProcessors(); i-- {
+		before := po.workers[i-1]
+		po.workers[i], before.poolIndex = before, i
+		po.workers[i-1], wk.poolIndex = wk, i-1
 	}
 }
 
-// crowded reports whether most of the workers' room is in use.
-func (po *pool) crowded() bool { return po.used >= mostInUse*po.all() }
+// crowded reports whether most of the workers' capacity is in use.
+func (po *pool) crowded() bool { return po.used >= crowdedShare*po.capacity() }
 
-// all is the room of the pool, in whole workers.
-func (po *pool) all() float64 { return float64(len(po.workers)) }
+// capacity is the capacity of the pool in whole workers.
+func (po *pool) capacity() float64 { return float64(len(po.workers)) }
 
-// mayIdle reports whether more room may stand idle for gangs: a small part of the pool, or
+// allowsReservation reports whether more capacity may be idle for reservations: a small share of the pool, or
 // what nobody else is likely to use.
-func (po *pool) mayIdle() bool {
-	spare := (1-usualSpare)*po.all() - po.used
-	return po.idle <= max(mostIdle*po.all(), spare)
+func (po *pool) allowsReservation() bool {
+	spare := (1-typicalFreeShare)*po.capacity() - po.used
+	return po.idle <= max(maxIdleShare*po.capacity(), spare)
 }
 
-// stock returns the workers of the step's service that take new runs, those with least
-// left of their processors first. It must not change while it is walked.
-func (cl *Cell) stock(st *step) []*worker {
+// poolWorkers returns the workers of the step's service that take new runs, in ascending order of free
+// processors. The slice must not change during iteration.
+func (cl *Cell) poolWorkers(st *step) []*worker {
 	if po, ok := cl.pools[cl.service(st)]; ok {
 		return po.workers
 	}
 	return nil
 }
 
-// fits returns the part of the stock that has the processors for a task of the step.
-func (cl *Cell) fits(st *step) []*worker {
-	stock := cl.stock(st)
-	at, _ := slices.BinarySearchFunc(stock, st.need().Processors(), func(wk *worker, want int64) int {
-		return cmp.Compare(wk.free(), want)
+// withFreeProcessors returns those workers of the pool that have the processors for a task of the step.
+func (cl *Cell) withFreeProcessors(st *step) []*worker {
+	workers := cl.poolWorkers(st)
+	i, _ := slices.BinarySearchFunc(workers, st.need().Processors(), func(wk *worker, want int64) int {
+		return cmp.Compare(wk.freeProcessors(), want)
 	})
-	return stock[at:]
+	return workers[i:]
 }
 
-// backward yields workers from the last to the first.
+// backward yields workers from last to first.
 func backward(workers []*worker) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		for _, wk := range slices.Backward(workers) {
@@ -143,43 +143,42 @@
 	}
 }
 
-// holding yields those of the workers that may run the step and have room for a task of
-// it, by the measure given.
-func (cl *Cell) holding(st *step, workers iter.Seq[*worker], room func(st *step, wk *worker) int) iter.Seq[candidate] {
+// candidates yields those of the workers that may run the step and hold at least one of its tasks, as counted
+// by the function given.
+func (cl *Cell) candidates(st *step, workers iter.Seq[*worker], slots func(st *step, wk *worker) int) iter.Seq[candidate] {
 	return func(yield func(candidate) bool) {
 		for wk := range workers {
-			cl.looks++
-			if !st.labelled(wk) {
+			cl.examined++
+			if !st.hasLabel(wk) {
 				continue
 			}
-			if count := room(st, wk); count > 0 && !yield(candidate{wk, count}) {
+			if count := slots(st, wk); count > 0 && !yield(candidate{wk, count}) {
 				return
 			}
 		}
 	}
 }
 
-// tight yields the workers that could start a task of the step now: near its data
-// first, then those that it fills most, so that whole workers stay free for wide gangs.
-// Fillers go where most is left of the processors.
-func (cl *Cell) tight(st *step) iter.Seq[candidate] {
-	fits := cl.fits(st)
-	order := slices.Values(fits)
+// bestFit yields the workers that could start a task of the step now: first those near its data, then by best
+// fit, so that whole workers stay free for wide gangs. Best-effort tasks go where most processors are free.
+func (cl *Cell) bestFit(st *step) iter.Seq[candidate] {
+	workers := cl.withFreeProcessors(st)
+	order := slices.Values(workers)
 	if st.def.Filler {
-		order = backward(fits)
+		order = backward(workers)
 	}
 	if st.def.Rack == "" {
-		return cl.holding(st, order, cl.room)
+		return cl.candidates(st, order, cl.startable)
 	}
-	return cl.holding(st, st.nearFirst(order), cl.room)
+	return cl.candidates(st, st.nearFirst(order), cl.startable)
 }
 
-// nearFirst yields the workers on the rack of the step's data, and then the others.
+// nearFirst yields the workers in the rack of the step's data, and then the others.
 func (st *step) nearFirst(workers iter.Seq[*worker]) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
-		for _, far := range []int{0, 1} {
+		for _, distance := range []int{0, 1} {
 			for wk := range workers {
-				if st.far(wk) == far && !yield(wk) {
+				if st.rackDistance(wk) == distance && !yield(wk) {
 					return
 				}
 			}
@@ -187,45 +186,44 @@
 	}
 }
 
-// wide yields the workers that may run the step, full ones too, those with most left
-// first, and how many of its tasks each would hold if it were empty.
-func (cl *Cell) wide(st *step) iter.Seq[candidate] {
-	return cl.holding(st, backward(cl.stock(st)), capacity)
+// allWorkers yields the workers that may run the step, including full ones, those with most free processors
+// first, each with the number of the step's tasks that it would hold if it were empty.
+func (cl *Cell) allWorkers(st *step) iter.Seq[candidate] {
+	return cl.candidates(st, backward(cl.poolWorkers(st)), emptyCapacity)
 }
 
-// capacity returns how many tasks of the step a worker would hold if it were empty.
-func capacity(st *step, wk *worker) int { return wk.Capacity.Holds(st.need()) }
+// emptyCapacity returns how many tasks of the step a worker would hold if it were empty.
+func emptyCapacity(st *step, wk *worker) int { return wk.Capacity.Holds(st.need()) }
 
-// roomy yields the workers that could start a task of the step now, those with most
-// left first.
-func (cl *Cell) roomy(st *step) iter.Seq[candidate] {
-	return cl.holding(st, backward(cl.fits(st)), cl.room)
+// worstFit yields the workers that could start a task of the step now, those with most free processors first.
+func (cl *Cell) worstFit(st *step) iter.Seq[candidate] {
+	return cl.candidates(st, backward(cl.withFreeProcessors(st)), cl.startable)
 }
 
-// allowed yields the workers that the advisor allowed for the step and that take runs
-// now, where only is set those whose leave it takes.
-func (cl *Cell) allowed(st *step, only func(*leave) bool) iter.Seq[*worker] {
+// allowedWorkers yields the workers that the advisor allowed for the step and that take runs now. If filter is
+// set, it is applied to their permissions.
+func (cl *Cell) allowedWorkers(st *step, filter func(*permission) bool) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
-		for _, lv := range st.advice.good {
-			if only != nil && !only(lv) {
+		for _, pm := range st.advice.allowed {
+			if filter != nil && !filter(pm) {
 				continue
 			}
-			if wk := cl.worker(lv); wk != nil && wk.pool != nil && wk.Service == cl.service(st) && !yield(wk) {
+			if wk := cl.worker(pm); wk != nil && wk.pool != nil && wk.Service == cl.service(st) && !yield(wk) {
 				return
 			}
 		}
 	}
 }
 
-// worker returns the worker of a leave, or nil where it is not known.
-func (cl *Cell) worker(lv *leave) *worker {
-	if lv.worker == nil || lv.worker.forgotten {
-		lv.worker = cl.workers[lv.id]
+// worker returns the worker of a permission, or nil if it is not known.
+func (cl *Cell) worker(pm *permission) *worker {
+	if pm.worker == nil || pm.worker.forgotten {
+		pm.worker = cl.workers[pm.id]
 	}
-	return lv.worker
+	return pm.worker
 }
 
-// trusted yields those of the allowed workers that could start a task of the step now.
-func (cl *Cell) trusted(st *step) iter.Seq[candidate] {
-	return cl.holding(st, cl.allowed(st, nil), cl.room)
+// allowedCandidates yields those of the allowed workers that could start a task of the step now.
+func (cl *Cell) allowedCandidates(st *step) iter.Seq[candidate] {
+	return cl.candidates(st, cl.allowedWorkers(st, nil), cl.startable)
 }
--- a/policy/cell/progress.go
+++ b/policy/cell/progress.go
@@ -7,88 +7,87 @@
 	"tackbeam.example/policy/backoff"
 )
 
-// progress takes in what a report says of a run that it lists.
-func (cl *Cell) progress(now time.Duration, pl *placement, rn Run) {
+// updateRun applies what a report says about a run that it lists.
+func (cl *Cell) updateRun(now time.Duration, pl *placement, rn Run) {
 	pl.reported = true
 	switch {
-	case pl.state == ordered || pl.state == unsure:
-		pl.state, pl.since = running, now
+	case pl.state == ordered || pl.state == unconfirmed:
+		pl.state, pl.runningSince = running, now
 		cl.begin(pl.task.step.round.job)
-	case pl.inherited: // the earlier planner's stop has not come
+	case pl.inherited: // the earlier planner's stop has not arrived
 		pl.inherited, pl.state = false, running
-		cl.stop(pl, "an earlier planner's stop")
+		cl.stop(pl, "stop ordered by an earlier planner")
 	}
 	if rn.Percent != pl.percent {
-		if pl.percent == 0 && (pl.resumed || pl.midway) {
-			pl.from, pl.begun = rn.Percent, now
+		if pl.percent == 0 && (pl.resumed || pl.adopted) {
+			pl.initialPercent, pl.begunAt = rn.Percent, now
 		}
-		pl.percent, pl.moved = rn.Percent, now
+		pl.percent, pl.progressAt = rn.Percent, now
 	}
 	if rn.Checkpoint != "" {
 		pl.task.checkpoint = rn.Checkpoint
 	}
-	pl.load = rn.TailLatencyMS
+	pl.tailLatencyMS = rn.TailLatencyMS
 }
 
-// remains estimates how long a run still takes, from its progress so far: by what it has
-// gained since it was first seen at work, which for one that goes on from a checkpoint is
-// more than nothing.
-func (cl *Cell) remains(now time.Duration, pl *placement) time.Duration {
-	const enough = 3 // percent, from which progress tells the speed
-	gained := pl.percent - pl.from
-	if pl.since == 0 || gained < enough {
-		return max(cl.expect(pl.task.step)*time.Duration(whole-pl.percent)/whole-(now-pl.moved), 0)
+// remainingTime estimates how long a run still takes. The speed is measured from when the run was first seen at
+// work, since a run that continues from a checkpoint begins with progress.
+func (cl *Cell) remainingTime(now time.Duration, pl *placement) time.Duration {
+	const minPercent = 3 // progress at which the speed can be estimated
+	gained := pl.percent - pl.initialPercent
+	if pl.runningSince == 0 || gained < minPercent {
+		return max(cl.expectedRunTime(pl.task.step)*time.Duration(fullPercent-pl.percent)/fullPercent-(now-pl.progressAt), 0)
 	}
-	took := pl.moved - pl.begun
-	return max(took*time.Duration(whole-pl.percent)/time.Duration(gained)-(now-pl.moved), 0)
+	elapsed := pl.progressAt - pl.begunAt
+	return max(elapsed*time.Duration(fullPercent-pl.percent)/time.Duration(gained)-(now-pl.progressAt), 0)
 }
 
-// hungAfter is how long a task may show no progress; the workers' longest tasks of
-// 16 s move by a percent in 0.16 s, on a worker six times as slow in 1 s. One that stands still
-// wherever it is moved is given more time each time, so that it does not go round for ever.
-var hungAfter = backoff.Backoff{First: 2500 * time.Millisecond, Most: 20 * time.Second}
+// stallBackoff is how long a task may go without progress. The workers' longest tasks of 16 s gain a percent in
+// 0.16 s, or in 1 s on a worker six times as slow. A task that hangs on several workers gets more time on
+// each, so that it is not moved around forever.
+var stallBackoff = backoff.Backoff{First: 2500 * time.Millisecond, Most: 20 * time.Second}
 
-// hungWorkers is how many workers a task may stand still on before the fault is its own.
+// hungWorkers is how many workers a task may hang on before it is itself at fault.
 const hungWorkers = 2
 
-// hungTime is how long the task may show no progress now.
-func (tk *task) hungTime() time.Duration { return hungAfter.After(tk.hangs - hungWorkers + 1) }
+// stallTimeout is how long the task may go without progress now.
+func (tk *task) stallTimeout() time.Duration { return stallBackoff.After(tk.hangs - hungWorkers + 1) }
 
-// fresh is the age up to which a report tells how a task is doing.
-const fresh = 1500 * time.Millisecond
+// maxProgressAge is the age up to which a report shows the progress of a task.
+const maxProgressAge = 1500 * time.Millisecond
 
-// whole is the percentage of a task that has done its work; in a gang it then waits
-// for the others, whose work may be longer.
-const whole = 100
+// fullPercent is the progress of a task that has finished its own work, and full speed as a pace. In a gang,
+// such a task waits for the other members, whose work may take longer.
+const fullPercent = 100
 
-// unhang moves tasks off workers on which they stand still.
-func (cl *Cell) unhang(now time.Duration) {
+// stopHungRuns stops tasks that make no progress, so that they restart on other workers.
+func (cl *Cell) stopHungRuns(now time.Duration) {
 	for _, wk := range cl.workers {
-		if now-wk.reported > fresh {
+		if now-wk.lastReport > maxProgressAge {
 			continue
 		}
-		for _, pl := range wk.places {
+		for _, pl := range wk.placements {
 			def := pl.task.step.def
-			if pl.state != running || pl.percent >= whole || def.Lasting || def.Filler || now-pl.moved < pl.task.hungTime() {
+			if pl.state != running || pl.percent >= fullPercent || def.Lasting || def.Filler || now-pl.progressAt < pl.task.stallTimeout() {
 				continue
 			}
 			if pl.task.hangs++; pl.task.hangs <= hungWorkers {
-				wk.rest = now + restHung
+				wk.quarantineUntil = now + quarantineHung
 			}
-			pl.task.shun(wk)
-			cl.stop(pl, fmt.Sprintf("task stands still at %d percent", pl.percent))
+			pl.task.avoidWorker(wk)
+			cl.stop(pl, fmt.Sprintf("task hung at %d percent", pl.percent))
 			if def.Gang {
-				cl.breakGang(pl.task.step, "gang's member stands still")
+				cl.stopGang(pl.task.step, "a gang member hung")
 			}
 		}
 	}
 }
 
-// Quarantined returns how many workers are at rest, for measures.
+// Quarantined returns how many workers are quarantined, for metrics.
 func (cl *Cell) Quarantined(now time.Duration) int {
 	count := 0
 	for _, wk := range cl.workers {
-		if wk.rest > now {
+		if wk.quarantineUntil > now {
 			count++
 		}
 	}
--- a/policy/cell/rank.go
+++ b/policy/cell/rank.go
@@ -6,24 +6,23 @@
 	"time"
 )
 
-// ranked is a step that has to be planned, with its rank.
+// ranked is a step to be planned, with its rank.
 type ranked struct {
 	rank rank
 	step *step
 }
 
-// byRank returns the steps that have tasks to place, in the order in which they are
-// served.
+// byRank returns the steps that have tasks to place, in the order in which they are served.
 func (cl *Cell) byRank(now time.Duration) []ranked {
 	var list []ranked
 	for st := range cl.open {
 		if st.waits == 0 || st.def.Gang && st.waits < len(st.tasks) {
 			continue // all of it runs, or members of the gang are being stopped
 		}
-		if st.pauses(now) {
+		if st.backsOff(now) {
 			continue
 		}
-		if cl.settled || !st.round.job.inherited {
+		if cl.recovered || !st.round.job.inherited {
 			list = append(list, ranked{cl.rank(now, st), st})
 		}
 	}
@@ -31,44 +30,43 @@
 	return list
 }
 
-// rank orders steps: lower goes first.
+// rank orders steps; the lowest is served first.
 type rank struct {
 	group int
-	// latest is when the step has to start for its job to be in time, or lateFor after
-	// that where it is late.
-	latest time.Duration
-	late   bool
-	id     string
-	num    int
+	// latestStart is when the step must start for its job to end in time; latePenalty is added if the step is
+	// late.
+	latestStart time.Duration
+	late        bool
+	id          string
+	num         int
 }
 
 func (rk rank) compare(other rank) int {
-	// Most differ in the first two, and a plan compares thousands.
+	// Most ranks differ in the first two fields, and a plan compares thousands of them.
 	if rk.group != other.group {
 		return cmp.Compare(rk.group, other.group)
 	}
-	if rk.latest != other.latest {
-		return cmp.Compare(rk.latest, other.latest)
+	if rk.latestStart != other.latestStart {
+		return cmp.Compare(rk.latestStart, other.latestStart)
 	}
 	return cmp.Or(cmp.Compare(rk.id, other.id), cmp.Compare(rk.num, other.num))
 }
 
-// The groups of ranks: urgent queues go before all others, and what a workspace sends beyond what it is owed after
-// all that others are.
+// Groups of ranks. Urgent queues come before all others; jobs beyond the rate of their workspace come last.
 const (
 	groupUrgent = iota
-	groupPatient
+	groupNormal
 	groupExcess
 )
 
-// rank of a lasting step counts from when it came to lack tasks, and is never late: it earns
-// while its tasks are at work. Counted from its job's arrival, a task that ended after a
-// while was begun again only after all that could be in time, up to 13 s later on a cell of
-// which twice its room is asked for.
+// rank of a long-running step is measured from when it last began to lack tasks, and is never late, since it is
+// of use while its tasks run. Measured from the arrival of its job, a task that ended after some time was
+// restarted only after all steps that could still be in time, up to 13 s later in a cell whose load was twice
+// its capacity.
 func (cl *Cell) rank(now time.Duration, st *step) rank {
 	jb := st.round.job
 	qu := jb.spec.Queue
-	rk := rank{group: groupPatient, id: jb.spec.ID, num: st.num}
+	rk := rank{group: groupNormal, id: jb.spec.ID, num: st.num}
 	switch {
 	case jb.excess:
 		rk.group = groupExcess
@@ -76,38 +74,37 @@
 		rk.group = groupUrgent
 	}
 	if st.def.Lasting {
-		rk.latest = st.lacks + qu.Target
+		rk.latestStart = st.lackingSince + qu.Target
 		return rk
 	}
-	chain, rest := cl.chain(st)
-	rk.latest = cl.since(st) + time.Duration(qu.Stretch*float64(chain)) + qu.Target - rest
-	rk.late = rk.latest < now
+	path, remaining := cl.criticalPath(st)
+	rk.latestStart = cl.roundStart(st) + time.Duration(qu.Stretch*float64(path)) + qu.Target - remaining
+	rk.late = rk.latestStart < now
 	if rk.late {
-		rk.latest += lateFor
+		rk.latestStart += latePenalty
 	}
 	return rk
 }
 
-// lateFor is how much later than they had to start late steps rank, so that age counts and
-// each is served in the end: behind all that can be in time they waited as long as the
-// stream went on. A shorter time has more jobs late.
-const lateFor = time.Minute
+// latePenalty is added to the latest start of late steps, so that age counts and each of them is served
+// eventually: ranked behind all steps that can be in time, late steps waited for as long as new ones arrived. A
+// shorter penalty makes more jobs late.
+const latePenalty = time.Minute
 
-// since is when the time of the step's round began to count.
-func (cl *Cell) since(st *step) time.Duration {
+// roundStart is when the time of the step's round began to count.
+func (cl *Cell) roundStart(st *step) time.Duration {
 	if st.round.job.spec.Repeat != nil {
-		return st.round.due
+		return st.round.dueAt
 	}
-	return st.round.job.arrived
+	return st.round.job.arrivedAt
 }
 
-// chain estimates the longest chain of work of a job, and of what is left from a
-// step on.
-func (cl *Cell) chain(st *step) (whole, rest time.Duration) {
+// criticalPath estimates the longest chain of dependent steps of a job, and the part of it from a step on.
+func (cl *Cell) criticalPath(st *step) (total, remaining time.Duration) {
 	steps := st.round.steps
 	if len(steps) == 1 {
-		whole = cl.expect(st)
-		return whole, whole
+		total = cl.expectedRunTime(st)
+		return total, total
 	}
 	ends := make([]time.Duration, len(steps))
 	for num, each := range steps {
@@ -115,14 +112,15 @@
 		for _, before := range each.def.After {
 			begin = max(begin, ends[before])
 		}
-		ends[num] = begin + cl.expect(each)
-		whole = max(whole, ends[num])
+		ends[num] = begin + cl.expectedRunTime(each)
+		total = max(total, ends[num])
 	}
-	return whole, whole - ends[st.num] + cl.expect(st)
+	return total, total - ends[st.num] + cl.expectedRunTime(st)
 }
 
-// expect estimates how long a task of the step runs, by its own estimate as far as those of
-// the queue tell: by the queue's mean alone short jobs are taken to be late.
-func (cl *Cell) expect(st *step) time.Duration {
-	return cl.queue(st.round.job.spec.Queue.Name).runs.Expect(st.def.Estimate)
+// expectedRunTime estimates how long a task of the step runs, from the caller's estimate as far as the
+// estimates of the queue have been accurate. With the mean of the queue alone, short jobs would be taken to be
+// late.
+func (cl *Cell) expectedRunTime(st *step) time.Duration {
+	return cl.queue(st.round.job.spec.Queue.Name).runTimes.Expect(st.def.Estimate)
 }
--- a/policy/cell/report.go
+++ b/policy/cell/report.go
@@ -7,51 +7,51 @@
 	"tackbeam.example/policy/life"
 )
 
-// Report takes in what a worker said of its runs and their ends, in an answer to a
-// call that was sent at a time. It returns the ends that were not reported before.
+// Report applies what a worker reported about its runs and their ends, in the answer to a call that was sent at
+// the given time. It returns the ends that were not reported before.
 func (cl *Cell) Report(now time.Duration, id life.Life, sent time.Duration, runs []Run, ends []End) (fresh []End) {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return nil
 	}
 	if !wk.answered {
-		wk.answered, wk.first = true, now
-		cl.settlePredecessors(id, runs, ends)
+		wk.answered, wk.firstReport = true, now
+		cl.resolvePredecessors(id, runs, ends)
 	}
-	if wk.proof == 0 && wk.listed && !wk.Draining {
+	if wk.openRecord == 0 && wk.listed && !wk.Draining {
 		cl.record(Record{Worker: id})
-		wk.proof = cl.recorded
+		wk.openRecord = cl.recorded
 	}
-	wk.reported = now
-	wk.silent = false
-	cl.excuse(id)
+	wk.lastReport = now
+	wk.unreachable = false
+	cl.withdrawAttributions(id)
 	for _, en := range ends {
-		if en.Seq > wk.seen {
-			wk.seen = en.Seq
+		if en.Seq > wk.lastEnd {
+			wk.lastEnd = en.Seq
 			fresh = append(fresh, en)
-			cl.end(now, wk, en)
-			wk.unnoted = append(wk.unnoted, note{en.Seq, cl.recorded})
+			cl.runEnded(now, wk, en)
+			wk.unacked = append(wk.unacked, endNote{en.Seq, cl.recorded})
 		}
 	}
 	there := make(map[key]bool, len(runs))
-	wk.strangers = 0
+	wk.unknownRuns = 0
 	for _, rn := range runs {
 		there[key{rn.Task, rn.Number}] = true
-		cl.sees(now, wk, rn)
+		cl.runListed(now, wk, rn)
 	}
-	for at, pl := range wk.places {
-		if !there[at] {
-			cl.missing(pl, sent)
+	for ky, pl := range wk.placements {
+		if !there[ky] {
+			cl.runMissing(pl, sent)
 		}
 	}
-	cl.share(now, wk)
+	cl.throttle(now, wk)
 	return fresh
 }
 
-// sees takes in that a run is on a worker.
-func (cl *Cell) sees(now time.Duration, wk *worker, rn Run) {
-	if pl := wk.places[key{rn.Task, rn.Number}]; pl != nil {
-		cl.progress(now, pl, rn)
+// runListed applies a run that a report lists.
+func (cl *Cell) runListed(now time.Duration, wk *worker, rn Run) {
+	if pl := wk.placements[key{rn.Task, rn.Number}]; pl != nil {
+		cl.updateRun(now, pl, rn)
 		return
 	}
 	jb, known := cl.jobs[rn.Task.Job]
@@ -60,41 +60,41 @@
 	}
 	tk := cl.find(rn.Task)
 	if tk == nil {
-		wk.strangers++
-		wk.rest = max(wk.rest, now+cl.opts.StopTimeout+stopMargin) // its room is not known
-		cl.out.Stops = append(cl.out.Stops, Stop{Worker: wk.ID, Task: rn.Task, Run: rn.Number, Reason: "job is not known", Unknown: true})
+		wk.unknownRuns++
+		wk.quarantineUntil = max(wk.quarantineUntil, now+cl.opts.StopTimeout+stopMargin) // what the run takes is not known
+		cl.out.Stops = append(cl.out.Stops, Stop{Worker: wk.ID, Task: rn.Task, Run: rn.Number, Reason: "unknown job", Unknown: true})
 		return
 	}
-	other := tk.place
+	other := tk.placement
 	pl := cl.place(now, tk, wk, rn.Number)
-	pl.state, pl.since, pl.midway = running, now, true
+	pl.state, pl.runningSince, pl.adopted = running, now, true
 	cl.begin(jb)
-	cl.progress(now, pl, rn)
+	cl.updateRun(now, pl, rn)
 	switch {
 	case jb.phase.Ended() || tk.done:
 		cl.stop(pl, "task has ended")
 	case other != nil && other.run > pl.run:
-		cl.stop(pl, "a later run is elsewhere")
+		cl.stop(pl, "a later run is on another worker")
 	case other != nil:
-		cl.stop(other, "a later run is elsewhere")
+		cl.stop(other, "a later run is on another worker")
 	}
 }
 
-// stopMargin is added to the time that a worker takes to stop a run.
+// stopMargin is added to the time that a worker may take to stop a run.
 const stopMargin = 100 * time.Millisecond
 
-// missing takes in that a report does not list a run. One that was there is gone. One
-// that is being stopped is gone when the stop must be over.
-func (cl *Cell) missing(pl *placement, sent time.Duration) {
-	over := cl.opts.StopTimeout + stopMargin
+// runMissing handles a run that a report omits. A run that was there is gone. A run that is being stopped is
+// gone once the time for the stop is over.
+func (cl *Cell) runMissing(pl *placement, sent time.Duration) {
+	stopTime := cl.opts.StopTimeout + stopMargin
 	switch {
-	case pl.state == unsure && pl.lost <= sent:
+	case pl.state == unconfirmed && pl.unconfirmedAt <= sent:
 		cl.stop(pl, "start was not answered")
 		cl.afterLoss(pl)
 		return
-	case pl.state == running && pl.since <= sent:
-	case pl.stopped > 0 && pl.stopped+over <= sent:
-	case pl.inherited && pl.worker.first+over <= sent:
+	case pl.state == running && pl.runningSince <= sent:
+	case pl.stoppedAt > 0 && pl.stoppedAt+stopTime <= sent:
+	case pl.inherited && pl.worker.firstReport+stopTime <= sent:
 	default:
 		return
 	}
@@ -102,9 +102,9 @@
 	cl.afterLoss(pl)
 }
 
-// end takes in how a run ended.
-func (cl *Cell) end(now time.Duration, wk *worker, en End) {
-	pl := wk.places[key{en.Task, en.Number}]
+// runEnded applies the end of a run.
+func (cl *Cell) runEnded(now time.Duration, wk *worker, en End) {
+	pl := wk.placements[key{en.Task, en.Number}]
 	if pl != nil {
 		cl.release(pl)
 	}
@@ -124,40 +124,40 @@
 		tk.checkpoint = en.Checkpoint
 	}
 	if tk.step.def.Lasting && (en.Result == ResultDone || en.Result == ResultFailed) {
-		tk.lastingEnded(now, pl)
+		tk.longRunEnded(now, pl)
 	}
 	switch {
 	case en.Result == ResultDone && !tk.step.def.Lasting:
-		cl.learn(now, tk, pl)
-		wk.fails = 0
+		cl.learnRunTime(now, tk, pl)
+		wk.failures = 0
 		cl.taskDone(now, tk, true)
-		if tk.place != nil {
-			cl.stop(tk.place, "task has ended elsewhere")
+		if tk.placement != nil {
+			cl.stop(tk.placement, "task ended on another worker")
 		}
 		return
 	case en.Result == ResultFailed:
-		cl.failed(now, wk, tk, en)
+		cl.countFailure(now, wk, tk, en)
 	}
 	if tk.step.def.Gang && !tk.step.round.job.phase.Ended() {
-		cl.breakGang(tk.step, "gang's member ended "+string(en.Result))
+		cl.stopGang(tk.step, "a gang member ended "+string(en.Result))
 	}
 }
 
-// failed counts a failed run against the worker and the task.
-func (cl *Cell) failed(now time.Duration, wk *worker, tk *task, en End) {
-	if !tk.tries.blamed() {
-		wk.fails++
+// countFailure counts a failed run against the worker and the task.
+func (cl *Cell) countFailure(now time.Duration, wk *worker, tk *task, en End) {
+	if !tk.startFailures.taskAtFault() {
+		wk.failures++
 	}
-	if wk.fails >= failsInRow {
-		wk.rest = now + restFails
+	if wk.failures >= maxFailures {
+		wk.quarantineUntil = now + quarantineFailures
 	}
-	tk.shun(wk)
+	tk.avoidWorker(wk)
 	st := tk.step
 	jb := st.round.job
 	if st.def.Lasting {
 		return
 	}
-	if !tk.addFail(en.Number) {
+	if !tk.addFailure(en.Number) {
 		return
 	}
 	name := tk.name()
@@ -167,41 +167,41 @@
 	}
 }
 
-// addFail counts a failed run, of the whole gang where the task is in one. It
-// reports false where the run was counted before.
-func (tk *task) addFail(run int) bool {
-	fails := &tk.fails
+// addFailure counts a failed run, for the whole gang if the task is in one. It reports false if the run was
+// counted before.
+func (tk *task) addFailure(run int) bool {
+	failures := &tk.failures
 	if tk.step.def.Gang {
-		fails = &tk.step.fails
+		failures = &tk.step.failures
 	}
-	if slices.Contains(*fails, run) {
+	if slices.Contains(*failures, run) {
 		return false
 	}
-	*fails = append(*fails, run)
+	*failures = append(*failures, run)
 	return true
 }
 
-// exhausted reports whether the task, or its gang, has failed as often as it may.
+// exhausted reports whether the task, or its gang, has used up its attempts.
 func (tk *task) exhausted() bool {
-	fails := len(tk.fails)
+	failures := len(tk.failures)
 	if tk.step.def.Gang {
-		fails = len(tk.step.fails)
+		failures = len(tk.step.failures)
 	}
-	return fails >= tk.step.round.job.spec.Queue.Attempts
+	return failures >= tk.step.round.job.spec.Queue.Attempts
 }
 
-// shun keeps the task off a worker where others have room.
-func (tk *task) shun(wk *worker) {
+// avoidWorker keeps the task off a worker as long as others have capacity.
+func (tk *task) avoidWorker(wk *worker) {
 	if tk.avoid == nil {
 		tk.avoid = map[life.Life]bool{}
 	}
 	tk.avoid[wk.ID] = true
 }
 
-// learn takes in how long a run of a queue's task took.
-func (cl *Cell) learn(now time.Duration, tk *task, pl *placement) {
-	if pl == nil || pl.since == 0 || pl.resumed || pl.midway {
+// learnRunTime adds the duration of a run to the run times of the queue.
+func (cl *Cell) learnRunTime(now time.Duration, tk *task, pl *placement) {
+	if pl == nil || pl.runningSince == 0 || pl.resumed || pl.adopted {
 		return
 	}
-	cl.queue(tk.step.round.job.spec.Queue.Name).runs.Note(tk.step.def.Estimate, now-pl.since)
+	cl.queue(tk.step.round.job.spec.Queue.Name).runTimes.Note(tk.step.def.Estimate, now-pl.runningSince)
 }
--- /dev/null
+++ b/policy/cell/reservation.go
@@ -0,0 +1,224 @@
+package cell
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"tackbeam.example/policy/size"
+)
+
+// Limits on capacity that is reserved for waiting steps.
+const (
+	// reserveAfter is how long a step waits before capacity is reserved for it: about one seventh of the
+	// running tasks end by themselves in that time.
+	reserveAfter = 300 * time.Millisecond
+	// maxIdleShare is the share of a service's capacity that may be idle because it is reserved: with less,
+	// gangs wait longer than the tasks that they displace would.
+	maxIdleShare = 0.1
+	// typicalFreeShare is the share of capacity that is free on a busy day because no waiting task fits into
+	// it: beyond it, idle capacity delays nobody.
+	typicalFreeShare = 0.25
+	// largeTaskShare is the share of a worker's scarcest resource at which single tasks reserve capacity before
+	// they are late: small tasks would otherwise leave them none.
+	largeTaskShare = 0.25
+	// maxCompleteHold limits how long a complete reservation is held: the advisor answers within 1.3 s after at
+	// most 0.3 s in its queue. Without a limit, a gang whose tickets did not arrive left nine tenths of a cell
+	// idle.
+	maxCompleteHold = 2 * time.Second
+	// reselectInterval is how long a selection of workers stands: tasks run for seconds, so few end in that
+	// time.
+	reselectInterval = 100 * time.Millisecond
+)
+
+// setReservation reserves capacity for a step on the chosen workers, for as many tasks as each candidate has
+// slots.
+func (cl *Cell) setReservation(st *step, chosen []candidate) {
+	cl.releaseReservation(st)
+	for _, cand := range chosen {
+		wk := cand.worker
+		cl.dropReservation(wk) // a step ranked behind this one, which is late, had reserved it
+		wk.reservedFor, wk.reservedSize = st, st.need().Times(int64(cand.slots))
+		st.reserved = append(st.reserved, wk)
+	}
+}
+
+func (cl *Cell) releaseReservation(st *step) {
+	for _, wk := range st.reserved {
+		if wk.reservedFor == st {
+			wk.reservedFor = nil
+		}
+	}
+	st.reserved = nil
+}
+
+func (cl *Cell) dropReservation(wk *worker) {
+	if wk.reservedFor != nil {
+		cl.releaseReservation(wk.reservedFor)
+	}
+}
+
+// reserve reserves capacity for a step that has waited for some time: capacity that is free or becomes free
+// soonest. The first step in the order may always reserve, others only while little capacity is idle because of
+// reservations, so that each gets its turn.
+func (cl *Cell) reserve(now time.Duration, st *step) {
+	po, ok := cl.pools[cl.service(st)]
+	if !ok || now-st.readyAt < reserveAfter || !po.allowsReservation() {
+		cl.releaseReservation(st)
+		return
+	}
+	if st.reservePlan < cl.planCount-1 {
+		st.promisedAt = 0 // the reservation was released in the meantime, so the promise is void
+	}
+	st.reservePlan = cl.planCount
+	if len(st.reserved) == 0 && now >= st.reselectAt || now-st.selectedAt >= reselectInterval {
+		st.selectedAt = now
+		cl.selectReservation(now, st)
+	}
+	if st.urgent() {
+		return // it is served soon, and must not keep the first of the others from reserving
+	}
+	for _, wk := range st.reserved {
+		po.idle += wk.idleShare(wk.reservedSize)
+	}
+}
+
+// idleShare is the share of a worker that is idle because it is reserved.
+func (wk *worker) idleShare(reserved size.Size) float64 {
+	return max(min(reserved.Share(wk.Capacity), 1-wk.used.Share(wk.Capacity)), 0) // a worker that shrank may be overfull
+}
+
+// hasLargeTasks reports whether a task of the step takes so much of a worker that capacity for it rarely
+// becomes free by itself.
+func (cl *Cell) hasLargeTasks(st *step) bool {
+	workers := cl.poolWorkers(st)
+	return len(workers) > 0 && st.need().Share(workers[len(workers)-1].Capacity) >= largeTaskShare
+}
+
+// selectReservation reserves the capacity that becomes free soonest, and requests tickets for it in time.
+func (cl *Cell) selectReservation(now time.Duration, st *step) {
+	list := cl.openings(now, st)
+	want := cl.wanted(st)
+	if !st.def.Gang {
+		want = min(want, len(list)) // its tasks start one by one
+	}
+	chosen, ok := earliestOpenings(list, want)
+	if !ok {
+		st.reselectAt = now + reselectInterval
+		cl.releaseReservation(st)
+		return
+	}
+	st.expectedAt = list[want-1].at
+	if st.promisedAt == 0 || st.expectedAt < st.promisedAt {
+		st.promisedAt = st.expectedAt
+	}
+	if st.waitsForTickets(now) {
+		cl.releaseReservation(st)
+	} else {
+		cl.setReservation(st, chosen)
+	}
+	cl.requestTickets(now, st, list)
+}
+
+// waitsForTickets reports whether a step holds no reservation because its capacity was complete for long
+// without tickets arriving. It reserves again once some arrive.
+func (st *step) waitsForTickets(now time.Duration) bool {
+	switch {
+	case st.expectedAt > now:
+		st.completeSince = 0
+	case st.completeSince == 0:
+		st.completeSince = now
+	case now-st.completeSince > maxCompleteHold && st.advised():
+		st.ticketsFirst = true
+	}
+	return st.ticketsFirst
+}
+
+// allowsBackfill reports whether a step may use capacity that is reserved on a worker for another step: only if
+// its tasks are expected to end before the promised start of the reserving step. The promise is never
+// postponed, or tasks of 2 s would use the capacity forever, each a little longer.
+func (cl *Cell) allowsBackfill(wk *worker, st *step) bool {
+	return cl.ignoreReserved || cl.now+cl.expectedRunTime(st) <= wk.reservedFor.promisedAt
+}
+
+// opening is free capacity for one task of a step on a worker from a time on.
+type opening struct {
+	worker *worker
+	at     time.Duration
+}
+
+// openings returns where and when there will be capacity for tasks of a step, estimated from the running tasks.
+func (cl *Cell) openings(now time.Duration, st *step) []opening {
+	var list []opening
+	workers := backward(cl.poolWorkers(st))
+	if st.advised() {
+		workers = cl.allowedWorkers(st, nil)
+	}
+	for cand := range cl.candidates(st, workers, emptyCapacity) {
+		if st.mayReserve(cand.worker) {
+			list = append(list, cl.openingsOn(now, st, cand.worker)...)
+		}
+	}
+	return list
+}
+
+// mayReserve reports whether a step may reserve capacity on a worker: no other step has, or this step is late
+// and the other is ranked behind it. Steps that are in time leave each other's reservations alone, since
+// tickets and time would be lost whenever the order changes.
+func (st *step) mayReserve(wk *worker) bool {
+	return wk.reservedFor == nil || wk.reservedFor == st || st.late && wk.reservedFor.planIndex > st.planIndex
+}
+
+// openingsOn leaves out capacity that the step could not use: more than its limit of tasks per worker, and that
+// of long-running tasks, which do not end.
+func (cl *Cell) openingsOn(now time.Duration, st *step, wk *worker) []opening {
+	type ending struct {
+		at        time.Duration
+		placement *placement
+	}
+	ends := make([]ending, 0, len(wk.placements))
+	for _, pl := range wk.placements {
+		if pl.task.step.def.Lasting && pl.state != stopping {
+			continue
+		}
+		ends = append(ends, ending{now + cl.remainingTime(now, pl), pl})
+	}
+	slices.SortFunc(ends, func(a, b ending) int { return cmp.Compare(a.at, b.at) })
+	free := wk.Capacity.Sub(wk.used)
+	limit := len(st.tasks)
+	if st.def.PerWorker > 0 {
+		limit = max(st.def.PerWorker-st.tasksOn(wk), 0)
+	}
+	var list []opening
+	for range free.Holds(st.need()) {
+		list = append(list, opening{wk, now})
+	}
+	for _, end := range ends {
+		free = free.Add(end.placement.need)
+		for range free.Holds(st.need()) - len(list) {
+			list = append(list, opening{wk, end.at})
+		}
+	}
+	return list[:min(limit, len(list))]
+}
+
+// earliestOpenings sorts the openings by time and chooses the first ones, as many as wanted.
+func earliestOpenings(list []opening, want int) ([]candidate, bool) {
+	if want == 0 || len(list) < want {
+		return nil, false
+	}
+	slices.SortFunc(list, func(a, b opening) int {
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.worker.ID, b.worker.ID))
+	})
+	counts := map[*worker]int{}
+	var chosen []candidate
+	for _, op := range list[:want] {
+		if counts[op.worker]++; counts[op.worker] == 1 {
+			chosen = append(chosen, candidate{worker: op.worker})
+		}
+	}
+	for i := range chosen {
+		chosen[i].slots = counts[chosen[i].worker]
+	}
+	return chosen, true
+}
--- /dev/null
+++ b/policy/cell/restart.go
@@ -0,0 +1,122 @@
+package cell
+
+import (
+	"slices"
+	"time"
+
+	"tackbeam.example/policy/life"
+)
+
+// A worker may restart under its ID. A start sent to its earlier incarnation may have been carried out in the
+// next one, or may be yet: orders name the worker by its ID, and what was fenced in one incarnation is not
+// fenced in another. A run that the earlier incarnation has not reported is therefore kept until a report of
+// the next one either lists it or omits it. That report is requested with a token that rejects all earlier
+// orders.
+
+// maxOrderDelay is how long such a run is kept if the next incarnation does not answer: as long as an order may
+// be in transit and then run.
+const maxOrderDelay = 15 * time.Second
+
+// predecessor is an earlier incarnation of a worker, with the runs that may still begin in the next one.
+type predecessor struct {
+	worker *worker
+	until  time.Duration
+}
+
+// Restarted records that the next incarnation of a worker has begun, which ends the earlier one. The next one
+// is not listed by this call.
+func (cl *Cell) Restarted(now time.Duration, earlier, next life.Life) {
+	wk, ok := cl.workers[earlier]
+	if !ok {
+		return
+	}
+	cl.markUnreachable(now, wk)
+	cl.deregister(wk)
+	wk.answered = false
+	exceeded := cl.attributeLoss(now, wk)
+	for _, pl := range wk.placements {
+		if pl.mayBeDelayed() {
+			pl.state, pl.unconfirmedAt = unconfirmed, now
+			continue
+		}
+		cl.release(pl)
+		cl.afterLoss(pl)
+	}
+	cl.failJobs(now, exceeded)
+	if len(wk.placements) == 0 {
+		cl.forget(wk)
+		return
+	}
+	cl.predecessors[next.ID()] = append(cl.predecessors[next.ID()], predecessor{wk, now + maxOrderDelay})
+	cl.addUnlisted(now, next)
+}
+
+// addUnlisted records that an incarnation may hold any run before it is listed. Without the record, another
+// planner would not wait for its report on the runs of the earlier incarnation.
+func (cl *Cell) addUnlisted(now time.Duration, id life.Life) {
+	cl.InheritRuns(now, id, nil)
+	cl.record(Record{Worker: id})
+	cl.workers[id].openRecord = cl.recorded
+}
+
+// mayBeDelayed reports whether a run may be in the worker's next incarnation or may still begin there: no
+// report of this incarnation listed it, so that either one may have answered its start, or an attempt of the
+// start is unanswered.
+func (pl *placement) mayBeDelayed() bool { return !pl.reported || pl.delayed }
+
+// resolvePredecessors applies the first report of an incarnation to the runs of earlier ones.
+func (cl *Cell) resolvePredecessors(id life.Life, runs []Run, ends []End) {
+	predecessors := cl.predecessors[id.ID()]
+	if len(predecessors) == 0 {
+		return
+	}
+	delete(cl.predecessors, id.ID())
+	began := make(map[key]bool, len(runs)+len(ends))
+	for _, rn := range runs {
+		began[key{rn.Task, rn.Number}] = true
+	}
+	for _, en := range ends {
+		began[key{en.Task, en.Number}] = true
+	}
+	for _, pr := range predecessors {
+		cl.resolvePredecessor(pr.worker, began)
+	}
+}
+
+// resolvePredecessor releases the runs of an earlier incarnation. A run that began in the next incarnation did
+// not crash the earlier one.
+func (cl *Cell) resolvePredecessor(wk *worker, began map[key]bool) {
+	for ky, pl := range wk.placements {
+		cl.release(pl)
+		if began[ky] {
+			cl.clearCrash(pl.task, pl.run)
+		} else {
+			cl.afterLoss(pl)
+		}
+	}
+	cl.forget(wk)
+}
+
+// expirePredecessors gives up the runs of earlier incarnations whose next one has not answered for long.
+func (cl *Cell) expirePredecessors(now time.Duration) {
+	for id, predecessors := range cl.predecessors {
+		left := slices.DeleteFunc(predecessors, func(pr predecessor) bool {
+			if now < pr.until {
+				return false
+			}
+			cl.resolvePredecessor(pr.worker, nil)
+			return true
+		})
+		if cl.predecessors[id] = left; len(left) == 0 {
+			delete(cl.predecessors, id)
+		}
+	}
+}
+
+// StartDelayed records that an attempt of a start got no answer although a later one did: it may still be
+// carried out.
+func (cl *Cell) StartDelayed(sr Start) {
+	if pl := cl.placement(sr.Worker, sr.Task, sr.Run); pl != nil {
+		pl.delayed = true
+	}
+}
--- a/policy/cell/round.go
+++ b/policy/cell/round.go
@@ -7,11 +7,11 @@
 	"tackbeam.example/policy/work"
 )
 
-// round is one run of all steps of a job.
+// round is one execution of all steps of a job.
 type round struct {
 	job   *job
 	num   int
-	due   time.Duration
+	dueAt time.Duration
 	steps []*step
 	left  int
 }
@@ -22,55 +22,55 @@
 	num   int
 	def   *work.Step
 	tasks []*task
-	// left counts the tasks that have not ended done.
+	// left counts the tasks that are not done.
 	left int
-	// waits counts the tasks that have to be placed: not done, and on no worker.
-	waits int
-	ready time.Duration
-	// lacks is when tasks last began to wait after none did.
-	lacks time.Duration
-	// fails are the gang's failed runs.
-	fails  []int
-	advice advice
-	// claims are the workers on which room is kept free for the step.
-	claims []*worker
-	// claimed is when they were chosen, expected when there will be room for all, and
-	// promised the earliest such time since the step began to gather, 0 before.
-	claimed, expected, promised time.Duration
-	// complete is when the room was first all there, 0 while it is not. A step for which it was
-	// there for long has ticketsFirst set: it keeps room again once tickets have come.
-	complete     time.Duration
-	ticketsFirst bool
-	// rechoose is when room may be chosen again after there was none to choose.
-	rechoose time.Duration
-	// turn is the step's place in the present plan and late whether it is late; gathered is
-	// the last plan in which it gathered.
-	turn, gathered int
-	late           bool
-	// hit is set once a worker crashed under one of its tasks.
-	hit bool
-	// pausing is set once starts of its tasks came to nothing.
-	pausing bool
-	// looked is when room for the gang was last looked for.
-	looked time.Duration
+	// waits counts the tasks that have to be placed: not done, and not on a worker.
+	waits   int
+	readyAt time.Duration
+	// lackingSince is when tasks last began to wait after none did.
+	lackingSince time.Duration
+	// failures are the failed runs of the gang.
+	failures []int
+	advice   advice
+	// reserved are the workers on which capacity is reserved for the step.
+	reserved []*worker
+	// selectedAt is when these were selected, expectedAt when there will be capacity for all tasks, and
+	// promisedAt the earliest such time since the step began to reserve, 0 before.
+	selectedAt, expectedAt, promisedAt time.Duration
+	// completeSince is when the reserved capacity became complete, 0 while it is not. If it stays complete for
+	// too long, ticketsFirst is set: the step reserves again only once tickets have arrived.
+	completeSince time.Duration
+	ticketsFirst  bool
+	// reselectAt is when a selection may be tried again after one that found too little capacity.
+	reselectAt time.Duration
+	// planIndex is the step's position in the current plan, late whether it is late there; reservePlan is the
+	// last plan in which it reserved.
+	planIndex, reservePlan int
+	late                   bool
+	// crashSeen is set once a worker has crashed under one of its tasks.
+	crashSeen bool
+	// hadFailedStarts is set once a start of one of its tasks has failed.
+	hadFailedStarts bool
+	// lastTried is when the gang was last considered.
+	lastTried time.Duration
 }
 
-// task is one task. Its runs that are on workers, or may be, are counted; place is the
-// one that counts, the others are being stopped.
+// task is one task. runs counts its runs that are, or may be, on workers. placement is the current one; the
+// others are being stopped.
 type task struct {
-	step    *step
-	index   int
-	done    bool
-	place   *placement
-	runs    int
-	run     int
-	fails   []int
-	crashes crashes
-	tries   tries
-	// hangs counts the workers on which it stood still.
+	step          *step
+	index         int
+	done          bool
+	placement     *placement
+	runs          int
+	run           int
+	failures      []int
+	crashes       crashes
+	startFailures startFailures
+	// hangs counts how often it hung.
 	hangs      int
 	checkpoint string
-	// avoid are the workers on which it failed or stood still.
+	// avoid are the workers on which it failed or hung.
 	avoid map[life.Life]bool
 }
 
@@ -78,8 +78,7 @@
 	return work.Task{Job: tk.step.round.job.spec.ID, Round: tk.step.round.num, Step: tk.step.num, Index: tk.index}
 }
 
-// round returns a round that some planner has opened, or nil where it is none of the
-// job's.
+// round returns a round that any planner has opened, or nil if the job has no such round.
 func (cl *Cell) round(now time.Duration, jb *job, num int) *round {
 	for !jb.phase.Ended() && jb.opened <= num && jb.opened < jb.spec.Rounds() {
 		cl.openRound(now, jb)
@@ -95,7 +94,7 @@
 }
 
 func (cl *Cell) openRound(now time.Duration, jb *job) {
-	rd := &round{job: jb, num: jb.opened, due: now, left: len(jb.spec.Steps)}
+	rd := &round{job: jb, num: jb.opened, dueAt: now, left: len(jb.spec.Steps)}
 	jb.opened++
 	jb.rounds[rd.num] = rd
 	for num := range jb.spec.Steps {
@@ -109,13 +108,13 @@
 	cl.openSteps(now, rd)
 }
 
-// openSteps opens the steps of a round whose earlier ones have ended.
+// openSteps opens the steps of a round whose predecessors have ended.
 func (cl *Cell) openSteps(now time.Duration, rd *round) {
 	for _, st := range rd.steps {
 		if st.left == 0 || cl.open[st] || !rd.ended(st.def.After) {
 			continue
 		}
-		st.ready, st.lacks = now, now
+		st.readyAt, st.lackingSince = now, now
 		cl.open[st] = true
 	}
 }
@@ -143,7 +142,7 @@
 	}
 }
 
-// taskDone notes that a task has ended done, and what follows from it.
+// taskDone records that a task is done, with the consequences for its step and job.
 func (cl *Cell) taskDone(now time.Duration, tk *task, record bool) {
 	st := tk.step
 	if tk.done {
@@ -169,7 +168,7 @@
 	if st.left > 0 {
 		return
 	}
-	cl.shut(st)
+	cl.closeStep(st)
 	rd := st.round
 	rd.left--
 	cl.openSteps(now, rd)
@@ -183,8 +182,8 @@
 	}
 }
 
-// shut takes a step off the ones that wait.
-func (cl *Cell) shut(st *step) {
+// closeStep removes a step from the open ones.
+func (cl *Cell) closeStep(st *step) {
 	delete(cl.open, st)
-	cl.unclaim(st)
+	cl.releaseReservation(st)
 }
--- a/policy/cell/sharing_test.go
+++ b/policy/cell/sharing_test.go
@@ -120,7 +120,7 @@
 	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 	oneWorker(cl)
 	cl.Add(0, lasting("a", 1, 0), false)
-	for n, how := range []cell.Result{cell.ResultFailed, cell.ResultDone, cell.ResultFailed, cell.ResultFailed, cell.ResultLapsed} {
+	for n, how := range []cell.Result{cell.ResultFailed, cell.ResultDone, cell.ResultFailed, cell.ResultFailed, cell.ResultLeaseExpired} {
 		now := time.Duration(n+1) * 10 * time.Second
 		cl.Report(now, "w", now, nil, nil)
 		runs := place(t, cl, now)
--- /dev/null
+++ b/policy/cell/waiting.go
@@ -0,0 +1,86 @@
+package cell
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"tackbeam.example/policy/quota"
+	"tackbeam.example/policy/work"
+)
+
+// WaitingStep is a step that has waited for long, with what it waits for.
+type WaitingStep struct {
+	Step work.Task
+	// Waited is how long ago it became ready, Tasks how many of its tasks wait, Placed how many are on workers
+	// or may be.
+	Waited        time.Duration
+	Tasks, Placed int
+	// AdvicePending is set while an advice request for it is open. Asked and Allowed count the workers with a
+	// verdict and with a permission, Startable the tasks that the allowed ones could start.
+	AdvicePending             bool
+	Asked, Allowed, Startable int
+	// Tickets counts the allowed workers with a usable ticket.
+	Tickets int
+	// Requests counts the advice requests for the step, Unanswered those of them that found the advisor busy
+	// or got no answer.
+	Requests, Unanswered int
+	// Reserved counts the workers on which capacity is reserved for it.
+	Reserved int
+	// Late is set if the job cannot end in time any more.
+	Late bool
+	// Usage is what the job's workspace has running. AtLimit is set if the workspace's limit keeps the step from
+	// starting, Excess if the job exceeds the rate that the workspace is entitled to.
+	Usage           quota.Use
+	AtLimit, Excess bool
+}
+
+// LongestWaiting returns up to limit steps that have waited for at least a given time, longest first.
+func (cl *Cell) LongestWaiting(now, minWait time.Duration, limit int) []WaitingStep {
+	var steps []*step
+	for st := range cl.open {
+		if st.waits > 0 && now-st.readyAt >= minWait {
+			steps = append(steps, st)
+		}
+	}
+	slices.SortFunc(steps, func(a, b *step) int {
+		return cmp.Or(cmp.Compare(a.readyAt, b.readyAt), cmp.Compare(a.round.job.spec.ID, b.round.job.spec.ID))
+	})
+	var list []WaitingStep
+	for _, st := range steps[:min(limit, len(steps))] {
+		list = append(list, cl.waitingStep(now, st))
+	}
+	return list
+}
+
+func (cl *Cell) waitingStep(now time.Duration, st *step) WaitingStep {
+	ws := WaitingStep{
+		Step:   work.Task{Job: st.round.job.spec.ID, Round: st.round.num, Step: st.num},
+		Waited: now - st.readyAt,
+		Tasks:  st.waits, Placed: st.left - st.waits,
+		AdvicePending: st.advice.pending > 0, Asked: len(st.advice.verdicts), Allowed: len(st.advice.allowed),
+		Requests: st.advice.requests, Unanswered: st.advice.unanswered,
+		Reserved: len(st.reserved), Late: cl.rank(now, st).late,
+		Usage: cl.quota.Use(st.workspace()), AtLimit: cl.atLimit(st), Excess: st.round.job.excess,
+	}
+	until := cl.latestArrival(now)
+	for cand := range cl.allowedCandidates(st) {
+		ws.Startable += cand.slots
+		if st.advice.hasTicketUntil(cand.worker, until) {
+			ws.Tickets++
+		}
+	}
+	return ws
+}
+
+// OldestWait returns how long the longest waiting step has waited, and how many workers have capacity reserved,
+// for metrics.
+func (cl *Cell) OldestWait(now time.Duration) (wait time.Duration, reserved int) {
+	for st := range cl.open {
+		if st.waits > 0 {
+			wait = max(wait, now-st.readyAt)
+		}
+		reserved += len(st.reserved)
+	}
+	return wait, reserved
+}
--- a/policy/cell/worker.go
+++ b/policy/cell/worker.go
@@ -10,103 +10,102 @@
 // worker is one worker as the cell knows it.
 type worker struct {
 	Worker
-	// listed workers stand in the list of workers, answered ones have reported to this planner.
+	// listed workers have an entry in the list of workers, answered ones have reported to this planner.
 	listed, answered bool
-	// forgotten is set once the cell does not know it any more.
-	forgotten bool
-	used      size.Size
-	places    map[key]*placement
-	// strangers counts the runs there of which the cell knows nothing.
-	strangers int
-	// proof is the record that says that the worker may hold any run; 0 where it gets
-	// none.
-	proof int
-	// silent is set while it does not answer, silentAt is since when. left is set once it has left
-	// the list though it answered: it leaves in order, without a word.
-	silent, left bool
-	silentAt     time.Duration
-	// seen is the highest end taken in; unnoted are those not yet proved by the journal.
-	seen, noted int
-	unnoted     []note
-	// rest keeps new runs off a worker on which they fail.
-	rest  time.Duration
-	fails int
-	// claim is the gang that room is kept free for, kept is how much of it.
-	claim *step
-	kept  size.Size
-	// first is when it first reported to this planner, reported when it last did.
-	first, reported time.Duration
-	// paced is when its fillers were last slowed or let go.
-	paced time.Duration
-	// leaves is when it may leave, if it drains.
-	leaves time.Duration
-	// pool is where the present plan finds the worker, nil where it takes no runs, and
-	// slot its place there.
-	pool *pool
-	slot int
-}
-
-// note is an end with the record that proves what followed from it.
-type note struct{ number, proof int }
-
-// Rest times of workers.
+	// forgotten is set once the cell has discarded the worker.
+	forgotten  bool
+	used       size.Size
+	placements map[key]*placement
+	// unknownRuns counts the runs on it that the cell does not know.
+	unknownRuns int
+	// openRecord is the number of the record that says that the worker may hold any run; 0 if it gets no runs.
+	openRecord int
+	// unreachable is set while it does not answer, unreachableAt is since when. departed is set once it has
+	// left the list while it answered: it leaves in an orderly way without announcing it.
+	unreachable, departed bool
+	unreachableAt         time.Duration
+	// lastEnd is the highest end applied, ackedEnd the highest that the journal has; unacked are those in
+	// between.
+	lastEnd, ackedEnd int
+	unacked           []endNote
+	// quarantineUntil is when a worker on which runs fail may get new ones.
+	quarantineUntil time.Duration
+	failures        int
+	// reservedFor is the step that capacity is reserved for, reservedSize how much of it.
+	reservedFor  *step
+	reservedSize size.Size
+	// firstReport is when it first reported to this planner, lastReport when it last did.
+	firstReport, lastReport time.Duration
+	// pacedAt is when the pace of its best-effort tasks was last changed.
+	pacedAt time.Duration
+	// leavesAt is when it may leave if it is draining.
+	leavesAt time.Duration
+	// pool is the pool that has the worker, nil if it takes no runs; poolIndex is its position there.
+	pool      *pool
+	poolIndex int
+}
+
+// endNote is the end of a run, with the record that covers its consequences.
+type endNote struct{ number, record int }
+
+// Durations of quarantine.
 const (
-	// restRoom keeps a worker alone that had less room than the cell thought.
-	restRoom = 300 * time.Millisecond
-	// restFails keeps a worker alone on which failsInRow runs of tasks ended failed.
-	restFails  = 6 * time.Second
-	failsInRow = 3
-	// restHung keeps a worker alone on which a task stood still.
-	restHung = 6 * time.Second
+	// quarantineNoCapacity is for a worker that had less capacity than the cell assumed.
+	quarantineNoCapacity = 300 * time.Millisecond
+	// quarantineFailures is for a worker on which maxFailures runs in a row failed.
+	quarantineFailures = 6 * time.Second
+	maxFailures        = 3
+	// quarantineHung is for a worker on which a task hung.
+	quarantineHung = 6 * time.Second
 )
 
-// PutWorker takes in an entry of the list of workers.
+// PutWorker adds or updates an entry of the list of workers.
 func (cl *Cell) PutWorker(now time.Duration, wk Worker) {
 	old, known := cl.workers[wk.ID]
 	if !known {
-		old = &worker{places: map[key]*placement{}}
+		old = &worker{placements: map[key]*placement{}}
 		cl.workers[wk.ID] = old
 	}
 	if wk.Draining && !old.Draining {
-		old.leaves = now + wk.Remaining
+		old.leavesAt = now + wk.Remaining
 	}
 	if wk.Capacity != old.Capacity {
-		cl.dropClaim(old) // what is kept free was counted by the other size
+		cl.dropReservation(old) // the reservation was computed for the old capacity
 	}
 	old.Worker = wk
-	old.listed, old.left = true, false
+	old.listed, old.departed = true, false
 	if wk.Draining {
-		cl.dropClaim(old)
-		cl.shutWorker(old)
+		cl.dropReservation(old)
+		cl.closeWorker(old)
 	}
 }
 
-// shutWorker gives a worker no more runs, and records which it may hold: should it
-// fall silent for good, another planner need wait with these tasks only.
-func (cl *Cell) shutWorker(wk *worker) {
-	if wk.proof == 0 {
+// closeWorker gives a worker no more runs, and records which it may hold: if it never answers again, another
+// planner has to wait for these tasks only.
+func (cl *Cell) closeWorker(wk *worker) {
+	if wk.openRecord == 0 {
 		return
 	}
-	cl.record(Record{Worker: wk.ID, Closed: true, Held: wk.held(), Departed: wk.Draining || wk.left})
-	wk.proof = 0
+	cl.record(Record{Worker: wk.ID, Closed: true, Held: wk.heldRuns(), Departed: wk.Draining || wk.departed})
+	wk.openRecord = 0
 }
 
-// Unreachable takes in that a worker does not answer.
+// Unreachable records that a worker does not answer.
 func (cl *Cell) Unreachable(now time.Duration, id life.Life) {
 	if wk, ok := cl.workers[id]; ok {
-		cl.fellSilent(now, wk)
-		cl.shutWorker(wk)
+		cl.markUnreachable(now, wk)
+		cl.closeWorker(wk)
 	}
 }
 
-// InheritStops takes in that an earlier planner may have told a worker to stop runs
-// just before this one was elected.
+// InheritStops records that an earlier planner may have told a worker to stop runs just before this one was
+// elected.
 func (cl *Cell) InheritStops(now time.Duration, id life.Life, runs []Run) {
 	cl.InheritRuns(now, id, nil)
 	wk := cl.workers[id]
 	for _, rn := range runs {
 		tk := cl.find(rn.Task)
-		if tk == nil || wk.places[key{rn.Task, rn.Number}] != nil {
+		if tk == nil || wk.placements[key{rn.Task, rn.Number}] != nil {
 			continue
 		}
 		pl := cl.place(now, tk, wk, rn.Number)
@@ -114,14 +113,14 @@
 	}
 }
 
-// InheritDeparted takes in that a worker was leaving in order.
+// InheritDeparted records that a worker was leaving in an orderly way.
 func (cl *Cell) InheritDeparted(now time.Duration, id life.Life) {
 	cl.InheritRuns(now, id, nil)
-	cl.workers[id].left = true
+	cl.workers[id].departed = true
 }
 
-// InheritRuns takes in that a worker holds at most some runs, as an earlier planner has
-// recorded, until it answers or lapses.
+// InheritRuns records that a worker holds at most the given runs, according to an earlier planner, until it
+// answers or its lease expires.
 func (cl *Cell) InheritRuns(now time.Duration, id life.Life, held []Run) {
 	wk, known := cl.workers[id]
 	if !known {
@@ -131,105 +130,104 @@
 	}
 	for _, rn := range held {
 		tk := cl.find(rn.Task)
-		if tk == nil || tk.done || wk.places[key{rn.Task, rn.Number}] != nil || tk.step.round.job.phase.Ended() {
+		if tk == nil || tk.done || wk.placements[key{rn.Task, rn.Number}] != nil || tk.step.round.job.phase.Ended() {
 			continue
 		}
 		pl := cl.place(now, tk, wk, rn.Number)
-		pl.state, pl.midway = running, true
+		pl.state, pl.adopted = running, true
 	}
 }
 
-// Deregister takes in that a worker's entry is gone. What it runs is kept until it has
-// lapsed.
+// Deregister records that a worker's entry is gone. Its runs are kept until its lease has expired.
 func (cl *Cell) Deregister(id life.Life) {
 	if wk, ok := cl.workers[id]; ok {
-		wk.left = wk.left || wk.listed && wk.answered && !wk.silent
+		wk.departed = wk.departed || wk.listed && wk.answered && !wk.unreachable
 		cl.deregister(wk)
 	}
 }
 
 func (cl *Cell) deregister(wk *worker) {
 	wk.listed = false
-	cl.dropClaim(wk)
-	cl.shutWorker(wk)
+	cl.dropReservation(wk)
+	cl.closeWorker(wk)
 }
 
-// Replaced takes in that a worker's incarnation is over: another one answers in its place.
+// Replaced records that a worker's incarnation is over, since another one answers in its place.
 func (cl *Cell) Replaced(now time.Duration, id life.Life) {
 	if wk, ok := cl.workers[id]; ok {
-		cl.fellSilent(now, wk)
+		cl.markUnreachable(now, wk)
 		cl.deregister(wk)
 		cl.LeaseExpired(now, id)
 	}
 }
 
-// LeaseExpired takes in that nothing can run on a worker any more: its lease is over, or
-// it is gone. It may answer again later.
+// LeaseExpired records that nothing can run on a worker any more: its lease has expired, or it is gone. It may
+// answer again later.
 func (cl *Cell) LeaseExpired(now time.Duration, id life.Life) {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return
 	}
 	wk.answered = false
-	over := cl.layCrash(now, wk)
-	for _, pl := range wk.places {
+	exceeded := cl.attributeLoss(now, wk)
+	for _, pl := range wk.placements {
 		cl.release(pl)
 		cl.afterLoss(pl)
 	}
-	cl.giveUp(now, over)
+	cl.failJobs(now, exceeded)
 	if !wk.listed {
 		cl.forget(wk)
 	}
 }
 
-// forget forgets a worker that holds nothing.
+// forget discards a worker that holds nothing.
 func (cl *Cell) forget(wk *worker) {
 	cl.record(Record{Worker: wk.ID, Gone: true})
 	delete(cl.workers, wk.ID)
 	wk.forgotten = true
 }
 
-// AckedEnd returns the number of the last end of a worker that the journal proves, and
-// whether later ones wait for that.
+// AckedEnd returns the number of the last end of a worker that the journal has, and whether later ones are
+// waiting to be committed.
 func (cl *Cell) AckedEnd(id life.Life) (number int, waits bool) {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return 0, false
 	}
-	for len(wk.unnoted) > 0 && wk.unnoted[0].proof <= cl.committed {
-		wk.noted = wk.unnoted[0].number
-		wk.unnoted = wk.unnoted[1:]
+	for len(wk.unacked) > 0 && wk.unacked[0].record <= cl.committed {
+		wk.ackedEnd = wk.unacked[0].number
+		wk.unacked = wk.unacked[1:]
 	}
-	return wk.noted, len(wk.unnoted) > 0
+	return wk.ackedEnd, len(wk.unacked) > 0
 }
 
 // MayHoldRuns reports whether a worker may have runs of the cell.
 func (cl *Cell) MayHoldRuns(id life.Life) bool {
 	wk, ok := cl.workers[id]
-	return ok && (len(wk.places) > 0 || !wk.answered)
+	return ok && (len(wk.placements) > 0 || !wk.answered)
 }
 
-// HeldRuns returns the runs that a worker may have, in no order.
+// HeldRuns returns the runs that a worker may have, in no particular order.
 func (cl *Cell) HeldRuns(id life.Life) []Run {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return nil
 	}
-	return wk.held()
+	return wk.heldRuns()
 }
 
-func (wk *worker) held() []Run {
+func (wk *worker) heldRuns() []Run {
 	var runs []Run
-	for at := range wk.places {
-		runs = append(runs, Run{Task: at.task, Number: at.run})
+	for ky := range wk.placements {
+		runs = append(runs, Run{Task: ky.task, Number: ky.run})
 	}
 	return runs
 }
 
-// UsesService reports whether any job's tasks run on workers of a service.
+// UsesService reports whether tasks of any job run on workers of a service.
 func (cl *Cell) UsesService(service string) bool { return cl.services[service] }
 
-// Listed reports whether a worker is known and in the list.
+// Listed reports whether a worker is known, and whether it is in the list of workers.
 func (cl *Cell) Listed(id life.Life) (known, listed bool) {
 	wk, ok := cl.workers[id]
 	return ok, ok && wk.listed
