--- a/policy/cell/advice.go
+++ b/policy/cell/advice.go
@@ -94,21 +94,21 @@
 	}
 	st.advice.pending--
 	st.selectedAt = 0 // with the new information, other capacity may become free sooner
-	unknown := 0
+	newVerdicts := 0
 	for _, id := range rq.Workers {
 		if _, asked := st.advice.verdicts[id]; !asked {
 			st.advice.verdicts[id] = nil
-			unknown++
+			newVerdicts++
 		}
 	}
-	allowed := 0
+	newAllowed := 0
 	if len(rows) > 0 {
 		st.ticketsFirst, st.completeSince = false, 0
 	}
 	for _, row := range rows {
 		pm := st.advice.verdicts[row.Worker]
 		if pm == nil {
-			allowed++
+			newAllowed++
 			pm = &permission{id: row.Worker}
 			st.advice.allowed = append(st.advice.allowed, pm)
 			st.advice.verdicts[row.Worker] = pm
@@ -116,10 +116,10 @@
 		pm.ticket, pm.until = row.Text, now+valid
 		st.advice.until = max(st.advice.until, pm.until)
 	}
-	if unknown > 0 {
+	if newVerdicts > 0 {
 		const weight = 0.1
 		qu := cl.queue(st.round.job.spec.Queue.Name)
-		qu.allowedShare += weight * (max(float64(allowed)/float64(unknown), minAllowedShare) - qu.allowedShare)
+		qu.allowedShare += weight * (max(float64(newAllowed)/float64(newVerdicts), minAllowedShare) - qu.allowedShare)
 	}
 }
 
@@ -150,7 +150,7 @@
 
 func (cl *Cell) step(name work.Task) *step {
 	name.Index = 0
-	if tk := cl.find(name); tk != nil {
+	if tk := cl.findTask(name); tk != nil {
 		return tk.step
 	}
 	return nil
--- a/policy/cell/advicerequest.go
+++ b/policy/cell/advicerequest.go
@@ -125,7 +125,7 @@
 		return
 	}
 	qu := st.round.job.spec.Queue
-	count := min(int(float64(st.waits)*ticketSurplus)+1, len(list))
+	count := min(int(float64(st.unplaced)*ticketSurplus)+1, len(list))
 	takes := qu.AdviceBase + time.Duration(min(count, cl.maxWorkers(st)))*qu.AdviceEach
 	if st.expectedAt > now+takes+ticketLead {
 		return
@@ -152,7 +152,7 @@
 	for i, op := range list {
 		if !seen[op.worker] && !st.advice.hasTicketUntil(op.worker, until) {
 			ids = append(ids, op.worker.ID)
-			lacks = lacks || i < st.waits
+			lacks = lacks || i < st.unplaced
 		}
 		seen[op.worker] = true
 	}
--- a/policy/cell/cell.go
+++ b/policy/cell/cell.go
@@ -80,8 +80,8 @@
 
 // queue is what the cell has learned from the jobs of a route.
 type queue struct {
-	queued   int
-	runTimes forecast.Model
+	queuedJobs int
+	runTimes   forecast.Model
 	// allowedShare is a moving average of the share of workers that the advisor allows.
 	allowedShare float64
 }
@@ -161,7 +161,7 @@
 // QueuedJobs returns how many accepted jobs of a queue have not begun.
 func (cl *Cell) QueuedJobs(name string) int {
 	if qu, ok := cl.queues[name]; ok {
-		return qu.queued
+		return qu.queuedJobs
 	}
 	return 0
 }
--- a/policy/cell/crash.go
+++ b/policy/cell/crash.go
@@ -147,7 +147,7 @@
 func (cl *Cell) failJobs(now time.Duration, tks []*task) {
 	for _, tk := range tks {
 		if jb := tk.step.round.job; !jb.phase.Ended() {
-			cl.finish(now, jb, Failed)
+			cl.finishJob(now, jb, Failed)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 // disconnected and did not crash.
 func (cl *Cell) withdrawAttributions(id life.Life) {
 	for _, rn := range cl.attributions[id].runs {
-		if tk := cl.find(rn.Task); tk != nil {
+		if tk := cl.findTask(rn.Task); tk != nil {
 			cl.clearCrash(tk, rn.Number)
 		}
 	}
@@ -176,7 +176,7 @@
 // CrashCounts returns how many workers crashed under a task, and how many of these crashes have no other
 // explanation, for the log.
 func (cl *Cell) CrashCounts(name work.Task) (all, unexplained int) {
-	if tk := cl.find(name); tk != nil {
+	if tk := cl.findTask(name); tk != nil {
 		return len(tk.crashes), tk.crashes.unexplained()
 	}
 	return 0, 0
--- a/policy/cell/evacuate.go
+++ b/policy/cell/evacuate.go
@@ -32,18 +32,18 @@
 // shouldMove reports whether a run is better ended now than when the worker leaves.
 func (cl *Cell) shouldMove(now time.Duration, wk *worker, pl *placement) bool {
 	def := pl.task.step.def
-	left := wk.leavesAt - now
+	timeLeft := wk.leavesAt - now
 	switch {
 	case def.Lasting:
 		return pl.task.step.unavailable() < def.MayMiss
 	case pl.percent >= fullPercent:
 		return false
-	case cl.remainingTime(now, pl) <= left:
+	case cl.remainingTime(now, pl) <= timeLeft:
 		return false
 	case def.Checkpoints:
-		return left < checkpointLead
+		return timeLeft < checkpointLead
 	}
-	return cl.remainingTime(now, pl) > left+overrunMargin
+	return cl.remainingTime(now, pl) > timeLeft+overrunMargin
 }
 
 // unavailable counts the tasks of a long-running step that are not up.
--- a/policy/cell/gang.go
+++ b/policy/cell/gang.go
@@ -81,8 +81,8 @@
 
 // fill takes the workers with most capacity until all tasks of the gang have a place.
 func (st *step) fill(cands []candidate) ([]candidate, bool) {
-	left := len(st.tasks)
-	if totalSlots(cands) < left {
+	remaining := len(st.tasks)
+	if totalSlots(cands) < remaining {
 		return nil, false
 	}
 	cands = slices.Clone(cands)
@@ -97,10 +97,10 @@
 	})
 	var chosen []candidate
 	for _, cand := range cands {
-		cand.slots = min(cand.slots, left)
-		left -= cand.slots
+		cand.slots = min(cand.slots, remaining)
+		remaining -= cand.slots
 		chosen = append(chosen, cand)
-		if left == 0 {
+		if remaining == 0 {
 			return chosen, true
 		}
 	}
--- a/policy/cell/job.go
+++ b/policy/cell/job.go
@@ -13,11 +13,11 @@
 	inherited bool
 	arrivedAt time.Duration
 	// excess jobs exceed the rate that their workspace is entitled to.
-	excess   bool
-	rounds   map[int]*round
-	opened   int
-	finished int
-	phase    Phase
+	excess         bool
+	rounds         map[int]*round
+	openedRounds   int
+	finishedRounds int
+	phase          Phase
 	// endRecord is the number of records that must be committed to prove that the job has ended.
 	endRecord int
 	endedAt   time.Duration
@@ -43,11 +43,11 @@
 	jb := &job{spec: spec, inherited: inherited, arrivedAt: arrived, rounds: map[int]*round{}, phase: Queued}
 	cl.jobs[spec.ID] = jb
 	cl.services[spec.Queue.Service] = true
-	cl.queue(spec.Queue.Name).queued++
+	cl.queue(spec.Queue.Name).queuedJobs++
 	cl.quota.Set(spec.Workspace)
 	jb.excess = !inherited && !cl.quota.Owes(spec.Workspace.Name, arrived)
 	if cn, cancelled := cl.cancels[spec.ID]; cancelled && jb.belongsTo(cn.workspace) {
-		cl.finish(now, jb, Cancelled)
+		cl.finishJob(now, jb, Cancelled)
 		return
 	}
 	if spec.Repeat == nil {
@@ -77,7 +77,7 @@
 	}
 	cl.cancels[id] = cancel{now, workspace}
 	if ok && !jb.phase.Ended() {
-		cl.finish(now, jb, Cancelled)
+		cl.finishJob(now, jb, Cancelled)
 	}
 }
 
@@ -85,7 +85,7 @@
 func (cl *Cell) Restore(now time.Duration, recs []Record) {
 	for _, rec := range recs {
 		if jb, ok := cl.jobs[rec.Job]; ok && rec.Phase.Ended() && !jb.phase.Ended() {
-			cl.close(now, jb, rec.Phase)
+			cl.closeJob(now, jb, rec.Phase)
 		}
 	}
 	for _, rec := range recs {
@@ -96,7 +96,7 @@
 }
 
 func (cl *Cell) restore(now time.Duration, jb *job, rec Record) {
-	cl.begin(jb)
+	cl.beginJob(jb)
 	if rd := cl.round(now, jb, rec.Task.Round); rd != nil {
 		cl.restoreTask(now, rd, rec)
 	}
@@ -122,12 +122,12 @@
 		exceeded = tk.addFailure(rec.Run) && tk.exhausted()
 	}
 	if exceeded {
-		cl.finish(now, rd.job, Failed) // the earlier planner ended before it could record that
+		cl.finishJob(now, rd.job, Failed) // the earlier planner ended before it could record that
 	}
 }
 
-// find returns the task of that name, or nil if no open round has it.
-func (cl *Cell) find(name work.Task) *task {
+// findTask returns the task of that name, or nil if no open round has it.
+func (cl *Cell) findTask(name work.Task) *task {
 	jb, ok := cl.jobs[name.Job]
 	if !ok {
 		return nil
@@ -139,24 +139,24 @@
 	return rd.task(name)
 }
 
-// begin records that a task of the job has begun.
-func (cl *Cell) begin(jb *job) {
+// beginJob records that a task of the job has begun.
+func (cl *Cell) beginJob(jb *job) {
 	if jb.phase == Queued {
 		jb.phase = Running
-		cl.queue(jb.spec.Queue.Name).queued--
+		cl.queue(jb.spec.Queue.Name).queuedJobs--
 	}
 }
 
-// finish ends a job, stops its remaining runs and records its end.
-func (cl *Cell) finish(now time.Duration, jb *job, phase Phase) {
-	cl.close(now, jb, phase)
+// finishJob ends a job, stops its remaining runs and records its end.
+func (cl *Cell) finishJob(now time.Duration, jb *job, phase Phase) {
+	cl.closeJob(now, jb, phase)
 	cl.record(Record{Job: jb.spec.ID, Phase: phase})
 	jb.endRecord = cl.recorded
 }
 
-func (cl *Cell) close(now time.Duration, jb *job, phase Phase) {
+func (cl *Cell) closeJob(now time.Duration, jb *job, phase Phase) {
 	if jb.phase == Queued {
-		cl.queue(jb.spec.Queue.Name).queued--
+		cl.queue(jb.spec.Queue.Name).queuedJobs--
 	}
 	jb.phase = phase
 	jb.endedAt = now
--- a/policy/cell/limits.go
+++ b/policy/cell/limits.go
@@ -26,7 +26,7 @@
 func (cl *Cell) allowance(st *step) int { return cl.quota.Room(st.workspace(), st.need()) }
 
 // wanted is how many tasks of the step wait, as far as its workspace may have them running.
-func (cl *Cell) wanted(st *step) int { return min(st.waits, cl.allowance(st)) }
+func (cl *Cell) wanted(st *step) int { return min(st.unplaced, cl.allowance(st)) }
 
 // atLimit reports whether the limit of its workspace keeps the step from starting. Such a step reserves no
 // capacity and requests no tickets, which others could use.
@@ -71,7 +71,7 @@
 	var sum size.Size
 	for _, rd := range jb.rounds {
 		for _, st := range rd.steps {
-			sum = sum.Add(st.need().Times(int64(st.waits)))
+			sum = sum.Add(st.need().Times(int64(st.unplaced)))
 		}
 	}
 	return sum
--- a/policy/cell/placement.go
+++ b/policy/cell/placement.go
@@ -48,8 +48,8 @@
 	tailLatencyMS, pace int
 }
 
-// key identifies a placement on its worker.
-type key struct {
+// placementKey identifies a placement on its worker.
+type placementKey struct {
 	task work.Task
 	run  int
 }
@@ -60,7 +60,7 @@
 	cl.recovered = true
 	cl.quota.SetDoubts(nil)
 	for st := range cl.open {
-		if st.def.Gang && st.waits > 0 && st.waits < len(st.tasks) {
+		if st.def.Gang && st.unplaced > 0 && st.unplaced < len(st.tasks) {
 			cl.stopGang(st, "gang is incomplete")
 		}
 	}
@@ -74,11 +74,11 @@
 	need := tk.step.need()
 	pl := &placement{task: tk, worker: wk, run: run, need: need, progressAt: now, begunAt: now, pace: fullPercent}
 	pl.resumed = tk.checkpoint != ""
-	wk.placements[key{tk.name(), run}] = pl
+	wk.placements[placementKey{tk.name(), run}] = pl
 	wk.used = wk.used.Add(need)
 	cl.quota.Add(tk.step.workspace(), need)
 	if tk.runs == 0 && !tk.done {
-		tk.step.waits--
+		tk.step.unplaced--
 	}
 	tk.runs++
 	if tk.placement == nil || tk.placement.run < run {
@@ -90,17 +90,17 @@
 
 // release frees the resources of a run.
 func (cl *Cell) release(pl *placement) {
-	ky := key{pl.task.name(), pl.run}
+	ky := placementKey{pl.task.name(), pl.run}
 	if pl.worker.placements[ky] != pl {
 		return
 	}
 	delete(pl.worker.placements, ky)
 	pl.task.runs--
 	if st := pl.task.step; pl.task.runs == 0 && !pl.task.done {
-		if st.waits == 0 {
+		if st.unplaced == 0 {
 			st.lackingSince = cl.now
 		}
-		st.waits++
+		st.unplaced++
 	}
 	pl.worker.used = pl.worker.used.Sub(pl.need)
 	cl.quota.Sub(pl.task.step.workspace(), pl.need)
@@ -144,7 +144,7 @@
 	if !ok {
 		return nil
 	}
-	return wk.placements[key{task, run}]
+	return wk.placements[placementKey{task, run}]
 }
 
 // startAnswered records that a start in flight was answered.
@@ -165,7 +165,7 @@
 	if !pl.task.step.def.Lasting {
 		pl.task.startFailures = startFailures{}
 	}
-	cl.begin(pl.task.step.round.job)
+	cl.beginJob(pl.task.step.round.job)
 }
 
 // Refused records that a worker did not start a run and never will.
--- a/policy/cell/plan.go
+++ b/policy/cell/plan.go
@@ -109,6 +109,7 @@
 	return count
 }
 
+// urgent reports whether the step belongs to an urgent queue, within the rate of its workspace.
 func (st *step) urgent() bool {
 	jb := st.round.job
 	return jb.spec.Queue.Priority == 0 && !jb.excess
@@ -146,7 +147,7 @@
 	if cands := cl.chooseWorkers(now, st); len(cands) > 0 {
 		tks := st.waiting(now)
 		for _, tk := range tks[:min(len(tks), cl.allowance(st))] {
-			i := fit(tk, cands)
+			i := firstFit(tk, cands)
 			if i < 0 {
 				break
 			}
@@ -179,10 +180,10 @@
 		return cands
 	}
 	var cands []candidate
-	left, isolate := st.waits, st.waitsAfterCrash()
+	remaining, isolate := st.unplaced, st.waitsAfterCrash()
 	for cand := range cl.bestFit(st) {
 		cands = append(cands, cand)
-		if left -= cand.slots; left <= 0 && len(cands) >= minCandidates && !isolate {
+		if remaining -= cand.slots; remaining <= 0 && len(cands) >= minCandidates && !isolate {
 			break
 		}
 	}
@@ -200,9 +201,9 @@
 	return tks
 }
 
-// fit returns the index of the first candidate with capacity for the task, preferably one that the task has not
+// firstFit returns the index of the first candidate with capacity for the task, preferably one that the task has not
 // failed on, or -1.
-func fit(tk *task, cands []candidate) int {
+func firstFit(tk *task, cands []candidate) int {
 	if len(tk.crashes) > 0 {
 		return fitIsolated(tk, cands)
 	}
--- a/policy/cell/pool.go
+++ b/policy/cell/pool.go
@@ -26,7 +26,7 @@
 	for service, po := range cl.pools {
 		po.used, po.idle = 0, 0
 		po.workers = slices.DeleteFunc(po.workers, func(wk *worker) bool {
-			if cl.acceptsRuns(now, wk) && wk.Service == service && !wk.forgotten {
+			if cl.acceptsRuns(now, wk) && wk.Service == service && !wk.removed {
 				return false
 			}
 			wk.pool = nil
@@ -217,7 +217,7 @@
 
 // worker returns the worker of a permission, or nil if it is not known.
 func (cl *Cell) worker(pm *permission) *worker {
-	if pm.worker == nil || pm.worker.forgotten {
+	if pm.worker == nil || pm.worker.removed {
 		pm.worker = cl.workers[pm.id]
 	}
 	return pm.worker
--- a/policy/cell/progress.go
+++ b/policy/cell/progress.go
@@ -13,7 +13,7 @@
 	switch {
 	case pl.state == ordered || pl.state == unconfirmed:
 		pl.state, pl.runningSince = running, now
-		cl.begin(pl.task.step.round.job)
+		cl.beginJob(pl.task.step.round.job)
 	case pl.inherited: // the earlier planner's stop has not arrived
 		pl.inherited, pl.state = false, running
 		cl.stop(pl, "stop ordered by an earlier planner")
--- a/policy/cell/rank.go
+++ b/policy/cell/rank.go
@@ -16,7 +16,7 @@
 func (cl *Cell) byRank(now time.Duration) []ranked {
 	var list []ranked
 	for st := range cl.open {
-		if st.waits == 0 || st.def.Gang && st.waits < len(st.tasks) {
+		if st.unplaced == 0 || st.def.Gang && st.unplaced < len(st.tasks) {
 			continue // all of it runs, or members of the gang are being stopped
 		}
 		if st.backsOff(now) {
--- a/policy/cell/report.go
+++ b/policy/cell/report.go
@@ -9,7 +9,7 @@
 
 // Report applies what a worker reported about its runs and their ends, in the answer to a call that was sent at
 // the given time. It returns the ends that were not reported before.
-func (cl *Cell) Report(now time.Duration, id life.Life, sent time.Duration, runs []Run, ends []End) (fresh []End) {
+func (cl *Cell) Report(now time.Duration, id life.Life, sent time.Duration, runs []Run, ends []End) (newEnds []End) {
 	wk, ok := cl.workers[id]
 	if !ok {
 		return nil
@@ -28,29 +28,29 @@
 	for _, en := range ends {
 		if en.Seq > wk.lastEnd {
 			wk.lastEnd = en.Seq
-			fresh = append(fresh, en)
+			newEnds = append(newEnds, en)
 			cl.runEnded(now, wk, en)
 			wk.unacked = append(wk.unacked, endNote{en.Seq, cl.recorded})
 		}
 	}
-	there := make(map[key]bool, len(runs))
+	listed := make(map[placementKey]bool, len(runs))
 	wk.unknownRuns = 0
 	for _, rn := range runs {
-		there[key{rn.Task, rn.Number}] = true
+		listed[placementKey{rn.Task, rn.Number}] = true
 		cl.runListed(now, wk, rn)
 	}
 	for ky, pl := range wk.placements {
-		if !there[ky] {
+		if !listed[ky] {
 			cl.runMissing(pl, sent)
 		}
 	}
 	cl.throttle(now, wk)
-	return fresh
+	return newEnds
 }
 
 // runListed applies a run that a report lists.
 func (cl *Cell) runListed(now time.Duration, wk *worker, rn Run) {
-	if pl := wk.placements[key{rn.Task, rn.Number}]; pl != nil {
+	if pl := wk.placements[placementKey{rn.Task, rn.Number}]; pl != nil {
 		cl.updateRun(now, pl, rn)
 		return
 	}
@@ -58,7 +58,7 @@
 	if known {
 		cl.round(now, jb, rn.Task.Round)
 	}
-	tk := cl.find(rn.Task)
+	tk := cl.findTask(rn.Task)
 	if tk == nil {
 		wk.unknownRuns++
 		wk.quarantineUntil = max(wk.quarantineUntil, now+cl.opts.StopTimeout+stopMargin) // what the run takes is not known
@@ -68,7 +68,7 @@
 	other := tk.placement
 	pl := cl.place(now, tk, wk, rn.Number)
 	pl.state, pl.runningSince, pl.adopted = running, now, true
-	cl.begin(jb)
+	cl.beginJob(jb)
 	cl.updateRun(now, pl, rn)
 	switch {
 	case jb.phase.Ended() || tk.done:
@@ -104,14 +104,14 @@
 
 // runEnded applies the end of a run.
 func (cl *Cell) runEnded(now time.Duration, wk *worker, en End) {
-	pl := wk.placements[key{en.Task, en.Number}]
+	pl := wk.placements[placementKey{en.Task, en.Number}]
 	if pl != nil {
 		cl.release(pl)
 	}
 	if jb, known := cl.jobs[en.Task.Job]; known {
 		cl.round(now, jb, en.Task.Round)
 	}
-	tk := cl.find(en.Task)
+	tk := cl.findTask(en.Task)
 	if tk == nil {
 		return
 	}
@@ -119,7 +119,7 @@
 	if tk.done || tk.step.round.job.phase.Ended() {
 		return
 	}
-	cl.begin(tk.step.round.job)
+	cl.beginJob(tk.step.round.job)
 	if en.Checkpoint != "" {
 		tk.checkpoint = en.Checkpoint
 	}
@@ -163,7 +163,7 @@
 	name := tk.name()
 	cl.record(Record{Job: name.Job, Task: &name, Result: ResultFailed, Run: en.Number})
 	if tk.exhausted() {
-		cl.finish(now, jb, Failed)
+		cl.finishJob(now, jb, Failed)
 	}
 }
 
--- a/policy/cell/reservation.go
+++ b/policy/cell/reservation.go
@@ -52,6 +52,7 @@
 	st.reserved = nil
 }
 
+// dropReservation releases the reservation that a worker is part of, on all its workers.
 func (cl *Cell) dropReservation(wk *worker) {
 	if wk.reservedFor != nil {
 		cl.releaseReservation(wk.reservedFor)
--- a/policy/cell/restart.go
+++ b/policy/cell/restart.go
@@ -44,7 +44,7 @@
 	}
 	cl.failJobs(now, exceeded)
 	if len(wk.placements) == 0 {
-		cl.forget(wk)
+		cl.removeWorker(wk)
 		return
 	}
 	cl.predecessors[next.ID()] = append(cl.predecessors[next.ID()], predecessor{wk, now + maxOrderDelay})
@@ -71,12 +71,12 @@
 		return
 	}
 	delete(cl.predecessors, id.ID())
-	began := make(map[key]bool, len(runs)+len(ends))
+	began := make(map[placementKey]bool, len(runs)+len(ends))
 	for _, rn := range runs {
-		began[key{rn.Task, rn.Number}] = true
+		began[placementKey{rn.Task, rn.Number}] = true
 	}
 	for _, en := range ends {
-		began[key{en.Task, en.Number}] = true
+		began[placementKey{en.Task, en.Number}] = true
 	}
 	for _, pr := range predecessors {
 		cl.resolvePredecessor(pr.worker, began)
@@ -85,7 +85,7 @@
 
 // resolvePredecessor releases the runs of an earlier incarnation. A run that began in the next incarnation did
 // not crash the earlier one.
-func (cl *Cell) resolvePredecessor(wk *worker, began map[key]bool) {
+func (cl *Cell) resolvePredecessor(wk *worker, began map[placementKey]bool) {
 	for ky, pl := range wk.placements {
 		cl.release(pl)
 		if began[ky] {
@@ -94,20 +94,20 @@
 			cl.afterLoss(pl)
 		}
 	}
-	cl.forget(wk)
+	cl.removeWorker(wk)
 }
 
 // expirePredecessors gives up the runs of earlier incarnations whose next one has not answered for long.
 func (cl *Cell) expirePredecessors(now time.Duration) {
 	for id, predecessors := range cl.predecessors {
-		left := slices.DeleteFunc(predecessors, func(pr predecessor) bool {
+		remaining := slices.DeleteFunc(predecessors, func(pr predecessor) bool {
 			if now < pr.until {
 				return false
 			}
 			cl.resolvePredecessor(pr.worker, nil)
 			return true
 		})
-		if cl.predecessors[id] = left; len(left) == 0 {
+		if cl.predecessors[id] = remaining; len(remaining) == 0 {
 			delete(cl.predecessors, id)
 		}
 	}
--- a/policy/cell/round.go
+++ b/policy/cell/round.go
@@ -13,7 +13,8 @@
 	num   int
 	dueAt time.Duration
 	steps []*step
-	left  int
+	// remaining counts the steps that are not done.
+	remaining int
 }
 
 // step is one step of a round.
@@ -22,11 +23,11 @@
 	num   int
 	def   *work.Step
 	tasks []*task
-	// left counts the tasks that are not done.
-	left int
-	// waits counts the tasks that have to be placed: not done, and not on a worker.
-	waits   int
-	readyAt time.Duration
+	// remaining counts the tasks that are not done.
+	remaining int
+	// unplaced counts the tasks that have to be placed: not done, and not on a worker.
+	unplaced int
+	readyAt  time.Duration
 	// lackingSince is when tasks last began to wait after none did.
 	lackingSince time.Duration
 	// failures are the failed runs of the gang.
@@ -80,7 +81,7 @@
 
 // round returns a round that any planner has opened, or nil if the job has no such round.
 func (cl *Cell) round(now time.Duration, jb *job, num int) *round {
-	for !jb.phase.Ended() && jb.opened <= num && jb.opened < jb.spec.Rounds() {
+	for !jb.phase.Ended() && jb.openedRounds <= num && jb.openedRounds < jb.spec.Rounds() {
 		cl.openRound(now, jb)
 	}
 	return jb.rounds[num]
@@ -94,12 +95,12 @@
 }
 
 func (cl *Cell) openRound(now time.Duration, jb *job) {
-	rd := &round{job: jb, num: jb.opened, dueAt: now, left: len(jb.spec.Steps)}
-	jb.opened++
+	rd := &round{job: jb, num: jb.openedRounds, dueAt: now, remaining: len(jb.spec.Steps)}
+	jb.openedRounds++
 	jb.rounds[rd.num] = rd
 	for num := range jb.spec.Steps {
 		def := &jb.spec.Steps[num]
-		st := &step{round: rd, num: num, def: def, left: def.Count, waits: def.Count, advice: newAdvice()}
+		st := &step{round: rd, num: num, def: def, remaining: def.Count, unplaced: def.Count, advice: newAdvice()}
 		for index := range def.Count {
 			st.tasks = append(st.tasks, &task{step: st, index: index})
 		}
@@ -111,7 +112,7 @@
 // openSteps opens the steps of a round whose predecessors have ended.
 func (cl *Cell) openSteps(now time.Duration, rd *round) {
 	for _, st := range rd.steps {
-		if st.left == 0 || cl.open[st] || !rd.ended(st.def.After) {
+		if st.remaining == 0 || cl.open[st] || !rd.ended(st.def.After) {
 			continue
 		}
 		st.readyAt, st.lackingSince = now, now
@@ -121,7 +122,7 @@
 
 func (rd *round) ended(steps []int) bool {
 	for _, num := range steps {
-		if rd.steps[num].left > 0 {
+		if rd.steps[num].remaining > 0 {
 			return false
 		}
 	}
@@ -135,8 +136,8 @@
 		if rep == nil || jb.phase.Ended() {
 			continue
 		}
-		for jb.opened < rep.Count && rep.Start+time.Duration(jb.opened)*rep.Every <= wall {
-			due := rep.Start + time.Duration(jb.opened)*rep.Every
+		for jb.openedRounds < rep.Count && rep.Start+time.Duration(jb.openedRounds)*rep.Every <= wall {
+			due := rep.Start + time.Duration(jb.openedRounds)*rep.Every
 			cl.openRound(now-(wall-due), jb)
 		}
 	}
@@ -155,9 +156,9 @@
 	for _, member := range all {
 		if !member.done {
 			member.done = true
-			st.left--
+			st.remaining--
 			if member.runs == 0 {
-				st.waits--
+				st.unplaced--
 			}
 		}
 	}
@@ -165,20 +166,20 @@
 		name := tk.name()
 		cl.record(Record{Job: name.Job, Task: &name, Result: ResultDone})
 	}
-	if st.left > 0 {
+	if st.remaining > 0 {
 		return
 	}
 	cl.closeStep(st)
 	rd := st.round
-	rd.left--
+	rd.remaining--
 	cl.openSteps(now, rd)
-	if rd.left > 0 {
+	if rd.remaining > 0 {
 		return
 	}
 	jb := rd.job
-	jb.finished++
-	if jb.finished == jb.spec.Rounds() {
-		cl.finish(now, jb, Succeeded)
+	jb.finishedRounds++
+	if jb.finishedRounds == jb.spec.Rounds() {
+		cl.finishJob(now, jb, Succeeded)
 	}
 }
 
--- a/policy/cell/waiting.go
+++ b/policy/cell/waiting.go
@@ -39,7 +39,7 @@
 func (cl *Cell) LongestWaiting(now, minWait time.Duration, limit int) []WaitingStep {
 	var steps []*step
 	for st := range cl.open {
-		if st.waits > 0 && now-st.readyAt >= minWait {
+		if st.unplaced > 0 && now-st.readyAt >= minWait {
 			steps = append(steps, st)
 		}
 	}
@@ -57,7 +57,7 @@
 	ws := WaitingStep{
 		Step:   work.Task{Job: st.round.job.spec.ID, Round: st.round.num, Step: st.num},
 		Waited: now - st.readyAt,
-		Tasks:  st.waits, Placed: st.left - st.waits,
+		Tasks:  st.unplaced, Placed: st.remaining - st.unplaced,
 		AdvicePending: st.advice.pending > 0, Asked: len(st.advice.verdicts), Allowed: len(st.advice.allowed),
 		Requests: st.advice.requests, Unanswered: st.advice.unanswered,
 		Reserved: len(st.reserved), Late: cl.rank(now, st).late,
@@ -77,7 +77,7 @@
 // for metrics.
 func (cl *Cell) OldestWait(now time.Duration) (wait time.Duration, reserved int) {
 	for st := range cl.open {
-		if st.waits > 0 {
+		if st.unplaced > 0 {
 			wait = max(wait, now-st.readyAt)
 		}
 		reserved += len(st.reserved)
--- a/policy/cell/window.go
+++ b/policy/cell/window.go
@@ -163,9 +163,9 @@
 	for st := range cl.open {
 		switch {
 		case st.urgent():
-			urgentTasks += st.waits
+			urgentTasks += st.unplaced
 		case !st.def.Gang:
-			otherTasks += st.waits
+			otherTasks += st.unplaced
 		}
 	}
 	span := func(tasks int) time.Duration { return time.Duration(tasks) * time.Second / time.Duration(wn.rate) }
--- a/policy/cell/worker.go
+++ b/policy/cell/worker.go
@@ -12,10 +12,10 @@
 	Worker
 	// listed workers have an entry in the list of workers, answered ones have reported to this planner.
 	listed, answered bool
-	// forgotten is set once the cell has discarded the worker.
-	forgotten  bool
+	// removed is set once the cell has discarded the worker.
+	removed    bool
 	used       size.Size
-	placements map[key]*placement
+	placements map[placementKey]*placement
 	// unknownRuns counts the runs on it that the cell does not know.
 	unknownRuns int
 	// openRecord is the number of the record that says that the worker may hold any run; 0 if it gets no runs.
@@ -63,7 +63,7 @@
 func (cl *Cell) PutWorker(now time.Duration, wk Worker) {
 	old, known := cl.workers[wk.ID]
 	if !known {
-		old = &worker{placements: map[key]*placement{}}
+		old = &worker{placements: map[placementKey]*placement{}}
 		cl.workers[wk.ID] = old
 	}
 	if wk.Draining && !old.Draining {
@@ -104,8 +104,8 @@
 	cl.InheritRuns(now, id, nil)
 	wk := cl.workers[id]
 	for _, rn := range runs {
-		tk := cl.find(rn.Task)
-		if tk == nil || wk.placements[key{rn.Task, rn.Number}] != nil {
+		tk := cl.findTask(rn.Task)
+		if tk == nil || wk.placements[placementKey{rn.Task, rn.Number}] != nil {
 			continue
 		}
 		pl := cl.place(now, tk, wk, rn.Number)
@@ -129,8 +129,8 @@
 		wk.listed = false
 	}
 	for _, rn := range held {
-		tk := cl.find(rn.Task)
-		if tk == nil || tk.done || wk.placements[key{rn.Task, rn.Number}] != nil || tk.step.round.job.phase.Ended() {
+		tk := cl.findTask(rn.Task)
+		if tk == nil || tk.done || wk.placements[placementKey{rn.Task, rn.Number}] != nil || tk.step.round.job.phase.Ended() {
 			continue
 		}
 		pl := cl.place(now, tk, wk, rn.Number)
@@ -176,15 +176,15 @@
 	}
 	cl.failJobs(now, exceeded)
 	if !wk.listed {
-		cl.forget(wk)
+		cl.removeWorker(wk)
 	}
 }
 
-// forget discards a worker that holds nothing.
-func (cl *Cell) forget(wk *worker) {
+// removeWorker discards a worker that holds nothing.
+func (cl *Cell) removeWorker(wk *worker) {
 	cl.record(Record{Worker: wk.ID, Gone: true})
 	delete(cl.workers, wk.ID)
-	wk.forgotten = true
+	wk.removed = true
 }
 
 // AckedEnd returns the number of the last end of a worker that the journal has, and whether later ones are
