--- a/policy/cell/advice_test.go
+++ b/policy/cell/advice_test.go
@@ -13,59 +13,58 @@
 	"tackbeam.example/policy/work"
 )
 
-// TestGangAsksWhereRoomIs has a gang know enough allowed workers, all of them full,
-// while others that it never asked about are free: it asks about these.
-func TestGangAsksWhereRoomIs(t *testing.T) {
+// TestGangAsksAboutFreeWorkers checks that a gang whose allowed workers are all full asks about free workers that
+// it has not asked about before.
+func TestGangAsksAboutFreeWorkers(t *testing.T) {
 	is := is.New(t)
 	const workers = 40
-	cl := crowd(workers)
+	cl := newTestCell(workers)
 	whole := size.New(64000, 100, 0)
-	submit(cl, "gang", work.Step{Count: 2, Gang: true, Need: whole}, work.Queue{Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1})
+	submitStep(cl, "gang", work.Step{Count: 2, Gang: true, Need: whole}, work.Queue{Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1})
 	cl.Plan(0)
-	questions := cl.Take().Questions
-	is.Equal(len(questions), 1)
+	requests := cl.Take().Questions
+	is.Equal(len(requests), 1)
 	asked := map[life.Life]bool{}
 	var rows []cell.Ticket
-	for _, id := range questions[0].Workers {
+	for _, id := range requests[0].Workers {
 		asked[id] = true
 		rows = append(rows, cell.Ticket{Worker: id, Text: "t"})
 	}
-	cl.Advised(0, questions[0], rows, 0) // allowed, but the tickets are over
+	cl.Advised(0, requests[0], rows, 0) // allowed, but the tickets have expired
 	for n := range workers {
 		if id := life.Life(fmt.Sprintf("w%03d", n)); asked[id] {
-			// a run of another job that the worker had already
-			submit(cl, "job"+string(id), work.Step{Count: 1, Need: whole, Estimate: time.Minute}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
+			// a run of another job that fills the worker
+			submitStep(cl, "job"+string(id), work.Step{Count: 1, Need: whole, Estimate: time.Minute}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 			cl.Report(0, id, 0, []cell.Run{{Task: work.Task{Job: "job" + string(id)}, Number: 1}}, nil)
 		}
 	}
 	cl.Plan(time.Second)
-	questions = cl.Take().Questions
-	is.Equal(len(questions), 1)
-	for _, id := range questions[0].Workers {
+	requests = cl.Take().Questions
+	is.Equal(len(requests), 1)
+	for _, id := range requests[0].Workers {
 		is.True(!asked[id])
 	}
 }
 
-// TestClaimTakesWhatEndsSoonest has two workers with one task each that ends soon and
-// one that does not. A gang waits for the two that end soon, and tasks with time to
-// spare do not take their room meanwhile.
-func TestClaimTakesWhatEndsSoonest(t *testing.T) {
+// TestReservationTakesCapacityFreedSoonest has two workers, each with one task that ends soon and one that does
+// not. A gang waits for the capacity of the two that end soon, and tasks with slack do not take it meanwhile.
+func TestReservationTakesCapacityFreedSoonest(t *testing.T) {
 	is := is.New(t)
-	cl := crowd(2)
+	cl := newTestCell(2)
 	half := size.New(30000, 100, 0)
 	plain := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
-	patient := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 2, Stretch: 9}
-	submit(cl, "soon", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: time.Second}, plain)
-	submit(cl, "late", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: time.Minute}, plain)
+	deferrable := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 2, Stretch: 9}
+	submitStep(cl, "soon", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: time.Second}, plain)
+	submitStep(cl, "late", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: time.Minute}, plain)
 	cl.Plan(0)
 	running := cl.Take().Starts
 	is.Equal(len(running), 4)
 	for _, sr := range running {
 		cl.Started(0, sr)
 	}
-	submit(cl, "gang", work.Step{Count: 2, Gang: true, Need: half, Estimate: time.Second}, plain)
-	submit(cl, "patient", work.Step{Count: 9, Need: half, Estimate: time.Second}, patient)
-	// The tasks that end soon do so one after the other.
+	submitStep(cl, "gang", work.Step{Count: 2, Gang: true, Need: half, Estimate: time.Second}, plain)
+	submitStep(cl, "patient", work.Step{Count: 9, Need: half, Estimate: time.Second}, deferrable)
+	// The short tasks end one after the other.
 	now := time.Second
 	for _, sr := range running {
 		if sr.Task.Job != "soon" {
@@ -89,29 +88,29 @@
 	is.Equal(cl.Waits(now, 0, 9)[0].Step.Job, "patient")
 }
 
-// TestQuestionsAreWorthTheirTime checks how many workers a question for one task names:
-// a few, or as many as take half of the time that each question takes anyway.
-func TestQuestionsAreWorthTheirTime(t *testing.T) {
+// TestRequestSize checks how many workers an advice request for one task names: a small minimum, or as many as take
+// half of the fixed time that each request costs.
+func TestRequestSize(t *testing.T) {
 	tests := map[string]struct {
 		base, each time.Duration
 		want       int
 	}{
 		"no cost":          {want: 5},
-		"cheap question":   {base: 5 * time.Millisecond, each: time.Millisecond, want: 5},
-		"costly question":  {base: 540 * time.Millisecond, each: 9 * time.Millisecond, want: 30},
+		"cheap request":    {base: 5 * time.Millisecond, each: time.Millisecond, want: 5},
+		"costly request":   {base: 540 * time.Millisecond, each: 9 * time.Millisecond, want: 30},
 		"costly, few each": {base: time.Second, each: time.Millisecond, want: 100},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			cl := crowd(200)
-			submit(cl, "job", work.Step{Count: 1, Need: size.New(1000, 100, 0)}, work.Queue{
+			cl := newTestCell(200)
+			submitStep(cl, "job", work.Step{Count: 1, Need: size.New(1000, 100, 0)}, work.Queue{
 				Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1, AdviceBase: tt.base, AdviceEach: tt.each,
 			})
 			cl.Plan(0)
-			questions := cl.Take().Questions
-			is.Equal(len(questions), 1)
-			is.Equal(len(questions[0].Workers), tt.want)
+			requests := cl.Take().Questions
+			is.Equal(len(requests), 1)
+			is.Equal(len(requests[0].Workers), tt.want)
 		})
 	}
 }
--- a/policy/cell/backlog_test.go
+++ b/policy/cell/backlog_test.go
@@ -7,56 +7,53 @@
 	"github.com/matryer/is"
 )
 
-// What a backlog may come to while four fifths of a cell are asked for.
+// Bounds on the backlog while four fifths of a cell's capacity are requested.
 const (
-	// longestWait is how long a gang that fits into the empty cell waits at most.
-	longestWait = 30 * time.Second
-	// drained is how long after the last job each accepted one has begun: callers ask 14 s
-	// after that.
-	drained = 14 * time.Second
+	// maxStartDelay bounds the wait of a gang that fits into the empty cell.
+	maxStartDelay = 30 * time.Second
+	// drainTime is the time after the last job within which every accepted job has begun:
+	// callers check 14 s after it.
+	drainTime = 14 * time.Second
 )
 
-// TestBacklogDrains plays a long busy day. Callers saw that gangs which were accepted in
-// the first seconds had not begun two minutes later, though half of the workers' room was
-// free by then. Order of events: a wide gang finds too little room on the quarter of the
-// workers that it may run on; once it is late it ranks behind all that can still be in
-// time; room is kept free only for the first three gangs in that order, so never for it
-// again, and the stream of small tasks takes each core that comes free. Its questions go
-// on all the same and crowd out those of gangs that have room. A planner that follows
-// knows no ages, and begins the order anew.
+// TestBacklogDrains checks that gangs do not starve under sustained load. A wide gang that found too little
+// capacity on the quarter of the workers it is allowed on became late and then ranked behind all steps that could
+// still be on time. Capacity was reserved only for the first three gangs in that order, so small tasks took each
+// core that came free, while the gang's advice requests crowded out those of gangs that had capacity. A new planner did
+// not know the jobs' ages and restarted the order.
 //
-// Evidence, on the day with one planner: after 60 s 52 gangs waited, the oldest ones of 61, 23
-// and 89 tasks for 30 to 35 s, all of them late, none with a worker kept free, one after 45
-// questions; 61% of the processors were in use.
+// Gangs accepted in the first seconds had not begun two minutes later, with half of the capacity free. With one
+// planner 52 gangs waited after 60 s: the oldest, of 61, 23 and 89 tasks, for 30 to 35 s, all late and without a
+// reservation, one after 45 advice requests, with 61% of the processors in use.
 func TestBacklogDrains(t *testing.T) {
-	tests := map[string]struct{ dark time.Duration }{
-		"one planner":              {},
-		"planner changes at night": {dark: 3 * time.Second},
+	tests := map[string]struct{ noPlanner time.Duration }{
+		"one planner":         {},
+		"planner is replaced": {noPlanner: 3 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			const seed, workers, nodes = 1, 350, 43
-			bd := newBusyDay(seed, workers, nodes, grownStreams(1))
+			bd := newLoadTestbed(seed, workers, nodes, mixedStreams(1))
 			for range 10 {
-				bd.pass(10*time.Second, true)
+				bd.advance(10*time.Second, true)
 				count, oldest := bd.waiting()
-				t.Logf("%s: %.2f in use, %d wait, for up to %s, %d questions", bd.now, bd.inUse(), count, oldest, bd.questions)
-				is.True(oldest <= longestWait)
+				t.Logf("%s: utilization %.2f, %d jobs waiting, the oldest for %s, %d advice requests", bd.now, bd.utilization(), count, oldest, bd.requests)
+				is.True(oldest <= maxStartDelay)
 			}
-			if tt.dark > 0 {
-				bd.dark = true
-				bd.pass(tt.dark, false)
-				bd.elect()
+			if tt.noPlanner > 0 {
+				bd.noPlanner = true
+				bd.advance(tt.noPlanner, false)
+				bd.replacePlanner()
 			}
-			bd.pass(drained, false)
+			bd.advance(drainTime, false)
 			count, oldest := bd.waiting()
-			t.Logf("%s: %.2f in use, %d wait, for up to %s", bd.now, bd.inUse(), count, oldest)
+			t.Logf("%s: utilization %.2f, %d jobs waiting, the oldest for %s", bd.now, bd.utilization(), count, oldest)
 			is.Equal(count, 0)
-			all, largest := bd.inTime(0)
-			t.Logf("gangs in time %.2f, of the largest tenth %.2f", all, largest)
-			patient, widest := bd.inTime(1)
-			t.Logf("patient jobs in time %.3f, of the largest tenth %.3f", patient, widest)
+			all, largest := bd.onTimeShare(0)
+			t.Logf("gangs on time %.2f, of the largest tenth %.2f", all, largest)
+			deferrable, deferrableLargest := bd.onTimeShare(1)
+			t.Logf("deferrable jobs on time %.3f, of the largest tenth %.3f", deferrable, deferrableLargest)
 		})
 	}
 }
--- a/policy/cell/bed_test.go
+++ b/policy/cell/bed_test.go
@@ -14,108 +14,109 @@
 	"tackbeam.example/policy/work"
 )
 
-// bed is a cell with workers that carry orders out, a journal, and faults drawn from
-// a seed. It checks what must hold at each start.
-type bed struct {
+// testbed is a cell with simulated workers, a journal, and faults drawn from a seed.
+// It checks the scheduling invariants at each start.
+type testbed struct {
 	t       *testing.T
-	rd      *rand.Rand
+	rng     *rand.Rand
 	now     time.Duration
 	cell    *cell.Cell
-	reign   int
+	term    int
 	workers map[life.Life]*fakeWorker
 	jobs    []*work.Job
 	cancels []string
 	records []cell.Record
-	// done and failed are the ends that workers ever reported.
-	done   map[work.Task]bool
-	failed map[work.Task]int
-	late   []func()
-	// faults is the chance of an order without an answer.
-	faults float64
-	// fails is the chance that a run fails.
-	fails float64
-	// still is a job whose tasks make no progress.
-	still string
-	// longer is by how much runs are longer than usual.
-	longer time.Duration
-	// bad are the jobs whose tasks crash each worker that starts them, crashed counts that.
-	bad     map[string]bool
-	crashed map[work.Task]int
-	// away is how long workers that crash are away; again is set where they begin again under their ids.
-	away  time.Duration
-	again bool
-	// later are things that happen at a time.
-	later []timed
-	// slowElect is how long some workers do not answer the next planner.
-	slowElect time.Duration
-	// unheard are the workers that have to report before the planner settles.
-	unheard map[life.Life]bool
-	// workspaces are the present settings, allowed the highest limits that may be in force.
+	// done and failed are the task results that workers have produced so far.
+	done    map[work.Task]bool
+	failed  map[work.Task]int
+	delayed []func()
+	// unansweredRate is the probability that an order is not answered.
+	unansweredRate float64
+	// failRate is the probability that a run fails.
+	failRate float64
+	// hungJob is a job whose tasks make no progress.
+	hungJob string
+	// extraRunTime is added to the length of each run.
+	extraRunTime time.Duration
+	// crashingJobs are the jobs whose tasks crash each worker that starts them; crashes counts these crashes.
+	crashingJobs map[string]bool
+	crashes      map[work.Task]int
+	// restartDelay is the time until a crashed worker is replaced; restartSameID is set if it restarts under
+	// the same ID.
+	restartDelay  time.Duration
+	restartSameID bool
+	// scheduled are the calls that are due at a later time.
+	scheduled []scheduledCall
+	// maxReportDelay is the longest time for which a worker does not answer a new planner; 0 for none.
+	maxReportDelay time.Duration
+	// unreported are the workers that have to report before the planner's recovery is complete.
+	unreported map[life.Life]bool
+	// workspaces are the current settings; maxLimits are the highest limits that orders in flight may have used.
 	workspaces map[string]work.Workspace
-	allowed    map[string]size.Size
+	maxLimits  map[string]size.Size
 }
 
-type timed struct {
-	at  time.Duration
-	act func()
+type scheduledCall struct {
+	at   time.Duration
+	call func()
 }
 
 type fakeWorker struct {
 	cell.Worker
 	token int
 	runs  map[work.Task]*fakeRun
-	// stopping are runs that a stop has reached: no report names them until they end.
+	// stopping are runs that have received a stop: reports do not list them until they end.
 	stopping map[work.Task]*fakeRun
 	ends     []cell.End
 	seq      int
 	fenced   map[work.Task]int
 	dead     bool
-	// crashed workers answer nobody, and are dead once another one is in their place.
+	// crashed workers do not answer; dead is set once a replacement has started.
 	crashed bool
-	// before is its room before it was resized. Orders that were under way then may go by that.
-	before  size.Size
-	resized time.Duration
-	// silent workers run on but neither report nor get orders, up to a time.
-	silent time.Duration
+	// prevCapacity is the capacity before the last resize. Orders that were in flight at resizedAt may still use it.
+	prevCapacity size.Size
+	resizedAt    time.Duration
+	// downUntil is the end of a partition: until then the worker keeps its runs but neither reports nor receives orders.
+	downUntil time.Duration
 }
 
 type fakeRun struct {
-	number  int
-	need    size.Size
-	ends    time.Duration
-	started time.Duration
-	gang    bool
+	number    int
+	need      size.Size
+	endsAt    time.Duration
+	startedAt time.Duration
+	gang      bool
 }
 
-func newBed(t *testing.T, seed uint64, workers int) *bed {
-	bd := &bed{
-		t: t, rd: rand.New(rand.NewPCG(seed, 1)), workers: map[life.Life]*fakeWorker{},
-		done: map[work.Task]bool{}, failed: map[work.Task]int{}, bad: map[string]bool{}, crashed: map[work.Task]int{}, away: awayFor,
-		unheard: map[life.Life]bool{}, workspaces: map[string]work.Workspace{}, allowed: map[string]size.Size{},
+func newTestbed(t *testing.T, seed uint64, workers int) *testbed {
+	bd := &testbed{
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), workers: map[life.Life]*fakeWorker{},
+		done: map[work.Task]bool{}, failed: map[work.Task]int{}, crashingJobs: map[string]bool{}, crashes: map[work.Task]int{}, restartDelay: defaultRestartDelay,
+		unreported: map[life.Life]bool{}, workspaces: map[string]work.Workspace{}, maxLimits: map[string]size.Size{},
 	}
 	for n := range workers {
 		bd.addWorker(life.Life(fmt.Sprintf("w%02d", n)))
 	}
-	bd.elect()
-	bd.carryOut()
+	bd.replacePlanner()
+	bd.executeOrders()
 	return bd
 }
 
-func (bd *bed) addWorker(id life.Life) {
+func (bd *testbed) addWorker(id life.Life) {
 	bd.workers[id] = &fakeWorker{
 		Worker: cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0), Rack: "r" + string(id[len(id)-1:])},
 		runs:   map[work.Task]*fakeRun{}, stopping: map[work.Task]*fakeRun{}, fenced: map[work.Task]int{},
 	}
 }
 
-// stopTime is how long a worker takes to stop a run.
+// stopTime is the time a worker needs to stop a run.
 const stopTime = 300 * time.Millisecond
 
-// elect starts another planner, which knows only the journal.
-func (bd *bed) elect() {
-	bd.reign++
+// replacePlanner starts a new planner that knows only the journal.
+func (bd *testbed) replacePlanner() {
+	bd.term++
 	bd.cell = cell.New(cell.Options{
-		Keep: 2 * time.Minute, FirstRun: (bd.reign-1)*64 + 1, StopTime: stopTime,
+		Keep: 2 * time.Minute, FirstRun: (bd.term-1)*64 + 1, StopTime: stopTime,
 	})
 	for _, jb := range bd.jobs {
 		bd.cell.Add(bd.now, jb, true)
@@ -125,18 +126,18 @@
 		bd.cell.Cancel(bd.now, id, "")
 	}
 	bd.cell.Restore(bd.now, bd.records)
-	known := map[life.Life]cell.Record{}
+	lastRecord := map[life.Life]cell.Record{}
 	stops := map[life.Life][]cell.Run{}
 	for at, rec := range bd.records {
 		switch {
 		case rec.Stop && at > len(bd.records)-100:
 			stops[rec.Worker] = append(stops[rec.Worker], rec.Held...)
 		case rec.Worker != "" && !rec.Stop:
-			known[rec.Worker] = rec
+			lastRecord[rec.Worker] = rec
 		}
 	}
-	for _, id := range bd.ids() {
-		wk, rec := bd.workers[id], known[id]
+	for _, id := range bd.workerIDs() {
+		wk, rec := bd.workers[id], lastRecord[id]
 		if wk.dead {
 			continue
 		}
@@ -144,50 +145,50 @@
 		if rec.Closed {
 			bd.cell.Inherit(bd.now, id, rec.Held)
 		} else {
-			wk.silent = 0 // the runtime waits for such a worker
-			if bd.slowElect > 0 && bd.rd.IntN(2) == 0 {
-				wk.silent = bd.now + time.Duration(bd.rd.Int64N(int64(bd.slowElect)))
+			wk.downUntil = 0 // the runtime waits for a worker that may hold any task
+			if bd.maxReportDelay > 0 && bd.rng.IntN(2) == 0 {
+				wk.downUntil = bd.now + time.Duration(bd.rng.Int64N(int64(bd.maxReportDelay)))
 			}
-			if bd.quiet(wk) {
-				bd.unheard[id] = true
+			if bd.isDown(wk) {
+				bd.unreported[id] = true
 			}
 		}
 		bd.cell.InheritStops(bd.now, id, stops[id])
-		if !bd.quiet(wk) {
+		if !bd.isDown(wk) {
 			bd.report(id)
 		}
 	}
-	bd.settle()
+	bd.finishRecovery()
 }
 
-// settle tells the planner once all workers that may hold any task have reported or are gone.
-func (bd *bed) settle() {
-	for id := range bd.unheard {
-		if wk := bd.workers[id]; wk.dead || wk.token == bd.reign {
-			delete(bd.unheard, id)
+// finishRecovery completes the planner's recovery once all workers that may hold any task have reported or are gone.
+func (bd *testbed) finishRecovery() {
+	for id := range bd.unreported {
+		if wk := bd.workers[id]; wk.dead || wk.token == bd.term {
+			delete(bd.unreported, id)
 		}
 	}
-	if len(bd.unheard) == 0 && !bd.cell.Settled() {
+	if len(bd.unreported) == 0 && !bd.cell.Settled() {
 		bd.cell.Settle()
 	}
 }
 
-func (bd *bed) workspace(name string) (work.Workspace, bool) {
+func (bd *testbed) workspace(name string) (work.Workspace, bool) {
 	ws, ok := bd.workspaces[name]
 	return ws, ok
 }
 
-// limit changes the limit of a workspace; orders that are under way may go by the one before.
-func (bd *bed) limit(name string, limit size.Size) {
+// setLimit changes the limit of a workspace. Orders in flight may still use the previous one.
+func (bd *testbed) setLimit(name string, limit size.Size) {
 	ws := bd.workspaces[name]
-	bd.allowed[name] = limit.Max(ws.Limit)
+	bd.maxLimits[name] = limit.Max(ws.Limit)
 	bd.workspaces[name] = work.Workspace{Name: name, Weight: 1, Limit: limit, Version: ws.Version + 1}
 	bd.cell.SetWorkspaces(bd.workspace)
-	bd.later = append(bd.later, timed{bd.now + underWay, func() { bd.allowed[name] = bd.workspaces[name].Limit }})
+	bd.scheduled = append(bd.scheduled, scheduledCall{bd.now + maxOrderDelay, func() { bd.maxLimits[name] = bd.workspaces[name].Limit }})
 }
 
-// checkLimit fails where a start lifts a workspace past its limit, on all workers together.
-func (bd *bed) checkLimit(sr cell.Start, jb *work.Job, step work.Step) {
+// checkLimit fails the test if a start takes a workspace's total usage over its limit.
+func (bd *testbed) checkLimit(sr cell.Start, jb *work.Job, step work.Step) {
 	name := jb.Workspace.Name
 	if name == "" {
 		return
@@ -205,21 +206,21 @@
 			}
 		}
 	}
-	if d, over := (work.Workspace{Limit: bd.allowed[name]}).Exceeds(sum); over {
-		bd.t.Fatalf("start of %s lifts workspace %s to %s, which may have %s (%s)", sr.Task, name, sum, bd.allowed[name], d)
+	if d, over := (work.Workspace{Limit: bd.maxLimits[name]}).Exceeds(sum); over {
+		bd.t.Fatalf("start of %s takes workspace %s to %s, over its limit of %s (%s)", sr.Task, name, sum, bd.maxLimits[name], d)
 	}
 }
 
-// quiet reports whether a worker does not answer now.
-func (bd *bed) quiet(wk *fakeWorker) bool { return wk.dead || wk.crashed || wk.silent > bd.now }
+// isDown reports whether a worker does not answer at the current time.
+func (bd *testbed) isDown(wk *fakeWorker) bool { return wk.dead || wk.crashed || wk.downUntil > bd.now }
 
-// silence lets a worker fall silent for a while.
-func (bd *bed) silence(id life.Life, span time.Duration) {
-	bd.workers[id].silent = bd.now + span
+// disconnect makes a worker unreachable for a time while it keeps its runs.
+func (bd *testbed) disconnect(id life.Life, span time.Duration) {
+	bd.workers[id].downUntil = bd.now + span
 	bd.cell.Silent(bd.now, id)
 }
 
-func (bd *bed) ids() []life.Life {
+func (bd *testbed) workerIDs() []life.Life {
 	var ids []life.Life
 	for id := range bd.workers {
 		ids = append(ids, id)
@@ -228,36 +229,36 @@
 	return ids
 }
 
-func (bd *bed) submit(jb *work.Job) {
+func (bd *testbed) submit(jb *work.Job) {
 	bd.jobs = append(bd.jobs, jb)
 	bd.cell.Add(bd.now, jb, false)
 }
 
-func (bd *bed) cancel(id string) {
+func (bd *testbed) cancel(id string) {
 	bd.cancels = append(bd.cancels, id)
 	bd.cell.Cancel(bd.now, id, "")
 }
 
-func (bd *bed) job(id string) *work.Job {
+func (bd *testbed) job(id string) *work.Job {
 	for _, jb := range bd.jobs {
 		if jb.ID == id {
 			return jb
 		}
 	}
-	bd.t.Fatalf("start of a job that nobody submitted: %s", id)
+	bd.t.Fatalf("start of a job that was not submitted: %s", id)
 	return nil
 }
 
-// report lets a worker report, as a hold does.
-func (bd *bed) report(id life.Life) {
+// report sends a worker's report to the cell, as its long poll does.
+func (bd *testbed) report(id life.Life) {
 	wk := bd.workers[id]
-	wk.token = bd.reign
-	noted, _ := bd.cell.Noted(id)
-	wk.ends = slices.DeleteFunc(wk.ends, func(en cell.End) bool { return en.Seq <= noted })
+	wk.token = bd.term
+	acked, _ := bd.cell.Noted(id)
+	wk.ends = slices.DeleteFunc(wk.ends, func(en cell.End) bool { return en.Seq <= acked })
 	var runs []cell.Run
 	for name, rn := range wk.runs {
-		percent := int(100 * (bd.now - rn.started) / max(rn.ends-rn.started, 1))
-		if name.Job == bd.still {
+		percent := int(100 * (bd.now - rn.startedAt) / max(rn.endsAt-rn.startedAt, 1))
+		if name.Job == bd.hungJob {
 			percent = 0
 		}
 		runs = append(runs, cell.Run{Task: name, Number: rn.number, Percent: percent})
@@ -265,51 +266,51 @@
 	bd.cell.Report(bd.now, id, bd.now, runs, slices.Clone(wk.ends))
 }
 
-// pass lets time go by: runs end, workers report, the cell plans, orders go out.
-func (bd *bed) pass(step time.Duration) {
+// advance moves the time forward: due runs end, workers report, the cell plans, and orders are executed.
+func (bd *testbed) advance(step time.Duration) {
 	bd.now += step
-	for _, id := range bd.ids() {
-		bd.workers[id].advance(bd)
+	for _, id := range bd.workerIDs() {
+		bd.workers[id].endDueRuns(bd)
 	}
-	for at := 0; at < len(bd.later); at++ {
-		if tm := bd.later[at]; tm.at <= bd.now {
-			bd.later = slices.Delete(bd.later, at, at+1)
+	for at := 0; at < len(bd.scheduled); at++ {
+		if tm := bd.scheduled[at]; tm.at <= bd.now {
+			bd.scheduled = slices.Delete(bd.scheduled, at, at+1)
 			at--
-			tm.act()
+			tm.call()
 		}
 	}
-	late := bd.late
-	bd.late = nil
-	for _, act := range late {
-		act()
+	delayed := bd.delayed
+	bd.delayed = nil
+	for _, execute := range delayed {
+		execute()
 	}
-	for _, id := range bd.ids() {
-		if !bd.quiet(bd.workers[id]) {
+	for _, id := range bd.workerIDs() {
+		if !bd.isDown(bd.workers[id]) {
 			bd.report(id)
 		}
 	}
-	bd.settle()
+	bd.finishRecovery()
 	bd.cell.Tick(bd.now, bd.now)
 	bd.cell.Plan(bd.now)
-	bd.carryOut()
+	bd.executeOrders()
 }
 
-func (bd *bed) carryOut() {
-	for out := range orders(bd.cell, &bd.records) {
+func (bd *testbed) executeOrders() {
+	for out := range drainOutput(bd.cell, &bd.records) {
 		for _, sr := range out.Starts {
 			bd.start(sr)
 		}
 		for _, sp := range out.Stops {
 			bd.stop(sp)
 		}
-		for _, qn := range out.Questions {
-			bd.answer(qn)
+		for _, req := range out.Questions {
+			bd.answer(req)
 		}
 	}
 }
 
-// orders yields what a cell wants done until there is nothing more, and writes its records.
-func orders(cl *cell.Cell, journal *[]cell.Record) iter.Seq[cell.Output] {
+// drainOutput yields the cell's output until it is empty, and appends its records to the journal.
+func drainOutput(cl *cell.Cell, journal *[]cell.Record) iter.Seq[cell.Output] {
 	return func(yield func(cell.Output) bool) {
 		for out := cl.Take(); !out.Empty(); out = cl.Take() {
 			*journal = append(*journal, out.Records...)
@@ -321,53 +322,53 @@
 	}
 }
 
-// answer allows every second worker.
-func (bd *bed) answer(qn cell.Question) {
+// answer allows every second worker of an advice request.
+func (bd *testbed) answer(req cell.Question) {
 	var rows []cell.Ticket
-	for _, id := range qn.Workers {
+	for _, id := range req.Workers {
 		if name := id.ID(); int(name[len(name)-1])%2 == 0 {
-			rows = append(rows, cell.Ticket{Worker: id, Text: qn.Step.StepName() + "/" + string(id)})
+			rows = append(rows, cell.Ticket{Worker: id, Text: req.Step.StepName() + "/" + string(id)})
 		}
 	}
-	bd.cell.Advised(bd.now, qn, rows, 1500*time.Millisecond)
+	bd.cell.Advised(bd.now, req, rows, 1500*time.Millisecond)
 }
 
-func (bd *bed) start(sr cell.Start) {
-	reign := bd.reign
-	if bd.rd.Float64() < bd.faults {
+func (bd *testbed) start(sr cell.Start) {
+	term := bd.term
+	if bd.rng.Float64() < bd.unansweredRate {
 		bd.cell.StartLost(bd.now, sr)
-		if bd.rd.IntN(2) == 0 {
-			bd.late = append(bd.late, func() { bd.carryStart(sr, reign) })
+		if bd.rng.IntN(2) == 0 {
+			bd.delayed = append(bd.delayed, func() { bd.executeStart(sr, term) })
 		}
 		return
 	}
 	wk := bd.workers[sr.Worker]
 	if wk.crashed && !wk.dead {
-		bd.cell.Refused(bd.now, sr, cell.RefusedUnhealthy) // nobody listens at its address
+		bd.cell.Refused(bd.now, sr, cell.RefusedUnhealthy) // connection refused
 		return
 	}
-	if bd.quiet(wk) {
+	if bd.isDown(wk) {
 		bd.cell.StartLost(bd.now, sr)
 		return
 	}
-	if bd.bad[sr.Task.Job] {
-		bd.check(wk, sr, bd.job(sr.Task.Job), bd.job(sr.Task.Job).Steps[sr.Task.Step])
-		bd.crashed[sr.Task]++
+	if bd.crashingJobs[sr.Task.Job] {
+		bd.checkStart(wk, sr, bd.job(sr.Task.Job), bd.job(sr.Task.Job).Steps[sr.Task.Step])
+		bd.crashes[sr.Task]++
 		bd.cell.StartLost(bd.now, sr)
-		bd.crashForNow(sr.Worker)
+		bd.crashAndReplace(sr.Worker)
 		return
 	}
-	if why := bd.carryStart(sr, reign); why != "" {
-		bd.cell.Refused(bd.now, sr, why)
+	if refusal := bd.executeStart(sr, term); refusal != "" {
+		bd.cell.Refused(bd.now, sr, refusal)
 		return
 	}
 	bd.cell.Started(bd.now, sr)
 }
 
-// carryStart is what a worker does with a start, and what must hold then.
-func (bd *bed) carryStart(sr cell.Start, reign int) cell.Refusal {
+// executeStart starts a run on its worker, as the worker does, and checks the invariants.
+func (bd *testbed) executeStart(sr cell.Start, term int) cell.Refusal {
 	wk := bd.workers[sr.Worker]
-	if bd.quiet(wk) || reign < wk.token {
+	if bd.isDown(wk) || term < wk.token {
 		return cell.RefusedLate
 	}
 	if rn := wk.runs[sr.Task]; rn != nil && rn.number == sr.Run {
@@ -378,13 +379,13 @@
 	}
 	jb := bd.job(sr.Task.Job)
 	step := jb.Steps[sr.Task.Step]
-	bd.check(wk, sr, jb, step)
-	run := bd.longer + 200*time.Millisecond + time.Duration(bd.rd.Int64N(int64(time.Second)))
-	wk.runs[sr.Task] = &fakeRun{number: sr.Run, need: step.Need, started: bd.now, ends: bd.now + run, gang: step.Gang}
+	bd.checkStart(wk, sr, jb, step)
+	run := bd.extraRunTime + 200*time.Millisecond + time.Duration(bd.rng.Int64N(int64(time.Second)))
+	wk.runs[sr.Task] = &fakeRun{number: sr.Run, need: step.Need, startedAt: bd.now, endsAt: bd.now + run, gang: step.Gang}
 	return ""
 }
 
-func (bd *bed) check(wk *fakeWorker, sr cell.Start, jb *work.Job, step work.Step) {
+func (bd *testbed) checkStart(wk *fakeWorker, sr cell.Start, jb *work.Job, step work.Step) {
 	bd.t.Helper()
 	var used size.Size
 	for _, rn := range wk.runs {
@@ -394,11 +395,11 @@
 		used = used.Add(rn.need)
 	}
 	room := wk.Capacity
-	if bd.now-wk.resized < underWay {
-		room = room.Max(wk.before)
+	if bd.now-wk.resizedAt < maxOrderDelay {
+		room = room.Max(wk.prevCapacity)
 	}
 	if !used.Add(step.Need).Fits(room) {
-		bd.t.Fatalf("start of %s goes over the room of %s", sr.Task, wk.ID)
+		bd.t.Fatalf("start of %s exceeds the capacity of worker %s", sr.Task, wk.ID)
 	}
 	bd.checkLimit(sr, jb, step)
 	for _, other := range bd.workers {
@@ -409,7 +410,7 @@
 		}
 	}
 	if bd.done[sr.Task] {
-		bd.t.Fatalf("start of %s, which has ended done", sr.Task)
+		bd.t.Fatalf("start of %s, which is done already", sr.Task)
 	}
 	for _, before := range step.After {
 		for index := range jb.Steps[before].Count {
@@ -418,8 +419,8 @@
 			}
 		}
 	}
-	if bd.crashed[sr.Task] >= mostStarts {
-		bd.t.Fatalf("start of %s, under which %d workers have crashed", sr.Task, bd.crashed[sr.Task])
+	if bd.crashes[sr.Task] >= maxCrashStarts {
+		bd.t.Fatalf("start of %s, under which %d workers have crashed", sr.Task, bd.crashes[sr.Task])
 	}
 	if bd.failed[sr.Task] >= jb.Queue.Attempts {
 		bd.t.Fatalf("start of %s, which has failed %d times", sr.Task, bd.failed[sr.Task])
@@ -432,12 +433,12 @@
 	}
 }
 
-func (bd *bed) stop(sp cell.Stop) {
+func (bd *testbed) stop(sp cell.Stop) {
 	wk := bd.workers[sp.Worker]
-	if bd.quiet(wk) || bd.rd.Float64() < bd.faults {
-		reign := bd.reign
-		bd.late = append(bd.late, func() {
-			if reign == bd.reign {
+	if bd.isDown(wk) || bd.rng.Float64() < bd.unansweredRate {
+		term := bd.term
+		bd.delayed = append(bd.delayed, func() {
+			if term == bd.term {
 				bd.cell.StopLost(sp)
 			}
 		})
@@ -446,13 +447,13 @@
 	wk.fenced[sp.Task] = max(wk.fenced[sp.Task], sp.Run)
 	if rn := wk.runs[sp.Task]; rn != nil && rn.number <= sp.Run {
 		delete(wk.runs, sp.Task)
-		rn.ends = bd.now + stopTime
+		rn.endsAt = bd.now + stopTime
 		wk.stopping[sp.Task] = rn
 	}
 	bd.cell.Stopped(bd.now, sp)
 }
 
-func (wk *fakeWorker) end(name work.Task, how cell.Result) {
+func (wk *fakeWorker) end(name work.Task, result cell.Result) {
 	rn := wk.runs[name]
 	if rn == nil {
 		rn = wk.stopping[name]
@@ -461,19 +462,19 @@
 	delete(wk.stopping, name)
 	wk.fenced[name] = max(wk.fenced[name], rn.number)
 	wk.seq++
-	wk.ends = append(wk.ends, cell.End{Seq: wk.seq, Run: cell.Run{Task: name, Number: rn.number}, Result: how})
+	wk.ends = append(wk.ends, cell.End{Seq: wk.seq, Run: cell.Run{Task: name, Number: rn.number}, Result: result})
 }
 
-// advance ends the runs whose time is over; a gang ends as one.
-func (wk *fakeWorker) advance(bd *bed) {
+// endDueRuns ends the runs whose time is over; a gang ends as a whole.
+func (wk *fakeWorker) endDueRuns(bd *testbed) {
 	for name, rn := range wk.stopping {
-		if rn.ends <= bd.now {
+		if rn.endsAt <= bd.now {
 			wk.end(name, cell.ResultStopped)
 		}
 	}
 	var over []work.Task
 	for name, rn := range wk.runs {
-		if rn.ends <= bd.now {
+		if rn.endsAt <= bd.now {
 			over = append(over, name)
 		}
 	}
@@ -484,7 +485,7 @@
 		case rn == nil:
 		case rn.gang:
 			bd.endGang(name, rn)
-		case bd.rd.Float64() < bd.fails:
+		case bd.rng.Float64() < bd.failRate:
 			bd.failed[name]++
 			wk.end(name, cell.ResultFailed)
 		default:
@@ -494,52 +495,52 @@
 	}
 }
 
-// endGang ends all members of a gang: done if all are there, else broken.
-func (bd *bed) endGang(name work.Task, rn *fakeRun) {
+// endGang ends all members of a gang: done if all are present, otherwise alone.
+func (bd *testbed) endGang(name work.Task, rn *fakeRun) {
 	count := bd.job(name.Job).Steps[name.Step].Count
-	how, there := cell.ResultDone, 0
+	result, present := cell.ResultDone, 0
 	for index := range count {
 		name.Index = index
 		for _, wk := range bd.workers {
 			if other := wk.runs[name]; other != nil && other.number == rn.number && !wk.dead {
-				there++
+				present++
 			}
 		}
 	}
-	if there < count {
-		how = cell.ResultAlone
+	if present < count {
+		result = cell.ResultAlone
 	}
 	for index := range count {
 		name.Index = index
-		if how == cell.ResultDone {
+		if result == cell.ResultDone {
 			bd.done[name] = true
 		}
-		for _, id := range bd.ids() {
+		for _, id := range bd.workerIDs() {
 			if other := bd.workers[id].runs[name]; other != nil && other.number == rn.number {
-				bd.workers[id].end(name, how)
+				bd.workers[id].end(name, result)
 			}
 		}
 	}
 }
 
-// underWay is how long an order may be under way: the bed carries out late ones with its next step.
-const underWay = 50 * time.Millisecond
+// maxOrderDelay is the longest time an order is in flight: delayed orders are executed in the next step.
+const maxOrderDelay = 50 * time.Millisecond
 
-// quarters is a worker's whole room in the unit of resize.
-const quarters = 4
+// fullQuarters is a worker's full capacity in quarters, the unit of resize.
+const fullQuarters = 4
 
-// resize lets a worker have a number of quarters of its room from now on.
-func (bd *bed) resize(id life.Life, parts int64) {
+// resize sets a worker's processor capacity to a number of quarters.
+func (bd *testbed) resize(id life.Life, quarters int64) {
 	wk := bd.workers[id]
-	wk.before, wk.resized = wk.Capacity, bd.now
-	wk.Capacity = size.New(64000*parts/quarters, 128000, 0)
+	wk.prevCapacity, wk.resizedAt = wk.Capacity, bd.now
+	wk.Capacity = size.New(64000*quarters/fullQuarters, 128000, 0)
 	if !wk.dead {
 		bd.cell.PutWorker(bd.now, wk.Worker)
 	}
 }
 
-// crash takes a worker away with all that it runs.
-func (bd *bed) crash(id life.Life) {
+// loseWorker removes a worker with all its runs.
+func (bd *testbed) loseWorker(id life.Life) {
 	wk := bd.workers[id]
 	wk.dead = true
 	wk.runs, wk.stopping = map[work.Task]*fakeRun{}, map[work.Task]*fakeRun{}
@@ -548,27 +549,27 @@
 	bd.cell.Lapsed(bd.now, id)
 }
 
-// awayFor is how long a worker that crashed is usually away before another one is in its place.
-const awayFor = 3 * time.Second
+// defaultRestartDelay is the default time until a crashed worker is replaced.
+const defaultRestartDelay = 3 * time.Second
 
-// mostStarts is how often a task may be started that crashes each worker that starts it.
-const mostStarts = 5
+// maxCrashStarts is how often a task that crashes every worker may be started.
+const maxCrashStarts = 5
 
-// crashForNow has a worker crash, and another one begin in its place, or the same one again under its id.
-func (bd *bed) crashForNow(id life.Life) {
+// crashAndReplace crashes a worker and later replaces it by a new worker, or restarts it under the same ID.
+func (bd *testbed) crashAndReplace(id life.Life) {
 	wk := bd.workers[id]
 	if wk.dead || wk.crashed {
 		return
 	}
 	wk.crashed = true
 	wk.runs, wk.stopping = map[work.Task]*fakeRun{}, map[work.Task]*fakeRun{}
-	if !bd.again || bd.away > 0 {
-		bd.cell.Silent(bd.now, id) // nobody notices one that is back at once
+	if !bd.restartSameID || bd.restartDelay > 0 {
+		bd.cell.Silent(bd.now, id) // an immediate restart is not noticed
 	}
-	bd.later = append(bd.later, timed{bd.now + bd.away, func() {
+	bd.scheduled = append(bd.scheduled, scheduledCall{bd.now + bd.restartDelay, func() {
 		wk.dead = true
 		next := life.Life(fmt.Sprintf("%s.%d%c", id[:3], len(bd.workers), id[len(id)-1]))
-		if bd.again {
+		if bd.restartSameID {
 			next = life.Of(id.ID(), id.Born()+1)
 			bd.cell.Follow(bd.now, id, next)
 		} else {
@@ -581,7 +582,7 @@
 }
 
 // phases counts the jobs by phase.
-func (bd *bed) phases() map[cell.Phase]int {
+func (bd *testbed) countPhases() map[cell.Phase]int {
 	counts := map[cell.Phase]int{}
 	for _, jb := range bd.jobs {
 		phase, ok := bd.cell.Phase(jb.ID, "")
--- a/policy/cell/busyday_test.go
+++ b/policy/cell/busyday_test.go
@@ -16,106 +16,106 @@
 	"tackbeam.example/policy/work"
 )
 
-// stream is one kind of job that arrives all day.
+// stream is one kind of job with random arrivals.
 type stream struct {
 	queue work.Queue
-	// each is the mean time between two jobs; width, cores and run are the means of what
-	// one has, each with a spread of its logarithm of 0.6 at the most.
-	each  time.Duration
-	width float64
-	most  int
-	cores float64
+	// interval is the mean time between two jobs; tasks, cores and runTime are the means of
+	// log-normal distributions, each with a standard deviation of its logarithm of 0.7 at most.
+	interval time.Duration
+	tasks    float64
+	maxTasks int
+	cores    float64
 	// memory is in MB.
 	memory float64
-	// accelerators are drawn from for each job: what one of its tasks needs.
+	// accelerators are the values from which the need of a job's tasks is drawn.
 	accelerators []int64
-	run          time.Duration
+	runTime      time.Duration
 	gang         bool
-	// saves is the share of jobs whose tasks save their progress.
-	saves float64
-	// fails is the share of jobs of which one run fails halfway.
-	fails float64
-	// off is the spread of the callers' estimates.
-	off float64
-	// good is the share of workers that the advisor allows.
-	good float64
+	// checkpointing is the share of jobs whose tasks write checkpoints.
+	checkpointing float64
+	// failing is the share of jobs of which one run fails halfway.
+	failing float64
+	// estimateSpread is the standard deviation of the logarithm of the callers' estimates.
+	estimateSpread float64
+	// allowedShare is the share of workers that the advisor allows.
+	allowedShare float64
 }
 
-// busyDay is a cell under steady load for a while, with an advisor that takes its time.
-type busyDay struct {
-	rd      *rand.Rand
+// loadTestbed is a cell under steady load, with an advisor that needs time to answer.
+type loadTestbed struct {
+	rng     *rand.Rand
 	now     time.Duration
 	cell    *cell.Cell
-	reign   int
+	term    int
 	workers []life.Life
 	// capacity is what each worker has.
-	capacity size.Size
-	streams  []stream
-	next     []time.Duration
-	jobs     map[string]*arrival
-	order    []*arrival
-	runs     map[work.Task]*dayRun
-	ends     map[life.Life]int
-	// dark is set while there is no planner; kept are the ends that workers keep meanwhile.
-	dark    bool
-	kept    map[life.Life][]cell.End
-	queue   events
-	records []cell.Record
-	// asks is when each node that asks the advisor is free again.
-	asks []time.Duration
-	// used are the thousandths of a core in use on each worker.
-	used map[life.Life]int64
-	// questions counts those asked, misses those that found all nodes busy.
-	questions, misses int
-	// took is the advisor's time that each stream used, count its questions.
-	took  [3]time.Duration
-	count [3]int
-	// answered takes the answer to the question that is asked in place of the cell, where it is set.
-	answered func(rows []cell.Ticket)
-	// admits reports whether a job is taken; nil where all are.
-	admits func(qu work.Queue) bool
+	capacity    size.Size
+	streams     []stream
+	nextArrival []time.Duration
+	jobs        map[string]*simJob
+	arrivals    []*simJob
+	runs        map[work.Task]*simRun
+	ends        map[life.Life]int
+	// noPlanner is set while there is no planner; pendingEnds are the ends that workers keep until the next one.
+	noPlanner   bool
+	pendingEnds map[life.Life][]cell.End
+	events      events
+	records     []cell.Record
+	// nodeFreeAt is when each node that queries the advisor is free again.
+	nodeFreeAt []time.Duration
+	// usedMillicores is what is in use on each worker.
+	usedMillicores map[life.Life]int64
+	// requests counts the advice requests sent, deferred those for which all nodes were busy.
+	requests, deferred int
+	// advisorTime is the advisor's time that each stream used, requestCounts the number of its requests.
+	advisorTime   [3]time.Duration
+	requestCounts [3]int
+	// onAdvice, if set, receives the answer to an advice request instead of the cell.
+	onAdvice func(rows []cell.Ticket)
+	// admit reports whether a job is accepted; nil accepts all.
+	admit func(qu work.Queue) bool
 }
 
-type arrival struct {
-	spec    *work.Job
-	stream  int
-	at      time.Duration
-	run     time.Duration
-	started time.Duration
-	left    int
-	ended   time.Duration
-	fails   bool
+type simJob struct {
+	spec      *work.Job
+	stream    int
+	arrivedAt time.Duration
+	runTime   time.Duration
+	startedAt time.Duration
+	remaining int
+	endedAt   time.Duration
+	willFail  bool
 }
 
-type dayRun struct {
-	number  int
-	worker  life.Life
-	started time.Duration
-	over    time.Duration
-	// from is the work that was done before, which the run goes on from once it is restored.
-	from time.Duration
+type simRun struct {
+	number    int
+	worker    life.Life
+	startedAt time.Duration
+	endsAt    time.Duration
+	// restored is the work done by earlier runs, from which this run continues after the restore.
+	restored time.Duration
 }
 
-// done is the work of its task that a run has done.
-func (rn *dayRun) done(now time.Duration) time.Duration {
-	if rn.from == 0 {
-		return now - rn.started
+// done returns how much of its task's work a run has completed.
+func (rn *simRun) done(now time.Duration) time.Duration {
+	if rn.restored == 0 {
+		return now - rn.startedAt
 	}
-	return rn.from + max(now-rn.started-restoreTime, 0)
+	return rn.restored + max(now-rn.startedAt-restoreTime, 0)
 }
 
-// checkpoint is what a run has saved of its work, as text.
-func (rn *dayRun) checkpoint(now time.Duration) string {
-	if saved := rn.done(now).Truncate(saveEvery); saved > 0 {
+// checkpoint returns the work up to the run's last checkpoint, as text.
+func (rn *simRun) checkpoint(now time.Duration) string {
+	if saved := rn.done(now).Truncate(checkpointInterval); saved > 0 {
 		return saved.String()
 	}
 	return ""
 }
 
-// event is something that happens later.
+// event is a scheduled call.
 type event struct {
-	at  time.Duration
-	act func()
+	at   time.Duration
+	call func()
 }
 
 type events []event
@@ -130,111 +130,111 @@
 	return last
 }
 
-// Figures of the day: the pool of nodes that ask the advisor is the runtime's.
+// Parameters of the simulation. The pool of nodes that query the advisor is modelled on the runtime's.
 const (
-	dayStep     = 10 * time.Millisecond
-	ticketValid = 1500 * time.Millisecond
+	timeStep    = 10 * time.Millisecond
+	ticketTTL   = 1500 * time.Millisecond
 	workerCores = 64000
 	// workerMemory is in MB.
-	workerMemory = 131072
-	askPatience  = 300 * time.Millisecond
-	askLongest   = 2500 * time.Millisecond
-	askReserved  = 6
-	// saveEvery is the work between two checkpoints, restoreTime what going on from one takes.
-	saveEvery   = 500 * time.Millisecond
-	restoreTime = 600 * time.Millisecond
+	workerMemory       = 131072
+	maxQueueWait       = 300 * time.Millisecond
+	maxUrgentQueueWait = 2500 * time.Millisecond
+	reservedNodes      = 6
+	// checkpointInterval is the work between two checkpoints, restoreTime the time to resume from one.
+	checkpointInterval = 500 * time.Millisecond
+	restoreTime        = 600 * time.Millisecond
 )
 
-func newBusyDay(seed uint64, workers, nodes int, streams []stream) *busyDay {
-	return newEquippedDay(seed, workers, nodes, 0, streams)
+func newLoadTestbed(seed uint64, workers, nodes int, streams []stream) *loadTestbed {
+	return newAcceleratorTestbed(seed, workers, nodes, 0, streams)
 }
 
-// newEquippedDay is a busy day on workers with accelerators.
-func newEquippedDay(seed uint64, workers, nodes int, accelerators int64, streams []stream) *busyDay {
-	bd := &busyDay{
+// newAcceleratorTestbed is a loadTestbed on workers with accelerators.
+func newAcceleratorTestbed(seed uint64, workers, nodes int, accelerators int64, streams []stream) *loadTestbed {
+	bd := &loadTestbed{
 		capacity: size.New(workerCores, workerMemory, accelerators),
-		rd:       rand.New(rand.NewPCG(seed, 7)), streams: streams, next: make([]time.Duration, len(streams)),
-		jobs: map[string]*arrival{}, runs: map[work.Task]*dayRun{}, ends: map[life.Life]int{}, kept: map[life.Life][]cell.End{},
-		asks: make([]time.Duration, nodes), used: map[life.Life]int64{},
+		rng:      rand.New(rand.NewPCG(seed, 7)), streams: streams, nextArrival: make([]time.Duration, len(streams)),
+		jobs: map[string]*simJob{}, runs: map[work.Task]*simRun{}, ends: map[life.Life]int{}, pendingEnds: map[life.Life][]cell.End{},
+		nodeFreeAt: make([]time.Duration, nodes), usedMillicores: map[life.Life]int64{},
 	}
 	for n := range workers {
 		bd.workers = append(bd.workers, life.Life(fmt.Sprintf("w%03d", n)))
 	}
-	bd.elect()
+	bd.replacePlanner()
 	return bd
 }
 
-// elect starts another planner, which knows the journal and what the workers report.
-func (bd *busyDay) elect() {
-	bd.dark = false
-	bd.reign++
-	bd.cell = cell.New(cell.Options{Keep: 2 * time.Minute, FirstRun: (bd.reign-1)*64 + 1, StopTime: stopTime})
-	for _, ar := range bd.order {
-		bd.cell.AddAged(bd.now, bd.now-ar.at, ar.spec)
+// replacePlanner starts a new planner, which knows the journal and what the workers report.
+func (bd *loadTestbed) replacePlanner() {
+	bd.noPlanner = false
+	bd.term++
+	bd.cell = cell.New(cell.Options{Keep: 2 * time.Minute, FirstRun: (bd.term-1)*64 + 1, StopTime: stopTime})
+	for _, sj := range bd.arrivals {
+		bd.cell.AddAged(bd.now, bd.now-sj.arrivedAt, sj.spec)
 	}
 	bd.cell.Restore(bd.now, bd.records)
 	for n, id := range bd.workers {
 		bd.cell.PutWorker(bd.now, cell.Worker{ID: id, Service: "svc", Rack: fmt.Sprint(n / 12), Capacity: bd.capacity})
-		bd.report(id, bd.kept[id])
+		bd.report(id, bd.pendingEnds[id])
 	}
-	clear(bd.kept)
+	clear(bd.pendingEnds)
 	bd.cell.Committed(bd.cell.Recorded())
 	bd.cell.Settle()
-	bd.carryOut()
+	bd.executeOrders()
 }
 
-// after has something happen later in the reign.
-func (bd *busyDay) after(span time.Duration, act func()) {
-	heap.Push(&bd.queue, event{bd.now + span, act})
+// schedule adds an event after a time span.
+func (bd *loadTestbed) schedule(span time.Duration, act func()) {
+	heap.Push(&bd.events, event{bd.now + span, act})
 }
 
-// happen has the next event happen.
-func (bd *busyDay) happen() { heap.Pop(&bd.queue).(event).act() }
+// runNextEvent runs the next event.
+func (bd *loadTestbed) runNextEvent() { heap.Pop(&bd.events).(event).call() }
 
-func (bd *busyDay) draw(mean, spread float64) float64 {
-	return mean * math.Exp(spread*bd.rd.NormFloat64()-spread*spread/2)
+func (bd *loadTestbed) drawLogNormal(mean, spread float64) float64 {
+	return mean * math.Exp(spread*bd.rng.NormFloat64()-spread*spread/2)
 }
 
-func (bd *busyDay) arrive() {
+func (bd *loadTestbed) submitArrivals() {
 	for at, sm := range bd.streams {
-		for bd.next[at] <= bd.now {
-			bd.next[at] += time.Duration(bd.rd.ExpFloat64() * float64(sm.each))
-			run := time.Duration(min(bd.draw(float64(sm.run), 0.5), 2.6*float64(sm.run)))
-			count := min(max(int(math.Round(bd.draw(sm.width, 0.7))), 1), sm.most)
-			cores := int64(1000 * min(bd.draw(sm.cores, 0.4), max(30, sm.cores)))
-			memory := int64(min(bd.draw(sm.memory, 0.5), 3*sm.memory, workerMemory))
+		for bd.nextArrival[at] <= bd.now {
+			bd.nextArrival[at] += time.Duration(bd.rng.ExpFloat64() * float64(sm.interval))
+			run := time.Duration(min(bd.drawLogNormal(float64(sm.runTime), 0.5), 2.6*float64(sm.runTime)))
+			count := min(max(int(math.Round(bd.drawLogNormal(sm.tasks, 0.7))), 1), sm.maxTasks)
+			cores := int64(1000 * min(bd.drawLogNormal(sm.cores, 0.4), max(30, sm.cores)))
+			memory := int64(min(bd.drawLogNormal(sm.memory, 0.5), 3*sm.memory, workerMemory))
 			var accelerators int64
 			if len(sm.accelerators) > 0 {
-				accelerators = sm.accelerators[bd.rd.IntN(len(sm.accelerators))]
+				accelerators = sm.accelerators[bd.rng.IntN(len(sm.accelerators))]
 			}
-			ar := &arrival{stream: at, at: bd.now, run: run, left: count, fails: bd.rd.Float64() < sm.fails, spec: &work.Job{
-				ID: fmt.Sprintf("s%dj%05d", at, len(bd.order)), Queue: sm.queue,
+			sj := &simJob{stream: at, arrivedAt: bd.now, runTime: run, remaining: count, willFail: bd.rng.Float64() < sm.failing, spec: &work.Job{
+				ID: fmt.Sprintf("s%dj%05d", at, len(bd.arrivals)), Queue: sm.queue,
 				Steps: []work.Step{{
-					Count: count, Gang: sm.gang, Checkpoints: sm.saves > 0 && bd.rd.Float64() < sm.saves, Need: size.New(cores, memory, accelerators),
-					Estimate: time.Duration(float64(run) * math.Exp(sm.off*bd.rd.NormFloat64())),
+					Count: count, Gang: sm.gang, Checkpoints: sm.checkpointing > 0 && bd.rng.Float64() < sm.checkpointing, Need: size.New(cores, memory, accelerators),
+					Estimate: time.Duration(float64(run) * math.Exp(sm.estimateSpread*bd.rng.NormFloat64())),
 				}},
 			}}
-			if bd.admits != nil && !bd.admits(sm.queue) {
+			if bd.admit != nil && !bd.admit(sm.queue) {
 				continue
 			}
-			bd.jobs[ar.spec.ID] = ar
-			bd.order = append(bd.order, ar)
-			bd.cell.Add(bd.now, ar.spec, false)
+			bd.jobs[sj.spec.ID] = sj
+			bd.arrivals = append(bd.arrivals, sj)
+			bd.cell.Add(bd.now, sj.spec, false)
 		}
 	}
 }
 
-// pass lets time go by until the end of a span, with new jobs or without.
-func (bd *busyDay) pass(span time.Duration, traffic bool) {
+// advance moves the time forward by a span, with or without new jobs.
+func (bd *loadTestbed) advance(span time.Duration, traffic bool) {
 	for end := bd.now + span; bd.now < end; {
-		bd.now += dayStep
+		bd.now += timeStep
 		if traffic {
-			bd.arrive()
+			bd.submitArrivals()
 		}
-		for len(bd.queue) > 0 && bd.queue[0].at <= bd.now {
-			bd.happen()
+		for len(bd.events) > 0 && bd.events[0].at <= bd.now {
+			bd.runNextEvent()
 		}
-		if bd.dark {
+		if bd.noPlanner {
 			continue
 		}
 		if bd.now%(50*time.Millisecond) == 0 {
@@ -246,89 +246,89 @@
 			}
 		}
 		bd.cell.Plan(bd.now)
-		bd.carryOut()
+		bd.executeOrders()
 	}
 }
 
-func (bd *busyDay) carryOut() {
-	for out := range orders(bd.cell, &bd.records) {
+func (bd *loadTestbed) executeOrders() {
+	for out := range drainOutput(bd.cell, &bd.records) {
 		for _, sr := range out.Starts {
 			bd.start(sr)
 		}
 		for _, sp := range out.Stops {
 			bd.stop(sp)
 		}
-		for _, qn := range out.Questions {
-			bd.ask(qn)
+		for _, req := range out.Questions {
+			bd.requestAdvice(req)
 		}
 	}
 }
 
-func (bd *busyDay) start(sr cell.Start) {
-	bd.run(sr)
+func (bd *loadTestbed) start(sr cell.Start) {
+	bd.beginRun(sr)
 	bd.cell.Started(bd.now, sr)
 }
 
-// run has a worker begin what it was told to.
-func (bd *busyDay) run(sr cell.Start) {
-	ar := bd.jobs[sr.Task.Job]
-	if ar.started == 0 {
-		ar.started = bd.now
+// beginRun starts a run on its worker.
+func (bd *loadTestbed) beginRun(sr cell.Start) {
+	sj := bd.jobs[sr.Task.Job]
+	if sj.startedAt == 0 {
+		sj.startedAt = bd.now
 	}
-	rn := &dayRun{number: sr.Run, worker: sr.Worker, started: bd.now, over: bd.now + ar.run}
+	rn := &simRun{number: sr.Run, worker: sr.Worker, startedAt: bd.now, endsAt: bd.now + sj.runTime}
 	if sr.Checkpoint != "" {
-		rn.from, _ = time.ParseDuration(sr.Checkpoint) // written by checkpoint
-		rn.over += restoreTime - rn.from
+		rn.restored, _ = time.ParseDuration(sr.Checkpoint) // written by checkpoint
+		rn.endsAt += restoreTime - rn.restored
 	}
 	bd.runs[sr.Task] = rn
-	bd.used[sr.Worker] += ar.spec.Steps[0].Need.Processors()
-	if ar.fails && sr.Task.Index == 0 {
-		ar.fails = false
-		bd.after(ar.run/2, func() { bd.end(sr.Task, rn, cell.ResultFailed) })
+	bd.usedMillicores[sr.Worker] += sj.spec.Steps[0].Need.Processors()
+	if sj.willFail && sr.Task.Index == 0 {
+		sj.willFail = false
+		bd.schedule(sj.runTime/2, func() { bd.end(sr.Task, rn, cell.ResultFailed) })
 		return
 	}
-	bd.after(rn.over-bd.now, func() { bd.end(sr.Task, rn, cell.ResultDone) })
+	bd.schedule(rn.endsAt-bd.now, func() { bd.end(sr.Task, rn, cell.ResultDone) })
 }
 
-func (bd *busyDay) stop(sp cell.Stop) {
+func (bd *loadTestbed) stop(sp cell.Stop) {
 	bd.cell.Stopped(bd.now, sp)
 	if rn := bd.runs[sp.Task]; rn != nil && rn.number == sp.Run {
-		bd.after(stopTime, func() { bd.end(sp.Task, rn, cell.ResultStopped) })
+		bd.schedule(stopTime, func() { bd.end(sp.Task, rn, cell.ResultStopped) })
 	}
 }
 
-// end ends a run, unless another has taken its place, and has its worker report.
-func (bd *busyDay) end(name work.Task, rn *dayRun, how cell.Result) {
+// end ends a run, unless another run has replaced it, and sends its worker's report.
+func (bd *loadTestbed) end(name work.Task, rn *simRun, result cell.Result) {
 	if bd.runs[name] != rn {
 		return
 	}
 	delete(bd.runs, name)
-	ar := bd.jobs[name.Job]
-	bd.used[rn.worker] -= ar.spec.Steps[0].Need.Processors()
-	if how == cell.ResultDone {
-		if ar.left--; ar.left == 0 {
-			ar.ended = bd.now
+	sj := bd.jobs[name.Job]
+	bd.usedMillicores[rn.worker] -= sj.spec.Steps[0].Need.Processors()
+	if result == cell.ResultDone {
+		if sj.remaining--; sj.remaining == 0 {
+			sj.endedAt = bd.now
 		}
 	}
 	bd.ends[rn.worker]++
-	end := cell.End{Seq: bd.ends[rn.worker], Run: cell.Run{Task: name, Number: rn.number}, Result: how}
-	if ar.spec.Steps[0].Checkpoints {
+	end := cell.End{Seq: bd.ends[rn.worker], Run: cell.Run{Task: name, Number: rn.number}, Result: result}
+	if sj.spec.Steps[0].Checkpoints {
 		end.Checkpoint = rn.checkpoint(bd.now)
 	}
-	if bd.dark {
-		bd.kept[rn.worker] = append(bd.kept[rn.worker], end)
+	if bd.noPlanner {
+		bd.pendingEnds[rn.worker] = append(bd.pendingEnds[rn.worker], end)
 		return
 	}
 	bd.report(rn.worker, []cell.End{end})
 }
 
-func (bd *busyDay) report(id life.Life, ends []cell.End) {
+func (bd *loadTestbed) report(id life.Life, ends []cell.End) {
 	var runs []cell.Run
 	for name, rn := range bd.runs {
 		if rn.worker == id {
-			ar := bd.jobs[name.Job]
-			run := cell.Run{Task: name, Number: rn.number, Percent: int(100 * rn.done(bd.now) / ar.run)}
-			if ar.spec.Steps[0].Checkpoints {
+			sj := bd.jobs[name.Job]
+			run := cell.Run{Task: name, Number: rn.number, Percent: int(100 * rn.done(bd.now) / sj.runTime)}
+			if sj.spec.Steps[0].Checkpoints {
 				run.Checkpoint = rn.checkpoint(bd.now)
 			}
 			runs = append(runs, run)
@@ -337,12 +337,11 @@
 	bd.cell.Report(bd.now, id, bd.now, runs, ends)
 }
 
-// ask puts a question to the node that is free soonest, or refuses it where all have
-// too much to do.
-func (bd *busyDay) ask(qn cell.Question) {
-	nodes, most := bd.asks, askLongest
-	if !qn.Urgent {
-		nodes, most = bd.asks[min(askReserved, len(bd.asks)/3):], askPatience
+// requestAdvice queues an advice request at the node that is free soonest, or defers it if the wait would be too long.
+func (bd *loadTestbed) requestAdvice(req cell.Question) {
+	nodes, maxWait := bd.nodeFreeAt, maxUrgentQueueWait
+	if !req.Urgent {
+		nodes, maxWait = bd.nodeFreeAt[min(reservedNodes, len(bd.nodeFreeAt)/3):], maxQueueWait
 	}
 	best := 0
 	for at := range nodes {
@@ -351,94 +350,94 @@
 		}
 	}
 	wait := max(nodes[best]-bd.now, 0)
-	if wait > most {
-		bd.misses++
-		bd.cell.PutOff(bd.now, qn)
+	if wait > maxWait {
+		bd.deferred++
+		bd.cell.PutOff(bd.now, req)
 		return
 	}
-	bd.questions++
-	stream := bd.jobs[qn.Step.Job].stream
-	bd.took[stream] += qn.Takes
-	bd.count[stream]++
-	nodes[best] = bd.now + wait + qn.Takes
-	reign, answered := bd.reign, bd.answered
-	bd.after(wait+qn.Takes, func() {
-		if reign != bd.reign {
+	bd.requests++
+	stream := bd.jobs[req.Step.Job].stream
+	bd.advisorTime[stream] += req.Takes
+	bd.requestCounts[stream]++
+	nodes[best] = bd.now + wait + req.Takes
+	term, onAdvice := bd.term, bd.onAdvice
+	bd.schedule(wait+req.Takes, func() {
+		if term != bd.term {
 			return
 		}
 		var rows []cell.Ticket
-		good := bd.streams[stream].good
-		for _, id := range qn.Workers {
-			if allows(qn.Step.StepName(), id, good) {
+		allowedShare := bd.streams[stream].allowedShare
+		for _, id := range req.Workers {
+			if advisorAllows(req.Step.StepName(), id, allowedShare) {
 				rows = append(rows, cell.Ticket{Worker: id, Text: "t"})
 			}
 		}
-		if answered != nil {
-			answered(rows)
+		if onAdvice != nil {
+			onAdvice(rows)
 			return
 		}
-		bd.cell.Advised(bd.now, qn, rows, ticketValid)
+		bd.cell.Advised(bd.now, req, rows, ticketTTL)
 	})
 }
 
-// allows draws, always the same for a step and a worker, whether the advisor allows it.
-func allows(step string, worker life.Life, good float64) bool {
+// advisorAllows reports whether the advisor allows a worker for a step. The result is the same for each call.
+func advisorAllows(step string, worker life.Life, allowedShare float64) bool {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(step + "/" + string(worker)))
-	return float64(hash.Sum32()%1000) < 1000*good
+	return float64(hash.Sum32()%1000) < 1000*allowedShare
 }
 
-// inUse is the part of all processors that runs use.
-func (bd *busyDay) inUse() float64 {
+// utilization returns the share of all processors that is in use.
+func (bd *loadTestbed) utilization() float64 {
 	var used int64
-	for _, each := range bd.used {
+	for _, each := range bd.usedMillicores {
 		used += each
 	}
 	return float64(used) / float64(workerCores*len(bd.workers))
 }
 
 // waiting returns how many jobs have not begun, and the age of the oldest of them.
-func (bd *busyDay) waiting() (count int, oldest time.Duration) {
-	for _, ar := range bd.order {
-		if ar.started == 0 {
+func (bd *loadTestbed) waiting() (count int, oldest time.Duration) {
+	for _, sj := range bd.arrivals {
+		if sj.startedAt == 0 {
 			count++
-			oldest = max(oldest, bd.now-ar.at)
+			oldest = max(oldest, bd.now-sj.arrivedAt)
 		}
 	}
 	return count, oldest
 }
 
-// inTime is the share of a stream's jobs that ended within their objective, and largest
-// that of the tenth of them with most work.
-func (bd *busyDay) inTime(stream int) (all, largest float64) {
-	var list []*arrival
-	for _, ar := range bd.order {
-		if ar.stream == stream {
-			list = append(list, ar)
+// onTimeShare returns the share of a stream's jobs that ended within their objective, and
+// the same share for the tenth of them with the most work.
+func (bd *loadTestbed) onTimeShare(stream int) (all, largest float64) {
+	var list []*simJob
+	for _, sj := range bd.arrivals {
+		if sj.stream == stream {
+			list = append(list, sj)
 		}
 	}
-	slices.SortFunc(list, func(a, b *arrival) int { return cmp.Compare(b.work(), a.work()) })
-	share := func(list []*arrival) float64 {
-		good := 0
-		for _, ar := range list {
-			if qu := ar.spec.Queue; ar.ended > 0 && ar.ended-ar.at <= time.Duration(qu.Stretch*float64(ar.run))+qu.Target {
-				good++
+	slices.SortFunc(list, func(a, b *simJob) int { return cmp.Compare(b.coreSeconds(), a.coreSeconds()) })
+	share := func(list []*simJob) float64 {
+		onTime := 0
+		for _, sj := range list {
+			if qu := sj.spec.Queue; sj.endedAt > 0 && sj.endedAt-sj.arrivedAt <= time.Duration(qu.Stretch*float64(sj.runTime))+qu.Target {
+				onTime++
 			}
 		}
-		return float64(good) / float64(len(list))
+		return float64(onTime) / float64(len(list))
 	}
 	return share(list), share(list[:len(list)/10])
 }
 
-// work is what a job uses, in core-seconds.
-func (ar *arrival) work() float64 {
-	st := ar.spec.Steps[0]
-	return float64(st.Count) * float64(st.Need.Processors()) / 1000 * ar.run.Seconds()
+// coreSeconds returns the processor time that a job uses.
+func (sj *simJob) coreSeconds() float64 {
+	st := sj.spec.Steps[0]
+	return float64(st.Count) * float64(st.Need.Processors()) / 1000 * sj.runTime.Seconds()
 }
 
-// grownStreams are the loads of a cell of 350 workers that fill four fifths of it: wide
-// gangs on a quarter of the workers, patient tasks, and urgent ones of three tasks.
-func grownStreams(scale float64) []stream {
+// mixedStreams is a load that fills four fifths of a cell of 350 workers: wide gangs that are
+// allowed on a quarter of the workers, deferrable batch jobs, and urgent jobs of about three tasks.
+func mixedStreams(scale float64) []stream {
 	every := func(perSecond float64) time.Duration {
 		return time.Duration(float64(time.Second) / (perSecond * scale))
 	}
@@ -446,27 +445,27 @@
 		{
 			queue: work.Queue{Name: "wide", Service: "svc", Priority: 1, Attempts: 3, Stretch: 2.2, Target: time.Second, Advised: true,
 				AdviceBase: 540 * time.Millisecond, AdviceEach: 7700 * time.Microsecond},
-			each: every(4.1), width: 20, most: 120, cores: 18, memory: 26000, fails: 0.05, run: 6200 * time.Millisecond, gang: true, off: 0.9, good: 0.25,
+			interval: every(4.1), tasks: 20, maxTasks: 120, cores: 18, memory: 26000, failing: 0.05, runTime: 6200 * time.Millisecond, gang: true, estimateSpread: 0.9, allowedShare: 0.25,
 		},
 		{
 			queue: work.Queue{Name: "patient", Service: "svc", Priority: 2, Attempts: 2, Stretch: 4, Target: 3 * time.Second, Advised: true,
 				AdviceBase: 80 * time.Millisecond, AdviceEach: 1100 * time.Microsecond},
-			each: every(16.8), width: 25, most: 150, cores: 6.9, memory: 13000, fails: 0.02, run: 2200 * time.Millisecond, off: 0.2, good: 0.45,
+			interval: every(16.8), tasks: 25, maxTasks: 150, cores: 6.9, memory: 13000, failing: 0.02, runTime: 2200 * time.Millisecond, estimateSpread: 0.2, allowedShare: 0.45,
 		},
 		{
 			queue: work.Queue{Name: "urgent", Service: "svc", Priority: 0, Attempts: 3, Stretch: 1.5, Target: 250 * time.Millisecond, Advised: true,
 				AdviceBase: 7200 * time.Microsecond, AdviceEach: 100 * time.Microsecond},
-			each: every(125), width: 3.2, most: 19, cores: 9.9, memory: 18000, run: 640 * time.Millisecond, off: 0.5, good: 0.7,
+			interval: every(125), tasks: 3.2, maxTasks: 19, cores: 9.9, memory: 18000, runTime: 640 * time.Millisecond, estimateSpread: 0.5, allowedShare: 0.7,
 		},
 	}
 }
 
-// longestStart is the longest time that a job of a stream waited for its first start.
-func (bd *busyDay) longestStart(stream int) time.Duration {
+// longestStartDelay returns the longest time that a job of a stream waited for its first start.
+func (bd *loadTestbed) longestStartDelay(stream int) time.Duration {
 	var longest time.Duration
-	for _, ar := range bd.order {
-		if ar.stream == stream && ar.started > 0 {
-			longest = max(longest, ar.started-ar.at)
+	for _, sj := range bd.arrivals {
+		if sj.stream == stream && sj.startedAt > 0 {
+			longest = max(longest, sj.startedAt-sj.arrivedAt)
 		}
 	}
 	return longest
--- a/policy/cell/cell_test.go
+++ b/policy/cell/cell_test.go
@@ -11,15 +11,15 @@
 	"tackbeam.example/policy/work"
 )
 
-func queue(priority, attempts int, advised bool) work.Queue {
+func newQueue(priority, attempts int, advised bool) work.Queue {
 	return work.Queue{
 		Name: fmt.Sprintf("q%d", priority), Service: "svc", Priority: priority, Attempts: attempts,
 		Stretch: 2, Target: time.Second, Advised: advised,
 	}
 }
 
-func batch(id string, count int, after ...int) *work.Job {
-	jb := &work.Job{ID: id, Queue: queue(2, 3, false), Spec: id}
+func batchJob(id string, count int, after ...int) *work.Job {
+	jb := &work.Job{ID: id, Queue: newQueue(2, 3, false), Spec: id}
 	jb.Steps = []work.Step{{Count: count, Need: size.New(4000, 8000, 0), Estimate: time.Second}}
 	if len(after) > 0 {
 		jb.Steps = append(jb.Steps, work.Step{Count: 2, Need: size.New(4000, 8000, 0), Estimate: time.Second, After: after})
@@ -27,86 +27,86 @@
 	return jb
 }
 
-func gang(id string, count int) *work.Job {
-	return &work.Job{ID: id, Queue: queue(1, 3, true), Spec: id, Steps: []work.Step{
+func gangJob(id string, count int) *work.Job {
+	return &work.Job{ID: id, Queue: newQueue(1, 3, true), Spec: id, Steps: []work.Step{
 		{Count: count, Need: size.New(18000, 26000, 0), Estimate: time.Second, Gang: true},
 	}}
 }
 
-// TestPromises runs jobs of all kinds through faults drawn from seeds; the bed checks
-// each start, and in the end every job has ended.
-func TestPromises(t *testing.T) {
+// TestInvariants runs jobs of all kinds with faults drawn from seeds. The testbed checks
+// each start, and every job ends.
+func TestInvariants(t *testing.T) {
 	cases := map[string]struct {
-		faults, fails   float64
-		elect, crash    bool
-		cancel, silence bool
-		shrink          bool
-		mayFail, settle int
+		unanswered, failRate float64
+		replace, crash       bool
+		cancel, disconnect   bool
+		resize               bool
+		maxFailed, settle    int
 	}{
-		"calm":                            {},
-		"runs fail":                       {fails: 0.1, mayFail: 8},
-		"orders unanswered":               {faults: 0.1},
-		"planners change":                 {elect: true},
-		"planners change, runs fail":      {elect: true, fails: 0.1, mayFail: 8},
+		"no faults":                       {},
+		"runs fail":                       {failRate: 0.1, maxFailed: 8},
+		"orders unanswered":               {unanswered: 0.1},
+		"planners change":                 {replace: true},
+		"planners change, runs fail":      {replace: true, failRate: 0.1, maxFailed: 8},
 		"workers crash":                   {crash: true},
-		"workers fall silent":             {silence: true},
-		"silence, planners change":        {silence: true, elect: true, fails: 0.02, mayFail: 4},
+		"workers disconnect":              {disconnect: true},
+		"disconnects, planners change":    {disconnect: true, replace: true, failRate: 0.02, maxFailed: 4},
 		"jobs cancelled":                  {cancel: true},
-		"everything at once":              {faults: 0.1, fails: 0.05, elect: true, crash: true, silence: true, cancel: true, mayFail: 8},
-		"planners change, orders delayed": {elect: true, faults: 0.2},
-		"rooms shrink and grow":           {shrink: true},
-		"rooms shrink, planners change":   {shrink: true, elect: true, faults: 0.05},
+		"all faults":                      {unanswered: 0.1, failRate: 0.05, replace: true, crash: true, disconnect: true, cancel: true, maxFailed: 8},
+		"planners change, orders delayed": {replace: true, unanswered: 0.2},
+		"capacity changes":                {resize: true},
+		"capacity and planners change":    {resize: true, replace: true, unanswered: 0.05},
 	}
 	for name, tc := range cases {
 		for seed := range uint64(12) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
-				bd := newBed(t, seed, 10)
-				bd.faults, bd.fails = tc.faults, tc.fails
+				bd := newTestbed(t, seed, 10)
+				bd.unansweredRate, bd.failRate = tc.unanswered, tc.failRate
 				const jobs = 24
 				for n := range jobs {
 					switch n % 3 {
 					case 0:
-						bd.submit(batch(fmt.Sprintf("a%02d", n), 6, 0))
+						bd.submit(batchJob(fmt.Sprintf("a%02d", n), 6, 0))
 					case 1:
-						bd.submit(gang(fmt.Sprintf("b%02d", n), 4))
+						bd.submit(gangJob(fmt.Sprintf("b%02d", n), 4))
 					default:
-						jb := batch(fmt.Sprintf("c%02d", n), 3)
-						jb.Queue = queue(0, 3, true)
+						jb := batchJob(fmt.Sprintf("c%02d", n), 3)
+						jb.Queue = newQueue(0, 3, true)
 						bd.submit(jb)
 					}
-					bd.pass(40 * time.Millisecond)
-					if tc.elect && n%5 == 4 {
-						bd.elect()
-						bd.carryOut()
+					bd.advance(40 * time.Millisecond)
+					if tc.replace && n%5 == 4 {
+						bd.replacePlanner()
+						bd.executeOrders()
 					}
-					if tc.silence && n%4 == 3 {
-						bd.silence(life.Life(fmt.Sprintf("w%02d", n%10)), 700*time.Millisecond)
-						bd.carryOut()
+					if tc.disconnect && n%4 == 3 {
+						bd.disconnect(life.Life(fmt.Sprintf("w%02d", n%10)), 700*time.Millisecond)
+						bd.executeOrders()
 					}
 					if tc.crash && n == 12 {
-						bd.crash("w03")
+						bd.loseWorker("w03")
 						bd.addWorker("w13")
 						bd.cell.PutWorker(bd.now, bd.workers["w13"].Worker)
 					}
-					if tc.shrink {
+					if tc.resize {
 						bd.resize(life.Life(fmt.Sprintf("w%02d", n*7%10)), []int64{1, 4, 0, 2}[n%4])
 					}
 					if tc.cancel && n%6 == 5 {
 						bd.cancel(bd.jobs[n-2].ID)
-						bd.carryOut()
+						bd.executeOrders()
 					}
 				}
 				for n := range 10 {
-					bd.resize(life.Life(fmt.Sprintf("w%02d", n)), quarters)
+					bd.resize(life.Life(fmt.Sprintf("w%02d", n)), fullQuarters)
 				}
 				for range 2000 {
-					bd.pass(40 * time.Millisecond)
+					bd.advance(40 * time.Millisecond)
 				}
-				counts := bd.phases()
+				counts := bd.countPhases()
 				if counts[cell.Queued]+counts[cell.Running] > 0 {
 					t.Errorf("jobs have not ended: %v", counts)
 				}
-				if counts[cell.Failed] > tc.mayFail {
+				if counts[cell.Failed] > tc.maxFailed {
 					t.Errorf("too many jobs have failed: %v", counts)
 				}
 			})
@@ -114,96 +114,96 @@
 	}
 }
 
-// TestPhaseNeedsProof shows a job as succeeded only once the journal has its end.
-func TestPhaseNeedsProof(t *testing.T) {
-	bd := newBed(t, 1, 1)
-	bd.submit(batch("a", 1))
-	bd.pass(time.Millisecond)
+// TestPhaseWaitsForJournal checks that a job is shown as succeeded only after its end is in the journal.
+func TestPhaseWaitsForJournal(t *testing.T) {
+	bd := newTestbed(t, 1, 1)
+	bd.submit(batchJob("a", 1))
+	bd.advance(time.Millisecond)
 	bd.now += 2 * time.Second
-	bd.workers["w00"].advance(bd)
+	bd.workers["w00"].endDueRuns(bd)
 	bd.report("w00")
 	if phase, _ := bd.cell.Phase("a", ""); phase != cell.Running {
 		t.Errorf("phase is %s before the end is in the journal", phase)
 	}
-	if noted, waits := bd.cell.Noted("w00"); noted != 0 || !waits {
-		t.Errorf("end %d may be forgotten before it is in the journal", noted)
+	if acked, waits := bd.cell.Noted("w00"); acked != 0 || !waits {
+		t.Errorf("end %d is acknowledged before it is in the journal", acked)
 	}
-	bd.carryOut()
+	bd.executeOrders()
 	if phase, _ := bd.cell.Phase("a", ""); phase != cell.Succeeded {
 		t.Errorf("phase is %s once the end is in the journal", phase)
 	}
-	if noted, _ := bd.cell.Noted("w00"); noted != 1 {
-		t.Errorf("end %d is noted, want 1", noted)
+	if acked, _ := bd.cell.Noted("w00"); acked != 1 {
+		t.Errorf("end %d is acknowledged, want 1", acked)
 	}
 }
 
-// TestCancelBeforeJob keeps a job from starting whose cancel came first.
+// TestCancelBeforeJob checks that a job does not start if its cancel arrives before it.
 func TestCancelBeforeJob(t *testing.T) {
-	bd := newBed(t, 1, 1)
+	bd := newTestbed(t, 1, 1)
 	bd.cancel("a")
-	bd.submit(batch("a", 1))
-	bd.pass(time.Millisecond)
+	bd.submit(batchJob("a", 1))
+	bd.advance(time.Millisecond)
 	if phase, _ := bd.cell.Phase("a", ""); phase != cell.Cancelled {
 		t.Errorf("phase is %s, want cancelled", phase)
 	}
 }
 
-// TestFailureCountsOnce lets another planner see a failed run that the journal has
-// already: it is not counted twice.
+// TestFailureCountsOnce checks that a new planner does not count a failed run twice if it is both in the journal
+// and in a worker's report.
 func TestFailureCountsOnce(t *testing.T) {
-	bd := newBed(t, 1, 1)
-	jb := batch("a", 1)
+	bd := newTestbed(t, 1, 1)
+	jb := batchJob("a", 1)
 	jb.Queue.Attempts = 2
 	bd.submit(jb)
-	bd.pass(time.Millisecond)
-	bd.fails = 1
+	bd.advance(time.Millisecond)
+	bd.failRate = 1
 	bd.now += 2 * time.Second
-	bd.workers["w00"].advance(bd)
+	bd.workers["w00"].endDueRuns(bd)
 	bd.report("w00")
 	bd.records = append(bd.records, bd.cell.Take().Records...)
-	bd.fails = 0
-	bd.elect() // the worker was not told to forget the end
+	bd.failRate = 0
+	bd.replacePlanner() // the worker still reports the end, which was not acknowledged
 	for range 100 {
-		bd.pass(100 * time.Millisecond)
+		bd.advance(100 * time.Millisecond)
 	}
 	if phase, _ := bd.cell.Phase("a", ""); phase != cell.Succeeded {
-		t.Errorf("phase is %s after one failed run of two that may", phase)
+		t.Errorf("phase is %s after one failed run of two attempts", phase)
 	}
 }
 
-// TestOldTasksWait lets a planner wait with tasks that may still run on a worker that
-// has not answered it.
-func TestOldTasksWait(t *testing.T) {
+// TestInheritedTasksWait checks that a new planner does not start inherited tasks before its recovery is complete,
+// since they may still run on a worker that has not answered.
+func TestInheritedTasksWait(t *testing.T) {
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65})
-	cl.Add(0, batch("old", 1), true)
-	cl.Add(0, batch("new", 1), false)
+	cl.Add(0, batchJob("old", 1), true)
+	cl.Add(0, batchJob("new", 1), false)
 	cl.PutWorker(0, cell.Worker{ID: "w", Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	cl.Report(1, "w", 1, nil, nil)
 	cl.Committed(cl.Recorded())
 	cl.Plan(2)
 	if out := cl.Take(); len(out.Starts) != 1 || out.Starts[0].Task.Job != "new" {
-		t.Errorf("starts before the old tasks' whereabouts are known: %v", out.Starts)
+		t.Errorf("starts before the recovery is complete: %v", out.Starts)
 	}
 	cl.Settle()
 	cl.Plan(3)
 	out := cl.Take()
 	if len(out.Starts) != 1 || out.Starts[0].Task.Job != "old" {
-		t.Fatalf("starts after that: %v", out.Starts)
+		t.Fatalf("starts after the recovery: %v", out.Starts)
 	}
 	if out.Starts[0].Run < 65 {
 		t.Errorf("run %d may have been used by an earlier planner", out.Starts[0].Run)
 	}
 }
 
-// TestRounds opens each round of a repeated job at its time.
+// TestRounds checks that each round of a repeated job opens at its time.
 func TestRounds(t *testing.T) {
-	bd := newBed(t, 1, 2)
-	jb := batch("a", 1)
+	bd := newTestbed(t, 1, 2)
+	jb := batchJob("a", 1)
 	jb.Repeat = &work.Repeat{Count: 3, Start: time.Second, Every: 2 * time.Second}
 	bd.submit(jb)
 	begun := map[int]time.Duration{}
 	for range 100 {
-		bd.pass(100 * time.Millisecond)
+		bd.advance(100 * time.Millisecond)
 		for _, wk := range bd.workers {
 			for name := range wk.runs {
 				if _, known := begun[name.Round]; !known {
@@ -222,18 +222,18 @@
 	}
 }
 
-// TestPending counts the jobs that have not begun.
+// TestPending checks the count of jobs that have not begun.
 func TestPending(t *testing.T) {
-	bd := newBed(t, 1, 1)
+	bd := newTestbed(t, 1, 1)
 	for n := range 20 {
-		bd.submit(batch(fmt.Sprintf("a%d", n), 2))
+		bd.submit(batchJob(fmt.Sprintf("a%d", n), 2))
 	}
 	if got := bd.cell.Pending("q2"); got != 20 {
 		t.Errorf("%d jobs wait, want 20", got)
 	}
-	bd.pass(time.Millisecond)
+	bd.advance(time.Millisecond)
 	if got := bd.cell.Pending("q2"); got != 12 {
-		t.Errorf("%d jobs wait, want 12: the worker has room for 16 tasks", got)
+		t.Errorf("%d jobs wait, want 12: the worker has capacity for 16 tasks", got)
 	}
 	bd.cancel("a19")
 	if got := bd.cell.Pending("q2"); got != 11 {
@@ -241,20 +241,19 @@
 	}
 }
 
-// TestStandsStillEverywhere has a task that makes no progress on any worker, among twelve that are healthy. It
-// was moved every 2.5 s without an end, and each worker that it had been on rested for 6 s: three of the
-// twelve were at rest for it at any time. It is moved ever more rarely, and after the second worker it is
-// the task that is at fault.
-func TestStandsStillEverywhere(t *testing.T) {
-	const mostMoves, mostResting, longest = 8, 2, time.Minute
-	bd := newBed(t, 1, 12)
-	bd.still = "a"
-	bd.longer = 2 * longest
-	bd.submit(batch("a", 1))
+// TestHungOnEveryWorker has a task that makes no progress on any of twelve healthy workers. Moved every 2.5 s
+// without bound, with each worker quarantined for 6 s afterwards, it kept three of the twelve in quarantine.
+// The intervals between moves must grow, and after the second worker the fault is attributed to the task.
+func TestHungOnEveryWorker(t *testing.T) {
+	const maxMoves, maxQuarantined, span = 8, 2, time.Minute
+	bd := newTestbed(t, 1, 12)
+	bd.hungJob = "a"
+	bd.extraRunTime = 2 * span
+	bd.submit(batchJob("a", 1))
 	moves := 0
-	for bd.now < longest {
+	for bd.now < span {
 		before := bd.cell.Recorded()
-		bd.pass(50 * time.Millisecond)
+		bd.advance(50 * time.Millisecond)
 		for _, rec := range bd.records[max(len(bd.records)-(bd.cell.Recorded()-before), 0):] {
 			if rec.Stop {
 				moves++
@@ -262,29 +261,29 @@
 		}
 	}
 	t.Logf("moved %d times", moves)
-	if moves == 0 || moves > mostMoves {
-		t.Errorf("moved %d times in %v, want 1 to %d", moves, longest, mostMoves)
+	if moves == 0 || moves > maxMoves {
+		t.Errorf("moved %d times in %v, want 1 to %d", moves, span, maxMoves)
 	}
-	if resting := bd.cell.Resting(bd.now); resting > mostResting {
-		t.Errorf("%d workers are at rest for one task", resting)
+	if quarantined := bd.cell.Resting(bd.now); quarantined > maxQuarantined {
+		t.Errorf("%d workers are in quarantine because of one task", quarantined)
 	}
 }
 
-// TestHung moves a task off a worker on which it makes no progress, but not one that
-// has done its work and waits for the rest of its gang.
-func TestHung(t *testing.T) {
+// TestHungTask checks that a task without progress is moved off its worker, except for
+// one that has done its work and waits for the rest of its gang.
+func TestHungTask(t *testing.T) {
 	cases := map[string]struct {
 		percent int
 		moves   bool
 	}{
-		"stands still":         {7, true},
+		"hung":                 {7, true},
 		"has not begun":        {0, true},
 		"waits for the others": {100, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
-			cl.Add(0, batch("a", 1), false)
+			cl.Add(0, batchJob("a", 1), false)
 			for _, id := range []life.Life{"w1", "w2"} {
 				cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 				cl.Report(1, id, 1, nil, nil)
@@ -299,7 +298,7 @@
 				cl.Tick(at, at)
 			}
 			if early := cl.Take(); len(early.Stops) > 0 {
-				t.Fatalf("stops before the journal has them: %v", early.Stops)
+				t.Fatalf("stops before they are in the journal: %v", early.Stops)
 			}
 			cl.Committed(cl.Recorded())
 			out := cl.Take()
@@ -317,7 +316,7 @@
 			cl.Plan(at + 3)
 			again := cl.Take().Starts
 			if len(again) != 1 || again[0].Worker == first.Worker || again[0].Run <= first.Run {
-				t.Errorf("the task was started again as %v", again)
+				t.Errorf("the task was restarted as %v", again)
 			}
 		})
 	}
@@ -329,7 +328,7 @@
 	cl.PutWorker(0, cell.Worker{ID: "w1", Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	cl.Report(0, "w1", 0, nil, nil)
 	cl.Committed(cl.Recorded())
-	cl.Add(0, batch("job1", 1), false)
+	cl.Add(0, batchJob("job1", 1), false)
 	cl.Plan(0)
 	for _, sr := range cl.Take().Starts {
 		fmt.Println(sr.Worker, sr.Task, sr.Run)
@@ -337,10 +336,10 @@
 	// Output: w1 job1.0.0.0 1
 }
 
-// TestStands has something happen to a worker, or to the run, between the decision on a start and its
-// sending. A start without an answer was sent again though a report had told the run's end meanwhile; the
-// worker's next life took it for a new one, and callers saw the task run after its end had been noted.
-func TestStands(t *testing.T) {
+// TestStartValid checks whether a start may still be sent after a change to its worker or run since the decision.
+// An unanswered start was sent again although a report had listed the end of the run; the worker's next incarnation
+// took it for a new start, and the task ran again after its end had been recorded.
+func TestStartValid(t *testing.T) {
 	entry := cell.Worker{ID: "w000", Service: "svc", Capacity: size.New(64000, 128000, 0)}
 	leaving, small, large := entry, entry, entry
 	leaving.Draining = true
@@ -351,13 +350,13 @@
 		want bool
 	}{
 		"nothing":              {func(*cell.Cell) {}, true},
-		"it begins to leave":   {func(cl *cell.Cell) { cl.PutWorker(0, leaving) }, false},
-		"its entry goes":       {func(cl *cell.Cell) { cl.Deregister(entry.ID) }, false},
+		"it drains":            {func(cl *cell.Cell) { cl.PutWorker(0, leaving) }, false},
+		"it is deregistered":   {func(cl *cell.Cell) { cl.Deregister(entry.ID) }, false},
 		"it shrinks":           {func(cl *cell.Cell) { cl.PutWorker(0, small) }, false},
 		"it grows":             {func(cl *cell.Cell) { cl.PutWorker(0, large) }, true},
-		"its life is over":     {func(cl *cell.Cell) { cl.Over(0, entry.ID) }, false},
-		"it is listed anew":    {func(cl *cell.Cell) { cl.Deregister(entry.ID); cl.PutWorker(0, entry) }, true},
-		"it answers no more":   {func(cl *cell.Cell) { cl.Silent(0, entry.ID) }, true},
+		"its incarnation ends": {func(cl *cell.Cell) { cl.Over(0, entry.ID) }, false},
+		"it registers again":   {func(cl *cell.Cell) { cl.Deregister(entry.ID); cl.PutWorker(0, entry) }, true},
+		"it stops answering":   {func(cl *cell.Cell) { cl.Silent(0, entry.ID) }, true},
 		"its job is cancelled": {func(cl *cell.Cell) { cl.Cancel(0, "a", "") }, false},
 		"its run is listed": {func(cl *cell.Cell) {
 			cl.Report(0, entry.ID, 0, []cell.Run{{Task: work.Task{Job: "a"}, Number: 1}}, nil)
@@ -369,15 +368,15 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			cl := crowd(1)
-			cl.Add(0, batch("a", 1), false)
+			cl := newTestCell(1)
+			cl.Add(0, batchJob("a", 1), false)
 			cl.Plan(0)
 			starts := cl.Take().Starts
 			if len(starts) != 1 {
 				t.Fatalf("%d starts", len(starts))
 			}
 			if tt.act(cl); cl.Stands(starts[0]) != tt.want {
-				t.Errorf("stands: %v, want %v", !tt.want, tt.want)
+				t.Errorf("start valid: %v, want %v", !tt.want, tt.want)
 			}
 		})
 	}
--- a/policy/cell/crash_test.go
+++ b/policy/cell/crash_test.go
@@ -13,66 +13,66 @@
 	"tackbeam.example/policy/work"
 )
 
-// TestCrashesAreBounded has jobs come whose tasks crash each worker that starts them, among jobs
-// of all kinds, while workers crash by themselves too. Each such job fails within the bound, which
-// the bed checks at each start, and no other.
+// TestCrashesAreBounded mixes jobs whose tasks crash each worker that starts them with other jobs, while workers
+// also crash for other reasons. Each crashing job must fail within the bound, which the testbed checks at each
+// start, and no other job may fail.
 func TestCrashesAreBounded(t *testing.T) {
 	tests := map[string]struct {
-		// every is the number of jobs of which one is bad.
+		// every is the number of jobs of which one crashes its workers.
 		every int
-		// wave has many workers crash at once, every so many jobs; elect does so with planners.
-		wave, elect int
-		faults      float64
-		// longer is by how much runs are longer than usual.
-		longer time.Duration
-		// floods come so fast that two of three workers are away: only the bound holds then.
+		// massCrashEvery and replaceEvery are the numbers of jobs between mass crashes and between planner changes.
+		massCrashEvery, replaceEvery int
+		unanswered                   float64
+		// extraRunTime is added to the length of each run.
+		extraRunTime time.Duration
+		// flood submits jobs so fast that two thirds of the workers are down: only the bound is checked then.
 		flood bool
-		// again has workers begin again under their ids, after back.
-		again bool
-		back  time.Duration
+		// sameID restarts workers under their IDs after restartDelay.
+		sameID       bool
+		restartDelay time.Duration
 	}{
-		"now and then":                     {every: 12},
-		"often":                            {every: 5},
-		"beside waves of crashes":          {every: 12, wave: 10},
-		"waves only":                       {every: 1000, wave: 8},
-		"long runs, waves":                 {every: 1000, wave: 20, longer: 6 * time.Second},
-		"planners change":                  {every: 8, elect: 6},
-		"orders unanswered":                {every: 12, faults: 0.03},
-		"all of it":                        {every: 10, wave: 12, elect: 9, faults: 0.03},
-		"flood":                            {every: 5, wave: 12, elect: 9, faults: 0.03, flood: true},
-		"under their ids, at once":         {every: 12, again: true},
-		"under their ids, 1 s":             {every: 12, again: true, back: time.Second},
-		"under their ids, 3 s":             {every: 12, wave: 10, again: true, back: awayFor},
-		"under their ids, planners change": {every: 8, elect: 6, again: true},
+		"rare":                     {every: 12},
+		"frequent":                 {every: 5},
+		"with mass crashes":        {every: 12, massCrashEvery: 10},
+		"mass crashes only":        {every: 1000, massCrashEvery: 8},
+		"long runs, mass crashes":  {every: 1000, massCrashEvery: 20, extraRunTime: 6 * time.Second},
+		"planners change":          {every: 8, replaceEvery: 6},
+		"orders unanswered":        {every: 12, unanswered: 0.03},
+		"all faults":               {every: 10, massCrashEvery: 12, replaceEvery: 9, unanswered: 0.03},
+		"flood":                    {every: 5, massCrashEvery: 12, replaceEvery: 9, unanswered: 0.03, flood: true},
+		"same ID, at once":         {every: 12, sameID: true},
+		"same ID, 1 s":             {every: 12, sameID: true, restartDelay: time.Second},
+		"same ID, 3 s":             {every: 12, massCrashEvery: 10, sameID: true, restartDelay: defaultRestartDelay},
+		"same ID, planners change": {every: 8, replaceEvery: 6, sameID: true},
 	}
 	for name, tt := range tests {
 		for seed := range uint64(8) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
-				bd := newBed(t, seed, 40)
-				bd.faults, bd.longer = tt.faults, tt.longer
-				if tt.again {
-					bd.again, bd.away = true, tt.back
+				bd := newTestbed(t, seed, 40)
+				bd.unansweredRate, bd.extraRunTime = tt.unanswered, tt.extraRunTime
+				if tt.sameID {
+					bd.restartSameID, bd.restartDelay = true, tt.restartDelay
 				}
-				const jobs, calm = 90, 4
-				passes := calm
+				const jobs, defaultSteps = 90, 4
+				steps := defaultSteps
 				if tt.flood {
-					passes = 1
+					steps = 1
 				}
 				for n := range jobs {
 					bd.submitMixed(n, tt.every)
-					for range passes {
-						bd.pass(150 * time.Millisecond)
+					for range steps {
+						bd.advance(150 * time.Millisecond)
 					}
-					if tt.wave > 0 && n%tt.wave == 3 {
-						bd.wave()
+					if tt.massCrashEvery > 0 && n%tt.massCrashEvery == 3 {
+						bd.crashThird()
 					}
-					if tt.elect > 0 && n%tt.elect == 4 {
-						bd.elect()
-						bd.carryOut()
+					if tt.replaceEvery > 0 && n%tt.replaceEvery == 4 {
+						bd.replacePlanner()
+						bd.executeOrders()
 					}
 				}
 				for range 1200 {
-					bd.pass(50 * time.Millisecond)
+					bd.advance(50 * time.Millisecond)
 				}
 				bd.checkOutcomes(tt.flood)
 			})
@@ -80,42 +80,42 @@
 	}
 }
 
-func (bd *bed) submitMixed(n, every int) {
+func (bd *testbed) submitMixed(n, every int) {
 	id := fmt.Sprintf("a%02d", n)
-	bd.bad[id] = n%every == every-1
+	bd.crashingJobs[id] = n%every == every-1
 	switch {
 	case n%3 == 1:
-		bd.submit(gang(id, 4))
-	case n%3 == 2 && !bd.bad[id]:
-		jb := batch(id, 6)
+		bd.submit(gangJob(id, 4))
+	case n%3 == 2 && !bd.crashingJobs[id]:
+		jb := batchJob(id, 6)
 		jb.Steps[0].Need = size.New(8000, 8000, 0)
 		bd.submit(jb)
 	default:
-		bd.submit(batch(id, 3, 0))
+		bd.submit(batchJob(id, 3, 0))
 	}
 }
 
-// wave has a third of the workers crash by themselves.
-func (bd *bed) wave() {
+// crashThird crashes a third of the workers.
+func (bd *testbed) crashThird() {
 	const part = 3
-	for at, id := range bd.ids() {
-		if at%part == bd.reign%part {
-			bd.crashForNow(id)
+	for at, id := range bd.workerIDs() {
+		if at%part == bd.term%part {
+			bd.crashAndReplace(id)
 		}
 	}
 }
 
-// checkOutcomes checks that every job has ended, and that the bad ones failed, and no others unless
-// they may.
-func (bd *bed) checkOutcomes(othersMay bool) {
+// checkOutcomes checks that every job has ended, that crashing jobs failed, and that others failed only if
+// othersMayFail is set.
+func (bd *testbed) checkOutcomes(othersMayFail bool) {
 	bd.t.Helper()
 	for _, jb := range bd.jobs {
 		want := cell.Succeeded
-		if bd.bad[jb.ID] {
+		if bd.crashingJobs[jb.ID] {
 			want = cell.Failed
 		}
 		phase, _ := bd.cell.Phase(jb.ID, "")
-		if othersMay && !bd.bad[jb.ID] && phase == cell.Failed {
+		if othersMayFail && !bd.crashingJobs[jb.ID] && phase == cell.Failed {
 			continue
 		}
 		if phase != want {
@@ -124,159 +124,159 @@
 	}
 }
 
-// ward is a cell whose workers are lost one after the other under one task.
-type ward struct {
+// crashTestbed is a cell of which one task's worker is lost again and again.
+type crashTestbed struct {
 	*is.I
 	t    *testing.T
 	cell *cell.Cell
 	now  time.Duration
 	step work.Step
-	// journal is what a next planner reads.
+	// journal holds the records that a new planner reads.
 	journal []cell.Record
-	// lost are the workers that answer no more.
+	// lost are the workers that no longer answer.
 	lost map[life.Life]bool
 }
 
-func newWard(t *testing.T, step work.Step) *ward {
-	wd := &ward{I: is.New(t), t: t, cell: crowd(40), step: step, lost: map[life.Life]bool{}}
-	wd.cell.Take()
-	submit(wd.cell, "j", step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
-	return wd
+func newCrashTestbed(t *testing.T, step work.Step) *crashTestbed {
+	ct := &crashTestbed{I: is.New(t), t: t, cell: newTestCell(40), step: step, lost: map[life.Life]bool{}}
+	ct.cell.Take()
+	submitStep(ct.cell, "j", step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
+	return ct
 }
 
-func (wd *ward) take() cell.Output {
-	out := wd.cell.Take()
-	wd.journal = append(wd.journal, out.Records...)
-	wd.cell.Committed(wd.cell.Recorded())
+func (ct *crashTestbed) takeOutput() cell.Output {
+	out := ct.cell.Take()
+	ct.journal = append(ct.journal, out.Records...)
+	ct.cell.Committed(ct.cell.Recorded())
 	return out
 }
 
-// start has the task start, and returns it; false where it is not started any more.
-func (wd *ward) start() (cell.Start, bool) {
-	wd.now += time.Second
+// start plans until the task starts, and returns the start; false if the task is not started any more.
+func (ct *crashTestbed) start() (cell.Start, bool) {
+	ct.now += time.Second
 	for n := range 40 {
-		if id := life.Life(fmt.Sprintf("w%03d", n)); !wd.lost[id] {
-			wd.cell.Report(wd.now, id, wd.now, nil, nil)
+		if id := life.Life(fmt.Sprintf("w%03d", n)); !ct.lost[id] {
+			ct.cell.Report(ct.now, id, ct.now, nil, nil)
 		}
 	}
-	wd.take()
-	wd.cell.Plan(wd.now)
-	starts := wd.take().Starts
+	ct.takeOutput()
+	ct.cell.Plan(ct.now)
+	starts := ct.takeOutput().Starts
 	if len(starts) == 0 {
 		return cell.Start{}, false
 	}
-	wd.cell.Started(wd.now, starts[0])
+	ct.cell.Started(ct.now, starts[0])
 	return starts[0], true
 }
 
-// TestWhatCountsAsCrash loses the worker of a task again and again, and counts its starts.
+// TestWhatCountsAsCrash loses the worker of a task repeatedly and counts the task's starts.
 func TestWhatCountsAsCrash(t *testing.T) {
 	const unbounded = 12
-	once := work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second}
-	lasting := once
-	lasting.Lasting = true
-	over := func(wd *ward, sr cell.Start) {
-		wd.cell.Silent(wd.now, sr.Worker)
-		wd.now += 3 * time.Second
-		wd.cell.Over(wd.now, sr.Worker)
+	oneTask := work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second}
+	longRunning := oneTask
+	longRunning.Lasting = true
+	crash := func(ct *crashTestbed, sr cell.Start) {
+		ct.cell.Silent(ct.now, sr.Worker)
+		ct.now += 3 * time.Second
+		ct.cell.Over(ct.now, sr.Worker)
 	}
 	tests := map[string]struct {
 		step work.Step
-		lose func(wd *ward, sr cell.Start)
+		lose func(ct *crashTestbed, sr cell.Start)
 		want int
 	}{
-		"crashes": {once, over, 3},
-		"crashes at once, unnoticed": {once, func(wd *ward, sr cell.Start) {
-			wd.cell.Over(wd.now, sr.Worker)
+		"crashes": {oneTask, crash, 3},
+		"crashes at once, unnoticed": {oneTask, func(ct *crashTestbed, sr cell.Start) {
+			ct.cell.Over(ct.now, sr.Worker)
 		}, 3},
-		"its lease is over": {once, func(wd *ward, sr cell.Start) {
-			wd.cell.Silent(wd.now, sr.Worker)
-			wd.lost[sr.Worker] = true
-			wd.now += 6 * time.Second
-			wd.cell.Lapsed(wd.now, sr.Worker)
+		"lease expires": {oneTask, func(ct *crashTestbed, sr cell.Start) {
+			ct.cell.Silent(ct.now, sr.Worker)
+			ct.lost[sr.Worker] = true
+			ct.now += 6 * time.Second
+			ct.cell.Lapsed(ct.now, sr.Worker)
 		}, 3},
-		"is cut off and answers again": {once, func(wd *ward, sr cell.Start) {
-			wd.cell.Silent(wd.now, sr.Worker)
-			wd.now += 6 * time.Second
-			wd.cell.Lapsed(wd.now, sr.Worker)
-			wd.now += time.Second
-			wd.cell.Report(wd.now, sr.Worker, wd.now, nil, nil)
+		"is partitioned and answers again": {oneTask, func(ct *crashTestbed, sr cell.Start) {
+			ct.cell.Silent(ct.now, sr.Worker)
+			ct.now += 6 * time.Second
+			ct.cell.Lapsed(ct.now, sr.Worker)
+			ct.now += time.Second
+			ct.cell.Report(ct.now, sr.Worker, ct.now, nil, nil)
 		}, unbounded},
-		"falls silent with two others": {once, func(wd *ward, sr cell.Start) {
-			wd.now += time.Second
+		"stops answering along with three others": {oneTask, func(ct *crashTestbed, sr cell.Start) {
+			ct.now += time.Second
 			for n := range 3 {
-				wd.cell.Silent(wd.now, life.Life(fmt.Sprintf("w%03d", 39-n)))
+				ct.cell.Silent(ct.now, life.Life(fmt.Sprintf("w%03d", 39-n)))
 			}
-			over(wd, sr)
+			crash(ct, sr)
 		}, 4},
-		"drains": {once, func(wd *ward, sr cell.Start) {
-			wd.cell.PutWorker(wd.now, cell.Worker{ID: sr.Worker, Service: "svc", Capacity: size.New(64000, 128000, 0), Draining: true})
-			over(wd, sr)
+		"drains": {oneTask, func(ct *crashTestbed, sr cell.Start) {
+			ct.cell.PutWorker(ct.now, cell.Worker{ID: sr.Worker, Service: "svc", Capacity: size.New(64000, 128000, 0), Draining: true})
+			crash(ct, sr)
 		}, unbounded},
-		"leaves the list, and ends": {once, func(wd *ward, sr cell.Start) {
-			wd.cell.Deregister(sr.Worker)
-			over(wd, sr)
+		"deregisters, and ends": {oneTask, func(ct *crashTestbed, sr cell.Start) {
+			ct.cell.Deregister(sr.Worker)
+			crash(ct, sr)
 		}, unbounded},
-		"lasting, crashes soon": {lasting, over, 3},
-		"lasting, after long at work": {lasting, func(wd *ward, sr cell.Start) {
-			wd.now += 25 * time.Second
-			wd.cell.Report(wd.now, sr.Worker, wd.now, []cell.Run{{Task: sr.Task, Number: sr.Run, Percent: 100}}, nil)
-			over(wd, sr)
+		"long-running, crashes soon": {longRunning, crash, 3},
+		"long-running, crashes after 25 s": {longRunning, func(ct *crashTestbed, sr cell.Start) {
+			ct.now += 25 * time.Second
+			ct.cell.Report(ct.now, sr.Worker, ct.now, []cell.Run{{Task: sr.Task, Number: sr.Run, Percent: 100}}, nil)
+			crash(ct, sr)
 		}, unbounded},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			wd := newWard(t, tt.step)
+			ct := newCrashTestbed(t, tt.step)
 			starts := 0
 			for range unbounded {
-				sr, ok := wd.start()
+				sr, ok := ct.start()
 				if !ok {
 					break
 				}
 				starts++
-				tt.lose(wd, sr)
+				tt.lose(ct, sr)
 			}
-			wd.Equal(starts, tt.want)
-			phase, _ := wd.cell.Phase("j", "")
-			wd.take()
+			ct.Equal(starts, tt.want)
+			phase, _ := ct.cell.Phase("j", "")
+			ct.takeOutput()
 			if tt.want < unbounded {
-				phase, _ = wd.cell.Phase("j", "")
-				wd.Equal(phase, cell.Failed)
+				phase, _ = ct.cell.Phase("j", "")
+				ct.Equal(phase, cell.Failed)
 			} else {
-				wd.Equal(phase.Ended(), false)
+				ct.Equal(phase.Ended(), false)
 			}
-			wd.nextPlanner()
+			ct.checkRestored()
 		})
 	}
 }
 
-// nextPlanner checks that a planner that reads the journal counts as this one does.
-func (wd *ward) nextPlanner() {
+// checkRestored checks that a planner restored from the journal has the same crash counts.
+func (ct *crashTestbed) checkRestored() {
 	task := work.Task{Job: "j"}
 	next := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65})
-	submit(next, "j", wd.step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
-	next.Restore(wd.now, wd.journal)
-	phase, _ := wd.cell.Phase("j", "")
+	submitStep(next, "j", ct.step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
+	next.Restore(ct.now, ct.journal)
+	phase, _ := ct.cell.Phase("j", "")
 	restored, _ := next.Phase("j", "")
-	wd.Equal(restored.Ended(), phase.Ended())
+	ct.Equal(restored.Ended(), phase.Ended())
 	if phase.Ended() {
 		return
 	}
-	all, blamed := wd.cell.Crashes(task)
+	all, blamed := ct.cell.Crashes(task)
 	nextAll, nextBlamed := next.Crashes(task)
-	wd.Equal(nextAll, all)
-	wd.Equal(nextBlamed, blamed)
+	ct.Equal(nextAll, all)
+	ct.Equal(nextBlamed, blamed)
 }
 
-// TestSuspectsKeptApart has a worker crash under two tasks. They start on two workers then, and
-// the next crash tells which of them it was.
+// TestSuspectsKeptApart crashes a worker that runs two tasks. They must be restarted on different workers, so that
+// the next crash tells which of them caused it.
 func TestSuspectsKeptApart(t *testing.T) {
 	is := is.New(t)
-	cl := crowd(4)
+	cl := newTestCell(4)
 	qu := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9}
 	step := work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second}
-	submit(cl, "bad", step, qu)
-	submit(cl, "good", step, qu)
+	submitStep(cl, "bad", step, qu)
+	submitStep(cl, "good", step, qu)
 	place := func() map[string]cell.Start {
 		cl.Plan(0)
 		placed := map[string]cell.Start{}
@@ -300,18 +300,18 @@
 	is.Equal(good, 1)
 }
 
-// TestCutOffBesidePlannerChange has a worker cut off until its lease is over, and the planner change
-// before it answers again. The next planner takes the loss off its tasks too.
-func TestCutOffBesidePlannerChange(t *testing.T) {
+// TestPartitionWithPlannerChange partitions a worker until its lease expires, and replaces the planner before the
+// worker answers again. The new planner must also remove the crash from the worker's tasks.
+func TestPartitionWithPlannerChange(t *testing.T) {
 	is := is.New(t)
-	wd := newWard(t, work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second})
-	sr, _ := wd.start()
-	wd.cell.Silent(wd.now, sr.Worker)
-	wd.cell.Lapsed(wd.now+6*time.Second, sr.Worker)
-	wd.take()
+	ct := newCrashTestbed(t, work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second})
+	sr, _ := ct.start()
+	ct.cell.Silent(ct.now, sr.Worker)
+	ct.cell.Lapsed(ct.now+6*time.Second, sr.Worker)
+	ct.takeOutput()
 	next := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65})
-	submit(next, "j", wd.step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
-	next.Restore(0, wd.journal)
+	submitStep(next, "j", ct.step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
+	next.Restore(0, ct.journal)
 	all, _ := next.Crashes(sr.Task)
 	is.Equal(all, 1)
 	next.PutWorker(0, cell.Worker{ID: sr.Worker, Service: "svc", Capacity: size.New(64000, 128000, 0)})
--- a/policy/cell/gather_test.go
+++ b/policy/cell/gather_test.go
@@ -14,62 +14,61 @@
 	"tackbeam.example/policy/work"
 )
 
-// full is the room of a whole worker.
-var full = size.New(64000, 100, 0)
+// fullWorker is a size that fills the processors of a worker.
+var fullWorker = size.New(64000, 100, 0)
 
-// rows allow all workers of a question.
-func rows(qn cell.Question) []cell.Ticket {
+// allowAll returns tickets for all workers of an advice request.
+func allowAll(req cell.Question) []cell.Ticket {
 	var list []cell.Ticket
-	for _, id := range qn.Workers {
+	for _, id := range req.Workers {
 		list = append(list, cell.Ticket{Worker: id, Text: "t"})
 	}
 	return list
 }
 
-// TestBusyAdvisorServesInOrder has an advisor that takes one question at a time and puts
-// the others off: the gangs are served in the order in which they came. Each paused by
-// itself before, and one that had waited for 80 s was put off 94 times while later ones
-// were served.
+// TestBusyAdvisorServesInOrder has an advisor that takes one request at a time and defers the others: gangs must be
+// served in the order of arrival. When each gang backed off on its own, one that had waited for 80 s was deferred 94
+// times while later ones were served.
 func TestBusyAdvisorServesInOrder(t *testing.T) {
 	is := is.New(t)
 	const gangs = 30
-	cl := crowd(40)
+	cl := newTestCell(40)
 	advised := work.Queue{Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1, Stretch: 2}
 	for n := range gangs {
 		at := time.Duration(n) * time.Millisecond
 		cl.Add(at, &work.Job{ID: fmt.Sprintf("gang%02d", gangs-n), Spec: "s", Queue: advised, Steps: []work.Step{
-			{Count: 2, Gang: true, Need: full, Estimate: time.Minute},
+			{Count: 2, Gang: true, Need: fullWorker, Estimate: time.Minute},
 		}}, false)
 	}
 	var served []string
 	const pause = 25 * time.Millisecond
 	for now := 100 * time.Millisecond; len(served) < gangs && now < 2*time.Second; now += pause {
 		cl.Plan(now)
-		for at, qn := range cl.Take().Questions {
+		for at, req := range cl.Take().Questions {
 			if at > 0 {
-				cl.PutOff(now, qn)
+				cl.PutOff(now, req)
 				continue
 			}
-			if !slices.Contains(served, qn.Step.Job) {
-				served = append(served, qn.Step.Job)
+			if !slices.Contains(served, req.Step.Job) {
+				served = append(served, req.Step.Job)
 			}
-			cl.Advised(now, qn, nil, time.Second) // none of them may run it
+			cl.Advised(now, req, nil, time.Second) // no worker is allowed
 		}
 	}
 	is.Equal(len(served), gangs)
-	is.True(slices.IsSortedFunc(served, func(a, b string) int { return -cmpText(a, b) })) // the first to come has the last name
+	is.True(slices.IsSortedFunc(served, func(a, b string) int { return -compareText(a, b) })) // names are in reverse order of arrival
 }
 
-func cmpText(a, b string) int { return slices.Compare([]byte(a), []byte(b)) }
+func compareText(a, b string) int { return slices.Compare([]byte(a), []byte(b)) }
 
-// TestTicketsComeAhead has a gang wait for a worker whose task ends in 2 s: tickets are
-// asked for shortly before, not at once and not when the room is there, where the room
-// would stand idle until the answer.
-func TestTicketsComeAhead(t *testing.T) {
+// TestTicketsRequestedAhead has a gang wait for a worker whose task ends in 5 s: tickets must be requested shortly
+// before that, not at once, as they would expire, and not when the capacity is free, as it would stay idle until the
+// answer.
+func TestTicketsRequestedAhead(t *testing.T) {
 	is := is.New(t)
-	cl := crowd(1)
+	cl := newTestCell(1)
 	const ends = 5 * time.Second
-	submit(cl, "busy", work.Step{Count: 1, Need: full, Estimate: ends}, work.Queue{Name: "b", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2})
+	submitStep(cl, "busy", work.Step{Count: 1, Need: fullWorker, Estimate: ends}, work.Queue{Name: "b", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2})
 	cl.Plan(0)
 	busy := cl.Take().Starts[0]
 	cl.Started(0, busy)
@@ -77,52 +76,52 @@
 		Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1, Stretch: 2,
 		AdviceBase: 500 * time.Millisecond, AdviceEach: time.Millisecond,
 	}
-	submit(cl, "gang", work.Step{Count: 1, Gang: true, Need: full, Estimate: time.Second}, advised)
-	asked := []time.Duration{}
+	submitStep(cl, "gang", work.Step{Count: 1, Gang: true, Need: fullWorker, Estimate: time.Second}, advised)
+	requestedAt := []time.Duration{}
 	const step = 50 * time.Millisecond
 	var now time.Duration
 	for ; now < ends; now += step {
 		cl.Report(now, busy.Worker, now, []cell.Run{{Task: busy.Task, Number: busy.Run, Percent: int(100 * now / ends)}}, nil)
 		cl.Plan(now)
-		for _, qn := range cl.Take().Questions {
-			asked = append(asked, now)
-			cl.Advised(now, qn, rows(qn), 1500*time.Millisecond)
+		for _, req := range cl.Take().Questions {
+			requestedAt = append(requestedAt, now)
+			cl.Advised(now, req, allowAll(req), 1500*time.Millisecond)
 		}
 	}
-	is.True(len(asked) >= 2)               // which workers may, and then the tickets
-	is.True(asked[0] < time.Second)        // at once
-	is.True(asked[1] > ends-2*time.Second) // not while they would run out before
+	is.True(len(requestedAt) >= 2)               // first for permissions, then for tickets
+	is.True(requestedAt[0] < time.Second)        // at once
+	is.True(requestedAt[1] > ends-2*time.Second) // not so early that the tickets expire before the start
 	cl.Report(now, busy.Worker, now, nil, []cell.End{{Seq: 1, Run: cell.Run{Task: busy.Task, Number: busy.Run}, Result: cell.ResultDone}})
 	cl.Committed(cl.Recorded())
 	cl.Plan(now)
 	starts := cl.Take().Starts
-	is.Equal(len(starts), 1) // it has its ticket when the room is there
+	is.Equal(len(starts), 1) // it has its ticket when the capacity is free
 	is.Equal(starts[0].Task.Job, "gang")
 }
 
-// TestUrgentSparesGatheredRoom has a gang gather the only worker that it may run on, half
-// of which is busy: an urgent task goes to an idle one although the busy one has less left,
-// and takes what is kept only where there is no other room.
-func TestUrgentSparesGatheredRoom(t *testing.T) {
+// TestUrgentSparesReservedCapacity has a gang reserve the only worker that it may run on, half of which is busy. An
+// urgent task goes to an idle worker, although the busy one has less left, and takes reserved capacity only if no
+// other is free.
+func TestUrgentSparesReservedCapacity(t *testing.T) {
 	tests := map[string]struct {
 		workers int
 		want    life.Life
 	}{
-		"room elsewhere":    {workers: 2, want: "w001"},
-		"no room elsewhere": {workers: 1, want: "w000"},
+		"capacity elsewhere":    {workers: 2, want: "w001"},
+		"no capacity elsewhere": {workers: 1, want: "w000"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			cl := crowd(tt.workers)
+			cl := newTestCell(tt.workers)
 			cl.PutWorker(0, cell.Worker{ID: "w000", Service: "svc", Labels: []string{"big"}, Capacity: size.New(64000, 128000, 0)})
 			plain := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
 			half := size.New(32000, 100, 0)
-			submit(cl, "busy", work.Step{Count: 1, Need: half, Label: "big", Estimate: 5 * time.Second}, plain)
+			submitStep(cl, "busy", work.Step{Count: 1, Need: half, Label: "big", Estimate: 5 * time.Second}, plain)
 			cl.Plan(0)
 			cl.Started(0, cl.Take().Starts[0])
-			submit(cl, "gang", work.Step{Count: 1, Gang: true, Need: full, Label: "big", Estimate: time.Second}, plain)
-			const later = 400 * time.Millisecond // after which a gang gathers
+			submitStep(cl, "gang", work.Step{Count: 1, Gang: true, Need: fullWorker, Label: "big", Estimate: time.Second}, plain)
+			const later = 400 * time.Millisecond // after which a gang reserves capacity
 			cl.Plan(later)
 			is.Equal(cl.Waits(later, 0, 1)[0].Claimed, 1)
 			urgent := work.Queue{Name: "u", Service: "svc", Attempts: 3, Stretch: 2}
@@ -136,14 +135,14 @@
 	}
 }
 
-// TestAgesOutliveAPlanner has a new planner take in two jobs, the older one last: the older
-// one is served first, as it was by the planner before.
-func TestAgesOutliveAPlanner(t *testing.T) {
+// TestJobAgesSurvivePlannerChange adds two jobs to a new planner, the older one last. The older one is served first,
+// as by the previous planner.
+func TestJobAgesSurvivePlannerChange(t *testing.T) {
 	is := is.New(t)
-	cl := crowd(1)
+	cl := newTestCell(1)
 	plain := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
 	job := func(id string) *work.Job {
-		return &work.Job{ID: id, Spec: "s", Queue: plain, Steps: []work.Step{{Count: 1, Need: full, Estimate: time.Minute}}}
+		return &work.Job{ID: id, Spec: "s", Queue: plain, Steps: []work.Step{{Count: 1, Need: fullWorker, Estimate: time.Minute}}}
 	}
 	cl.AddAged(0, time.Second, job("a-younger"))
 	cl.AddAged(0, time.Minute, job("b-older"))
@@ -154,9 +153,9 @@
 	is.True(cl.Waits(time.Second, 0, 1)[0].For >= 2*time.Second)
 }
 
-// TestLateRanksAMinuteLater has a late task and one in time wait for the same worker: the
-// one in time goes first, until the other is late by a minute.
-func TestLateRanksAMinuteLater(t *testing.T) {
+// TestLateRankDelay has a late task and one that can be on time wait for the same worker: the one that can be on time
+// goes first, until the other is late by a minute.
+func TestLateRankDelay(t *testing.T) {
 	tests := map[string]struct {
 		age  time.Duration
 		want string
@@ -168,11 +167,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			cl := crowd(1)
+			cl := newTestCell(1)
 			at := time.Second
 			plain := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
 			job := func(id string) *work.Job {
-				return &work.Job{ID: id, Spec: "s", Queue: plain, Steps: []work.Step{{Count: 1, Need: full, Estimate: time.Second}}}
+				return &work.Job{ID: id, Spec: "s", Queue: plain, Steps: []work.Step{{Count: 1, Need: fullWorker, Estimate: time.Second}}}
 			}
 			cl.AddAged(at, tt.age, job("late"))
 			cl.Add(at, job("in-time"), false)
@@ -184,39 +183,39 @@
 	}
 }
 
-// TestFewGangsGather has ten gangs lack room in a cell of which three quarters are in use:
-// only so many gather that a tenth of the cell stands idle for them. In an idle cell more do.
-func TestFewGangsGather(t *testing.T) {
+// TestReservationsAreBounded has ten gangs wait for capacity in a cell of which three quarters are in use: they
+// reserve capacity only until a tenth of the cell stands idle for them. In an idle cell more of them do.
+func TestReservationsAreBounded(t *testing.T) {
 	tests := map[string]struct {
-		busy   int64
-		gather int
+		busy      int64
+		reserving int
 	}{
-		"busy cell": {busy: 49000, gather: 3}, // 20 tasks idle 15 cores each: 300 of 6,400 a gang
-		"idle cell": {busy: 2000, gather: 4},  // beyond the quarter that is free on a busy day
+		"busy cell": {busy: 49000, reserving: 3}, // 20 tasks leave 15 cores idle each: 300 of 6,400 per gang
+		"idle cell": {busy: 2000, reserving: 4},  // beyond the quarter that is usually free
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			const workers, gangs = 100, 10
-			cl := crowd(workers)
+			cl := newTestCell(workers)
 			plain := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
-			submit(cl, "busy", work.Step{Count: workers, PerWorker: 1, Need: size.New(tt.busy, 100, 0), Estimate: 5 * time.Second}, plain)
+			submitStep(cl, "busy", work.Step{Count: workers, PerWorker: 1, Need: size.New(tt.busy, 100, 0), Estimate: 5 * time.Second}, plain)
 			cl.Plan(0)
 			for _, sr := range cl.Take().Starts {
 				cl.Started(0, sr)
 			}
 			for n := range gangs {
-				submit(cl, fmt.Sprintf("gang%d", n), work.Step{Count: 20, Gang: true, Need: full, Estimate: time.Second}, plain)
+				submitStep(cl, fmt.Sprintf("gang%d", n), work.Step{Count: 20, Gang: true, Need: fullWorker, Estimate: time.Second}, plain)
 			}
-			const later = 400 * time.Millisecond // after which gangs gather
+			const later = 400 * time.Millisecond // after which gangs reserve capacity
 			cl.Plan(later)
-			gather := 0
+			reserving := 0
 			for _, wt := range cl.Waits(later, 0, gangs) {
 				if wt.Claimed > 0 {
-					gather++
+					reserving++
 				}
 			}
-			is.Equal(gather, tt.gather)
+			is.Equal(reserving, tt.reserving)
 		})
 	}
 }
--- a/policy/cell/lasting_test.go
+++ b/policy/cell/lasting_test.go
@@ -13,14 +13,14 @@
 	"tackbeam.example/policy/work"
 )
 
-// TestLastingBegunAgain has a task that is to last end after a minute on a full cell for which
-// more is asked than it holds. It is begun again before what comes later, though its job is old.
-func TestLastingBegunAgain(t *testing.T) {
+// TestLongRunningRestart has a long-running task end after a minute on an overloaded cell. It must be restarted
+// before later jobs, although its own job is old.
+func TestLongRunningRestart(t *testing.T) {
 	is := is.New(t)
-	cl := crowd(1)
+	cl := newTestCell(1)
 	whole := size.New(64000, 100, 0)
-	lasting := work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2.2, Target: 2500 * time.Millisecond}
-	submit(cl, "lasting", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, lasting)
+	longRunning := work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2.2, Target: 2500 * time.Millisecond}
+	submitStep(cl, "lasting", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, longRunning)
 	cl.Plan(0)
 	first := cl.Take().Starts
 	is.Equal(len(first), 1)
@@ -39,35 +39,35 @@
 	is.Equal(starts[0].Task.Job, "lasting")
 }
 
-// TestUrgentLastingGoesFirst has a lasting step of an urgent queue and a patient one that has
-// less time to spare come together: urgent queues go before all others, lasting or not.
-func TestUrgentLastingGoesFirst(t *testing.T) {
+// TestUrgentLongRunningGoesFirst submits a long-running step of an urgent queue along with a deferrable one that has
+// less slack: urgent queues go before all others, long-running or not.
+func TestUrgentLongRunningGoesFirst(t *testing.T) {
 	is := is.New(t)
-	cl := crowd(1)
+	cl := newTestCell(1)
 	whole := size.New(64000, 100, 0)
-	patient := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 1, Stretch: 1, Target: time.Second}
+	deferrable := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 1, Stretch: 1, Target: time.Second}
 	urgent := work.Queue{Name: "u", Service: "svc", Attempts: 3, Priority: 0, Stretch: 1, Target: time.Minute}
-	submit(cl, "patient", work.Step{Count: 1, Need: whole, Estimate: time.Second}, patient)
-	submit(cl, "urgent", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, urgent)
+	submitStep(cl, "patient", work.Step{Count: 1, Need: whole, Estimate: time.Second}, deferrable)
+	submitStep(cl, "urgent", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, urgent)
 	cl.Plan(0)
 	starts := cl.Take().Starts
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Task.Job, "urgent")
 }
 
-// beside runs a cell of 20 workers for 20 s in steps of 20 ms, in each of which a short job comes, and
-// hands starts of the job "odd" to a test. It returns how many of the others were not begun at once.
-func beside(odd work.Step, qu work.Queue, started func(cl *cell.Cell, now time.Duration, sr cell.Start, end func(cell.Result))) (late int) {
+// runBesideShortJobs runs a cell of 20 workers for 20 s in steps of 20 ms, with a new short job in each, and passes
+// starts of the job "odd" to a callback. It returns how many of the short jobs were not started at once.
+func runBesideShortJobs(oddStep work.Step, qu work.Queue, started func(cl *cell.Cell, now time.Duration, sr cell.Start, end func(cell.Result))) (late int) {
 	const workers, span, step = 20, 20 * time.Second, 20 * time.Millisecond
-	cl := crowd(workers)
+	cl := newTestCell(workers)
 	quick := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2, Target: time.Second}
-	submit(cl, "odd", odd, qu)
+	submitStep(cl, "odd", oddStep, qu)
 	seen := map[life.Life]int{}
 	for now := time.Duration(0); now < span; now += step {
 		for n := range workers {
 			cl.Report(now, life.Life(fmt.Sprintf("w%03d", n)), now, nil, nil)
 		}
-		cl.Add(now, &work.Job{ID: now.String(), Spec: "s", Queue: quick, Steps: []work.Step{{Count: 1, Need: odd.Need, Estimate: step}}}, false)
+		cl.Add(now, &work.Job{ID: now.String(), Spec: "s", Queue: quick, Steps: []work.Step{{Count: 1, Need: oddStep.Need, Estimate: step}}}, false)
 		cl.Committed(cl.Recorded())
 		cl.Tick(now, now)
 		cl.Plan(now)
@@ -89,34 +89,33 @@
 	return late
 }
 
-// TestLastingThatFailsAtOnce has one lasting task fail as soon as it is begun, beside work that
-// comes all the while. The task is begun again at a bounded rate, at least each 3 s, and its ends do
-// not keep the workers from the other work.
-func TestLastingThatFailsAtOnce(t *testing.T) {
+// TestLongRunningFailsAtOnce has a long-running task fail as soon as it starts, beside a stream of short jobs. The
+// task must be restarted at a bounded rate, but at least every 3 s, and must not delay the other jobs.
+func TestLongRunningFailsAtOnce(t *testing.T) {
 	is := is.New(t)
 	qu := work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2.2, Target: 2500 * time.Millisecond}
 	odd := work.Step{Count: 1, Need: size.New(4000, 100, 0), Lasting: true, Estimate: time.Second}
 	starts, last, longest := 0, time.Duration(0), time.Duration(0)
-	late := beside(odd, qu, func(_ *cell.Cell, now time.Duration, _ cell.Start, end func(cell.Result)) {
+	late := runBesideShortJobs(odd, qu, func(_ *cell.Cell, now time.Duration, _ cell.Start, end func(cell.Result)) {
 		starts, last, longest = starts+1, now, max(longest, now-last)
 		end(cell.ResultFailed)
 	})
-	is.True(starts <= 15)             // the lasting task's starts
-	is.True(longest <= 3*time.Second) // the pauses between them
-	is.Equal(late, 0)                 // other jobs that were not begun at once
+	is.True(starts <= 15)             // starts of the long-running task
+	is.True(longest <= 3*time.Second) // pauses between them
+	is.Equal(late, 0)                 // other jobs that were not started at once
 }
 
-// TestRefusedByAll has a task whose start every worker refuses as bad, beside work that comes all the
-// while. It is tried again at a bounded rate, and the workers are not kept from the other work.
+// TestRefusedByAll has a task whose start every worker refuses as invalid, beside a stream of short jobs. It must be
+// retried at a bounded rate and must not delay the other jobs.
 func TestRefusedByAll(t *testing.T) {
 	is := is.New(t)
 	qu := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2, Target: time.Second}
 	odd := work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second}
 	tries := 0
-	late := beside(odd, qu, func(cl *cell.Cell, now time.Duration, sr cell.Start, _ func(cell.Result)) {
+	late := runBesideShortJobs(odd, qu, func(cl *cell.Cell, now time.Duration, sr cell.Start, _ func(cell.Result)) {
 		tries++
 		cl.Refused(now, sr, cell.RefusedBad)
 	})
-	is.True(tries <= 15) // of the task that all refuse
-	is.Equal(late, 0)    // other jobs that were not begun
+	is.True(tries <= 15) // starts of the refused task
+	is.Equal(late, 0)    // other jobs that were not started at once
 }
--- a/policy/cell/limits_test.go
+++ b/policy/cell/limits_test.go
@@ -11,57 +11,57 @@
 	"tackbeam.example/policy/work"
 )
 
-// Starts lifted workspaces past their limits: 595,040 MiB ran where 429,632 was the most.
+// These tests guard against starts that take a workspace over its limit, such as 595,040 MiB in use of 429,632.
 
-// limitedBed has jobs of all kinds in three workspaces: one with a limit in cores, one with a limit in memory,
-// one with a limit that nothing comes near.
-func limitedBed(t *testing.T, seed uint64) *bed {
-	bd := newBed(t, seed, 10)
-	bd.limit("cores", size.New(90_000, 0, 0))
-	bd.limit("memory", size.New(0, 110_000, 0))
-	bd.limit("wide", size.New(9_000_000, 9_000_000, 9))
+// newLimitedTestbed returns a testbed with three workspaces: one with a limit in cores, one with a limit in memory,
+// and one whose limit is never reached.
+func newLimitedTestbed(t *testing.T, seed uint64) *testbed {
+	bd := newTestbed(t, seed, 10)
+	bd.setLimit("cores", size.New(90_000, 0, 0))
+	bd.setLimit("memory", size.New(0, 110_000, 0))
+	bd.setLimit("wide", size.New(9_000_000, 9_000_000, 9))
 	return bd
 }
 
-func (bd *bed) submitInto(workspace string, n int) {
-	jb := batch(fmt.Sprintf("%s%02d", workspace, n), 6, 0)
+func (bd *testbed) submitInto(workspace string, n int) {
+	jb := batchJob(fmt.Sprintf("%s%02d", workspace, n), 6, 0)
 	switch n % 3 {
 	case 1:
-		jb = gang(fmt.Sprintf("%s%02d", workspace, n), 4)
+		jb = gangJob(fmt.Sprintf("%s%02d", workspace, n), 4)
 	case 2:
-		jb = batch(fmt.Sprintf("%s%02d", workspace, n), 3)
-		jb.Queue = queue(0, 3, true)
+		jb = batchJob(fmt.Sprintf("%s%02d", workspace, n), 3)
+		jb.Queue = newQueue(0, 3, true)
 	}
 	jb.Workspace = bd.workspaces[workspace]
 	bd.submit(jb)
 }
 
-// crashAfterReport has a worker crash that has told of all of its ends: those that nobody heard of are lost
-// with it, and their tasks may begin again.
-func (bd *bed) crashAfterReport(id life.Life) {
-	if !bd.quiet(bd.workers[id]) {
+// reportAndCrash crashes a worker after it has reported all of its ends: unreported ones would be lost with it, and
+// their tasks could start again.
+func (bd *testbed) reportAndCrash(id life.Life) {
+	if !bd.isDown(bd.workers[id]) {
 		bd.report(id)
-		bd.crashForNow(id)
+		bd.crashAndReplace(id)
 	}
 }
 
-// finish lets time pass until all jobs have ended, and fails if some do not.
-func (bd *bed) finish(most int) {
+// finish advances the time until all jobs have ended, and fails the test if some do not end.
+func (bd *testbed) finish(maxSteps int) {
 	bd.t.Helper()
-	for range most {
-		bd.pass(40 * time.Millisecond)
+	for range maxSteps {
+		bd.advance(40 * time.Millisecond)
 		if bd.allEnded() {
 			return
 		}
 	}
 	for _, jb := range bd.jobs {
 		if phase, _ := bd.cell.Phase(jb.ID, ""); !phase.Ended() {
-			bd.t.Errorf("job %s is %s in the end", jb.ID, phase)
+			bd.t.Errorf("job %s is still %s", jb.ID, phase)
 		}
 	}
 }
 
-func (bd *bed) allEnded() bool {
+func (bd *testbed) allEnded() bool {
 	for _, jb := range bd.jobs {
 		if phase, _ := bd.cell.Phase(jb.ID, ""); !phase.Ended() {
 			return false
@@ -70,67 +70,68 @@
 	return true
 }
 
-// TestLimits runs jobs of three workspaces through faults drawn from seeds. The bed checks at each start what
-// the workspace has running on all workers; in the end every job has ended.
+// TestLimits runs jobs of three workspaces with faults drawn from seeds. The testbed checks at each start what the
+// workspace has running on all workers, and every job ends.
 func TestLimits(t *testing.T) {
 	cases := map[string]struct {
-		faults, fails               float64
-		elect, slow, crash, silence bool
-		cancel, change              bool
+		unanswered, failRate                    float64
+		replace, lateReports, crash, disconnect bool
+		cancel, changeLimits                    bool
 	}{
-		"calm":                            {},
-		"orders unanswered":               {faults: 0.1},
-		"planners change":                 {elect: true},
-		"workers answer the planner late": {elect: true, slow: true},
-		"limits change":                   {change: true},
-		"limits change, planners change":  {change: true, elect: true, slow: true},
-		"workers fall silent":             {silence: true, elect: true},
-		"everything at once":              {faults: 0.1, fails: 0.02, elect: true, slow: true, crash: true, silence: true, cancel: true, change: true},
+		"no faults":                      {},
+		"orders unanswered":              {unanswered: 0.1},
+		"planners change":                {replace: true},
+		"workers report late":            {replace: true, lateReports: true},
+		"limits change":                  {changeLimits: true},
+		"limits change, planners change": {changeLimits: true, replace: true, lateReports: true},
+		"workers disconnect":             {disconnect: true, replace: true},
+		"all faults":                     {unanswered: 0.1, failRate: 0.02, replace: true, lateReports: true, crash: true, disconnect: true, cancel: true, changeLimits: true},
 	}
 	for name, tc := range cases {
 		for seed := range uint64(25) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
-				bd := limitedBed(t, seed)
-				bd.faults, bd.fails = tc.faults, tc.fails
-				if tc.slow {
-					bd.slowElect = 400 * time.Millisecond
+				bd := newLimitedTestbed(t, seed)
+				bd.unansweredRate, bd.failRate = tc.unanswered, tc.failRate
+				if tc.lateReports {
+					bd.maxReportDelay = 400 * time.Millisecond
 				}
 				for n := range 30 {
-					bd.submitInto([]string{"cores", "memory", "wide"}[bd.rd.IntN(3)], n)
-					bd.pass(40 * time.Millisecond)
-					if tc.elect && n%5 == 4 {
-						bd.elect()
-						bd.carryOut()
+					bd.submitInto([]string{"cores", "memory", "wide"}[bd.rng.IntN(3)], n)
+					bd.advance(40 * time.Millisecond)
+					if tc.replace && n%5 == 4 {
+						bd.replacePlanner()
+						bd.executeOrders()
 					}
-					if tc.silence && n%6 == 2 {
-						bd.silence(bd.ids()[bd.rd.IntN(len(bd.workers))], 600*time.Millisecond)
+					if tc.disconnect && n%6 == 2 {
+						bd.disconnect(bd.workerIDs()[bd.rng.IntN(len(bd.workers))], 600*time.Millisecond)
 					}
 					if tc.crash && n%7 == 3 {
-						bd.crashAfterReport(bd.ids()[bd.rd.IntN(len(bd.workers))])
+						bd.reportAndCrash(bd.workerIDs()[bd.rng.IntN(len(bd.workers))])
 					}
 					if tc.cancel && n%8 == 5 {
-						bd.cancel(bd.jobs[bd.rd.IntN(len(bd.jobs))].ID)
+						bd.cancel(bd.jobs[bd.rng.IntN(len(bd.jobs))].ID)
 					}
-					if tc.change && n%4 == 1 {
-						bd.limit("cores", size.New(80_000+bd.rd.Int64N(100_000), 0, 0))
+					if tc.changeLimits && n%4 == 1 {
+						bd.setLimit("cores", size.New(80_000+bd.rng.Int64N(100_000), 0, 0))
 					}
 				}
-				bd.faults = 0
+				bd.unansweredRate = 0
 				bd.finish(3000)
 			})
 		}
 	}
 }
 
-// TestLimitLoweredBelowWhatRuns stops nothing that runs and starts nothing until there is room again.
-func TestLimitLoweredBelowWhatRuns(t *testing.T) {
-	bd := limitedBed(t, 1)
-	bd.longer = time.Second
-	jb := batch("a", 30)
+// TestLimitLoweredBelowUsage checks that lowering a limit below the current usage stops no runs, and that nothing
+// starts while the usage is over the limit.
+func TestLimitLoweredBelowUsage(t *testing.T) {
+	bd := newLimitedTestbed(t, 1)
+	bd.extraRunTime = time.Second
+	jb := batchJob("a", 30)
 	jb.Workspace = bd.workspaces["wide"]
 	bd.submit(jb)
-	bd.pass(40 * time.Millisecond)
-	bd.limit("wide", size.New(20_000, 0, 0))
+	bd.advance(40 * time.Millisecond)
+	bd.setLimit("wide", size.New(20_000, 0, 0))
 	stops, starts := 0, 0
 	for range 10 {
 		bd.now += 10 * time.Millisecond
@@ -139,83 +140,84 @@
 		stops, starts = stops+len(out.Stops), starts+len(out.Starts)
 	}
 	if stops > 0 || starts > 0 {
-		t.Errorf("%d stops and %d starts while 30 tasks run where 5 may", stops, starts)
+		t.Errorf("%d stops and %d starts while 30 tasks run with a limit of 5", stops, starts)
 	}
 }
 
-// TestStepWiderThanItsLimit runs in waves.
-func TestStepWiderThanItsLimit(t *testing.T) {
-	bd := limitedBed(t, 1)
-	jb := batch("a", 60) // of four cores each, where 90 may run
+// TestStepWiderThanLimit checks that a step that exceeds its workspace's limit runs in several waves.
+func TestStepWiderThanLimit(t *testing.T) {
+	bd := newLimitedTestbed(t, 1)
+	jb := batchJob("a", 60) // four cores each, with a limit of 90
 	jb.Workspace = bd.workspaces["cores"]
 	bd.submit(jb)
 	bd.finish(400)
 }
 
-// TestLimitHoldsUpNobodyElse: a workspace at its limit with a long queue keeps no room that others could use.
-func TestLimitHoldsUpNobodyElse(t *testing.T) {
-	bd := limitedBed(t, 1)
-	bd.longer = 5 * time.Second
+// TestLimitDoesNotBlockOthers checks that a workspace at its limit with a long queue reserves no capacity that others
+// could use.
+func TestLimitDoesNotBlockOthers(t *testing.T) {
+	bd := newLimitedTestbed(t, 1)
+	bd.extraRunTime = 5 * time.Second
 	for n := range 10 {
-		jb := gang(fmt.Sprint("g", n), 4)
+		jb := gangJob(fmt.Sprint("g", n), 4)
 		jb.Workspace = bd.workspaces["cores"]
 		bd.submit(jb)
 	}
 	for range 30 {
-		bd.pass(40 * time.Millisecond)
+		bd.advance(40 * time.Millisecond)
 	}
-	other := batch("other", 40)
+	other := batchJob("other", 40)
 	other.Workspace = bd.workspaces["wide"]
 	bd.submit(other)
-	bd.pass(40 * time.Millisecond)
+	bd.advance(40 * time.Millisecond)
 	if phase, _ := bd.cell.Phase("other", ""); phase != cell.Running {
-		t.Errorf("job of a workspace with room is %s behind one at its limit", phase)
+		t.Errorf("job of a workspace below its limit is %s behind one at its limit", phase)
 	}
 }
 
-// TestForeignJob: what a caller of another workspace asks or cancels is no job to it.
+// TestForeignJob checks that a caller of another workspace can neither see nor cancel a job.
 func TestForeignJob(t *testing.T) {
-	bd := limitedBed(t, 1)
+	bd := newLimitedTestbed(t, 1)
 	bd.submitInto("cores", 0)
 	bd.cell.Cancel(bd.now, "cores00", "memory")
-	bd.carryOut()
+	bd.executeOrders()
 	if _, known := bd.cell.Phase("cores00", "memory"); known {
-		t.Error("a job is shown to another workspace")
+		t.Error("a job is visible to another workspace")
 	}
 	if phase, known := bd.cell.Phase("cores00", "cores"); !known || phase.Ended() {
-		t.Errorf("job is %q after the cancel of another workspace", phase)
+		t.Errorf("job is %q after a cancel by another workspace", phase)
 	}
-	early := batch("early", 1)
+	early := batchJob("early", 1)
 	early.Workspace = bd.workspaces["cores"]
 	bd.cell.Cancel(bd.now, "early", "memory") // before the job is known
 	bd.submit(early)
-	bd.carryOut()
+	bd.executeOrders()
 	if phase, _ := bd.cell.Phase("early", "cores"); phase.Ended() {
-		t.Errorf("job is %q by a cancel of another workspace that came first", phase)
+		t.Errorf("job is %q after an earlier cancel by another workspace", phase)
 	}
 	bd.cell.Cancel(bd.now, "cores00", "cores")
-	bd.carryOut()
+	bd.executeOrders()
 	if phase, _ := bd.cell.Phase("cores00", "cores"); phase != cell.Cancelled {
-		t.Errorf("job is %q after a cancel of its own workspace", phase)
+		t.Errorf("job is %q after a cancel by its own workspace", phase)
 	}
 }
 
-// TestUnheardWorkers: after a change of planner what workers run that have not reported counts as running, as
-// far as they have room, whatever became of the jobs meanwhile.
-func TestUnheardWorkers(t *testing.T) {
+// TestUnreportedWorkers checks that after a change of planner the tasks that may be on workers without a report count
+// as running, up to the capacity of these workers, even if their jobs have ended meanwhile.
+func TestUnreportedWorkers(t *testing.T) {
 	cases := map[string]struct {
 		listed, cancelled bool
 		starts            int
 	}{
-		"room of the worker is not known yet":   {starts: 0},
-		"worker has room for a part of them":    {listed: true, starts: 2},
-		"its job was cancelled a moment before": {cancelled: true, starts: 0},
+		"worker's capacity is not known yet":   {starts: 0},
+		"worker has capacity for some of them": {listed: true, starts: 2},
+		"its job has just been cancelled":      {cancelled: true, starts: 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65, StopTime: stopTime})
 			ws := work.Workspace{Name: "brno", Limit: size.New(20_000, 0, 0), Version: 1}
-			old, fresh := batch("old", 8), batch("fresh", 8) // four cores a task
+			old, fresh := batchJob("old", 8), batchJob("fresh", 8) // four cores a task
 			old.Workspace, fresh.Workspace = ws, ws
 			cl.Add(0, old, true)
 			if tc.cancelled {
--- a/policy/cell/patience_test.go
+++ b/policy/cell/patience_test.go
@@ -11,10 +11,10 @@
 	"tackbeam.example/policy/work"
 )
 
-// TestPatientLeavesRoom has a gang wait for room on the two workers that it may run on,
-// while another is free: steps with time to spare leave it for the gangs to come, others
-// take it, and where most workers are idle nothing is left.
-func TestPatientLeavesRoom(t *testing.T) {
+// TestDeferrableStepsYieldToGangs has a gang wait for the two workers that it is allowed on while another worker is
+// free. Steps with much slack leave the free worker to gangs, others take it, and while most workers are idle no step
+// yields.
+func TestDeferrableStepsYieldToGangs(t *testing.T) {
 	whole := size.New(64000, 100, 0)
 	plain := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
 	tests := map[string]struct {
@@ -23,36 +23,36 @@
 		idle    bool
 		starts  int
 	}{
-		"with time to spare":               {stretch: 30, def: work.Step{Count: 1, Need: whole}, starts: 0},
-		"with little time":                 {stretch: 3, def: work.Step{Count: 1, Need: whole}, starts: 1},
-		"lasting":                          {stretch: 30, def: work.Step{Count: 1, Need: whole, Lasting: true}, starts: 1},
-		"with time to spare, idle workers": {stretch: 30, def: work.Step{Count: 1, Need: whole}, idle: true, starts: 1},
+		"much slack":               {stretch: 30, def: work.Step{Count: 1, Need: whole}, starts: 0},
+		"little slack":             {stretch: 3, def: work.Step{Count: 1, Need: whole}, starts: 1},
+		"long-running":             {stretch: 30, def: work.Step{Count: 1, Need: whole, Lasting: true}, starts: 1},
+		"much slack, idle workers": {stretch: 30, def: work.Step{Count: 1, Need: whole}, idle: true, starts: 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			const workers = 8
-			cl := crowd(workers)
+			cl := newTestCell(workers)
 			busy := workers - 1
 			if tt.idle {
 				busy = 2
 			}
-			submit(cl, "busy", work.Step{Count: busy, Need: whole, Estimate: time.Minute}, plain)
+			submitStep(cl, "busy", work.Step{Count: busy, Need: whole, Estimate: time.Minute}, plain)
 			cl.Plan(0)
 			for _, sr := range cl.Take().Starts {
 				cl.Started(0, sr)
 			}
 			advised := plain
 			advised.Advised = true
-			submit(cl, "gang", work.Step{Count: 2, Gang: true, Need: whole, Estimate: 5 * time.Second}, advised)
+			submitStep(cl, "gang", work.Step{Count: 2, Gang: true, Need: whole, Estimate: 5 * time.Second}, advised)
 			cl.Plan(0)
-			questions := cl.Take().Questions
-			is.Equal(len(questions), 1)
-			cl.Advised(0, questions[0], []cell.Ticket{{Worker: "w000", Text: "t"}, {Worker: "w001", Text: "t"}}, time.Minute)
-			patient := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 2, Stretch: tt.stretch}
+			requests := cl.Take().Questions
+			is.Equal(len(requests), 1)
+			cl.Advised(0, requests[0], []cell.Ticket{{Worker: "w000", Text: "t"}, {Worker: "w001", Text: "t"}}, time.Minute)
+			deferrable := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 2, Stretch: tt.stretch}
 			tt.def.Estimate = time.Second
 			const later = time.Second
-			cl.Add(later, &work.Job{ID: "job", Spec: "s", Queue: patient, Steps: []work.Step{tt.def}}, false)
+			cl.Add(later, &work.Job{ID: "job", Spec: "s", Queue: deferrable, Steps: []work.Step{tt.def}}, false)
 			cl.Plan(later)
 			starts := 0
 			for _, sr := range cl.Take().Starts {
--- a/policy/cell/placing_test.go
+++ b/policy/cell/placing_test.go
@@ -14,9 +14,9 @@
 	"tackbeam.example/policy/work"
 )
 
-// TestPlacing checks on which workers one plan starts the tasks of a step. There are two
-// racks of two workers with room for two tasks each; "gpu" labels one worker of each.
-func TestPlacing(t *testing.T) {
+// TestPlacement checks on which workers one plan starts the tasks of a step. There are two racks of two workers that
+// fit two tasks each; one worker of each rack has the label "gpu".
+func TestPlacement(t *testing.T) {
 	task := size.New(4000, 100, 0)
 	advised := work.Queue{Name: "a", Service: "svc", Attempts: 3, Advised: true}
 	plain := work.Queue{Name: "q", Service: "svc", Attempts: 3}
@@ -27,24 +27,24 @@
 	}{
 		"anywhere":                           {work.Step{Count: 8}, plain, map[life.Life]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
 		"required label":                     {work.Step{Count: 8, Label: "gpu"}, plain, map[life.Life]int{"w2": 2, "w4": 2}},
-		"label that nobody has":              {work.Step{Count: 1, Label: "tpu"}, plain, map[life.Life]int{}},
+		"label that no worker has":           {work.Step{Count: 1, Label: "tpu"}, plain, map[life.Life]int{}},
 		"other service":                      {work.Step{Count: 1}, work.Queue{Name: "o", Service: "other", Attempts: 3}, map[life.Life]int{}},
 		"near its data":                      {work.Step{Count: 3, Rack: "r2"}, plain, map[life.Life]int{"w3": 2, "w4": 1}},
 		"near its data, then elsewhere":      {work.Step{Count: 5, Rack: "r2"}, plain, map[life.Life]int{"w1": 1, "w3": 2, "w4": 2}},
-		"at most one a worker":               {work.Step{Count: 8, PerWorker: 1}, plain, map[life.Life]int{"w1": 1, "w2": 1, "w3": 1, "w4": 1}},
+		"at most one per worker":             {work.Step{Count: 8, PerWorker: 1}, plain, map[life.Life]int{"w1": 1, "w2": 1, "w3": 1, "w4": 1}},
 		"gang":                               {work.Step{Count: 8, Gang: true}, plain, map[life.Life]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
 		"gang that is too large":             {work.Step{Count: 9, Gang: true}, plain, map[life.Life]int{}},
 		"gang on one rack":                   {work.Step{Count: 4, Gang: true, SameRack: true}, plain, map[life.Life]int{"w1": 2, "w2": 2}},
 		"gang on one rack, too large for it": {work.Step{Count: 5, Gang: true, SameRack: true}, plain, map[life.Life]int{"w1": 2, "w2": 2, "w3": 1}},
 		"gang with a label":                  {work.Step{Count: 4, Gang: true, Label: "gpu"}, plain, map[life.Life]int{"w2": 2, "w4": 2}},
-		"no leave yet":                       {work.Step{Count: 1}, advised, map[life.Life]int{}},
-		"filler needs no processors":         {work.Step{Count: 9, Filler: true, PerWorker: 3}, plain, map[life.Life]int{"w2": 3, "w3": 3, "w4": 3}},
+		"no permission yet":                  {work.Step{Count: 1}, advised, map[life.Life]int{}},
+		"best-effort needs no processors":    {work.Step{Count: 9, Filler: true, PerWorker: 3}, plain, map[life.Life]int{"w2": 3, "w3": 3, "w4": 3}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			cl := racks()
+			cl := newRackCell()
 			tt.def.Need = task
-			submit(cl, "job", tt.def, tt.qu)
+			submitStep(cl, "job", tt.def, tt.qu)
 			cl.Plan(0)
 			got := map[life.Life]int{}
 			for _, sr := range cl.Take().Starts {
@@ -57,8 +57,8 @@
 	}
 }
 
-// racks is a cell of two racks with two workers each.
-func racks() *cell.Cell {
+// newRackCell returns a cell with two racks of two workers each.
+func newRackCell() *cell.Cell {
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
 	for id, wk := range map[life.Life]cell.Worker{
 		"w1": {Rack: "r1"}, "w2": {Rack: "r1", Labels: []string{"gpu"}},
@@ -73,15 +73,15 @@
 	return cl
 }
 
-// TestPriority has steps of three queues want the last room: an urgent queue gets it
-// before one whose jobs are nearer to being late.
+// TestPriority has steps of three queues compete for the last free capacity: an urgent queue goes before one whose
+// jobs are closer to their deadlines.
 func TestPriority(t *testing.T) {
 	is := is.New(t)
-	cl := racks()
+	cl := newRackCell()
 	all := work.Step{Count: 8, Need: size.New(4000, 100, 0), Estimate: time.Second}
-	submit(cl, "late", all, work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 1})
-	submit(cl, "patient", all, work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 2, Stretch: 9})
-	submit(cl, "urgent", all, work.Queue{Name: "u", Service: "svc", Attempts: 3, Stretch: 9})
+	submitStep(cl, "late", all, work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 1})
+	submitStep(cl, "patient", all, work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 2, Stretch: 9})
+	submitStep(cl, "urgent", all, work.Queue{Name: "u", Service: "svc", Attempts: 3, Stretch: 9})
 	order := []string{}
 	for range 3 {
 		cl.Plan(0)
--- a/policy/cell/plan_bench_test.go
+++ b/policy/cell/plan_bench_test.go
@@ -12,11 +12,11 @@
 	"tackbeam.example/policy/work"
 )
 
-// BenchmarkPlanCalm times a plan of 1,100 workers between two of which ten tasks end and begin:
-// 0.15 ms while the workers were sorted anew for each, 0.07 ms now.
-func BenchmarkPlanCalm(b *testing.B) {
+// BenchmarkPlanSteadyState measures a plan for 1,100 workers with ten tasks ending and starting between two plans:
+// 0.07 ms, and 0.15 ms if the workers are sorted anew for each plan.
+func BenchmarkPlanSteadyState(b *testing.B) {
 	const workers, changed = 1100, 10
-	cl := crowd(workers)
+	cl := newTestCell(workers)
 	queue := work.Queue{Name: "f", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
 	now := time.Duration(0)
 	runs := map[string]cell.Run{}
@@ -29,7 +29,7 @@
 			order = append(order, string(sr.Worker)+"/"+sr.Task.String())
 		}
 	}
-	submit(cl, "full", work.Step{Count: workers * 2, Need: size.New(16000, 100, 0), Estimate: time.Minute}, queue)
+	submitStep(cl, "full", work.Step{Count: workers * 2, Need: size.New(16000, 100, 0), Estimate: time.Minute}, queue)
 	plan()
 	seqs := map[string]int{}
 	for n := 0; b.Loop(); n++ {
@@ -46,16 +46,15 @@
 	}
 }
 
-// BenchmarkPlanBacklog times a plan of a full cell of 350 workers while many late gangs
-// wait, each with some thirty workers that it may run on. Looking at all of them in each
-// plan took 0.18, 1.7, 18 and 91 ms; it takes 0.11, 0.56, 2.3 and 14 ms.
+// BenchmarkPlanBacklog measures a plan for a full cell of 350 workers with a backlog of late gangs that are allowed
+// on some thirty workers each: 0.11, 0.56, 2.3 and 14 ms, and 0.18, 1.7, 18 and 91 ms if each plan examines all gangs.
 func BenchmarkPlanBacklog(b *testing.B) {
 	for _, gangs := range []int{10, 100, 1000, 5000} {
 		b.Run(fmt.Sprint(gangs), func(b *testing.B) {
 			const workers = 350
-			cl := crowd(workers)
+			cl := newTestCell(workers)
 			plain := work.Queue{Name: "f", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
-			submit(cl, "full", work.Step{Count: workers * 4, Need: size.New(15000, 100, 0), Estimate: time.Minute}, plain)
+			submitStep(cl, "full", work.Step{Count: workers * 4, Need: size.New(15000, 100, 0), Estimate: time.Minute}, plain)
 			cl.Plan(0)
 			for _, sr := range cl.Take().Starts {
 				cl.Started(0, sr)
@@ -66,21 +65,21 @@
 			}
 			step := work.Step{Count: 20, Gang: true, Need: size.New(18000, 100, 0), Estimate: 100 * time.Millisecond}
 			for n := range gangs {
-				submit(cl, fmt.Sprintf("gang%04d", n), step, advised)
+				submitStep(cl, fmt.Sprintf("gang%04d", n), step, advised)
 			}
 			now := time.Duration(0)
-			for range 2 * gangs / 8 { // a plan puts eight questions
+			for range 2 * gangs / 8 { // a plan sends eight advice requests
 				now += 100 * time.Microsecond
 				cl.Plan(now)
-				for _, qn := range cl.Take().Questions {
-					cl.Advised(now, qn, third(qn), time.Second)
+				for _, req := range cl.Take().Questions {
+					cl.Advised(now, req, allowEveryThird(req), time.Second)
 				}
 			}
-			const gap = 5 * time.Millisecond // between two plans
+			const gap = 5 * time.Millisecond // pause between two plans
 			b.ResetTimer()
 			for b.Loop() {
 				now += gap
-				for n := range workers { // or they count as silent
+				for n := range workers { // workers without a report get no new runs
 					if now%time.Second < gap {
 						cl.Report(now, life.Life(fmt.Sprintf("w%03d", n)), 0, nil, nil)
 					}
@@ -92,10 +91,10 @@
 	}
 }
 
-// third allows each third worker of a question.
-func third(qn cell.Question) []cell.Ticket {
+// allowEveryThird returns tickets for every third worker of an advice request.
+func allowEveryThird(req cell.Question) []cell.Ticket {
 	var list []cell.Ticket
-	for at, id := range qn.Workers {
+	for at, id := range req.Workers {
 		if at%3 == 0 {
 			list = append(list, cell.Ticket{Worker: id, Text: "t"})
 		}
@@ -103,14 +102,14 @@
 	return list
 }
 
-// BenchmarkPlanAdvisedGangs times plans while gangs gather that the advisor allows on a
-// quarter of the workers: 100, 300 and 1,000 of them took 2.0, 5.0 and 14 ms a plan while each
-// chose its room anew in each plan, and take 0.5, 1.3 and 4.7 ms.
+// BenchmarkPlanAdvisedGangs measures plans while 100, 300 and 1,000 gangs reserve capacity that the advisor allows on
+// a quarter of the workers: 0.5, 1.3 and 4.7 ms per plan, and 2.0, 5.0 and 14 ms if each gang chooses its
+// reservations anew in each plan.
 func BenchmarkPlanAdvisedGangs(b *testing.B) {
 	for _, gangs := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprint("gangs ", gangs), func(b *testing.B) {
-			cl := crowd(350)
-			submit(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
+			cl := newTestCell(350)
+			submitStep(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 			cl.Plan(0)
 			by := map[life.Life][]cell.Run{}
 			for _, sr := range cl.Take().Starts {
@@ -119,7 +118,7 @@
 			}
 			qu := work.Queue{Name: "wide", Service: "svc", Priority: 1, Attempts: 3, Stretch: 2.2, Target: time.Second, Advised: true, AdviceBase: 540 * time.Millisecond, AdviceEach: 7700 * time.Microsecond}
 			for n := range gangs {
-				submit(cl, fmt.Sprintf("g%04d", n), work.Step{Count: 20, Gang: true, Need: size.New(18000, 100, 0), Estimate: 6 * time.Second}, qu)
+				submitStep(cl, fmt.Sprintf("g%04d", n), work.Step{Count: 20, Gang: true, Need: size.New(18000, 100, 0), Estimate: 6 * time.Second}, qu)
 			}
 			now := time.Second
 			plan := func() (worst time.Duration) {
@@ -132,14 +131,14 @@
 				at := time.Now()
 				cl.Plan(now)
 				worst = time.Since(at)
-				for _, qn := range cl.Take().Questions {
+				for _, req := range cl.Take().Questions {
 					var rows []cell.Ticket
-					for _, id := range qn.Workers {
-						if allows(qn.Step.StepName(), id, 0.25) {
+					for _, id := range req.Workers {
+						if advisorAllows(req.Step.StepName(), id, 0.25) {
 							rows = append(rows, cell.Ticket{Worker: id, Text: "t"})
 						}
 					}
-					cl.Advised(now, qn, rows, ticketValid)
+					cl.Advised(now, req, rows, ticketTTL)
 				}
 				return worst
 			}
@@ -163,15 +162,15 @@
 	}
 }
 
-// BenchmarkPlanManyGangs times plans of 1,000 gangs without advice, some of them too wide
-// for the cell: 14 to 279 ms a plan before, 2.2 to 16 ms now.
+// BenchmarkPlanManyGangs measures plans of 1,000 gangs without advice, some of them too wide for the cell: 2.2 to
+// 16 ms per plan, and 14 to 279 ms if each plan repeats a failed search for capacity.
 func BenchmarkPlanManyGangs(b *testing.B) {
 	for _, need := range []int64{18000, 64000} {
 		for _, count := range []int{8, 60, 400} {
 			b.Run(fmt.Sprintf("cores %d count %d", need/1000, count), func(b *testing.B) {
-				cl := crowd(350)
-				// fill: 350*8 tasks of 8 cores
-				submit(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
+				cl := newTestCell(350)
+				// 350*8 tasks of 8 cores fill the cell
+				submitStep(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 				cl.Plan(0)
 				starts := cl.Take().Starts
 				by := map[life.Life][]cell.Run{}
@@ -180,7 +179,7 @@
 					by[sr.Worker] = append(by[sr.Worker], cell.Run{Task: sr.Task, Number: sr.Run, Percent: 5})
 				}
 				for n := range 1000 {
-					submit(cl, fmt.Sprintf("g%d", n), work.Step{Count: count, Gang: true, Need: size.New(need, 100, 0), Estimate: 5 * time.Second}, plainQ("g", 1, 2))
+					submitStep(cl, fmt.Sprintf("g%d", n), work.Step{Count: count, Gang: true, Need: size.New(need, 100, 0), Estimate: 5 * time.Second}, plainQueue("g", 1, 2))
 				}
 				now := time.Second
 				for id, runs := range by {
--- a/policy/cell/recovery_test.go
+++ b/policy/cell/recovery_test.go
@@ -15,8 +15,8 @@
 	"tackbeam.example/policy/work"
 )
 
-// largeStreams are the loads of a cell of 1,100 workers that fill some two thirds of it: 1,700
-// starts a second, four of ten of them urgent. Others have their part of it.
+// largeStreams is a load that fills about two thirds of a cell of 1,100 workers with 1,700 starts a second, four in
+// ten of them urgent. It is scaled to the number of workers.
 func largeStreams(workers int) []stream {
 	const usual = 1100
 	every := func(perSecond float64) time.Duration {
@@ -26,183 +26,182 @@
 		{
 			queue: work.Queue{Name: "wide", Service: "svc", Priority: 1, Attempts: 3, Stretch: 2.2, Target: time.Second, Advised: true,
 				AdviceBase: 600 * time.Millisecond, AdviceEach: 8600 * time.Microsecond},
-			each: every(5.4), width: 40, most: 240, cores: 18, memory: 52000, fails: 0.05, run: 6200 * time.Millisecond, gang: true, off: 0.5, good: 0.25,
+			interval: every(5.4), tasks: 40, maxTasks: 240, cores: 18, memory: 52000, failing: 0.05, runTime: 6200 * time.Millisecond, gang: true, estimateSpread: 0.5, allowedShare: 0.25,
 		},
 		{
 			queue: work.Queue{Name: "patient", Service: "svc", Priority: 2, Attempts: 3, Stretch: 4, Target: 3 * time.Second, Advised: true,
 				AdviceBase: 140 * time.Millisecond, AdviceEach: 2 * time.Millisecond},
-			each: every(16.8), width: 50, most: 300, cores: 11, memory: 31000, fails: 0.05, run: 2200 * time.Millisecond, off: 0.2, good: 0.45,
+			interval: every(16.8), tasks: 50, maxTasks: 300, cores: 11, memory: 31000, failing: 0.05, runTime: 2200 * time.Millisecond, estimateSpread: 0.2, allowedShare: 0.45,
 		},
 		{
 			queue: work.Queue{Name: "urgent", Service: "svc", Priority: 0, Attempts: 3, Stretch: 1.5, Target: 250 * time.Millisecond, Advised: true,
 				AdviceBase: 11 * time.Millisecond, AdviceEach: 160 * time.Microsecond},
-			each: every(142), width: 4.5, most: 27, cores: 16, memory: 45000, run: 800 * time.Millisecond, off: 0.5, good: 0.7,
+			interval: every(142), tasks: 4.5, maxTasks: 27, cores: 16, memory: 45000, runTime: 800 * time.Millisecond, estimateSpread: 0.5, allowedShare: 0.7,
 		},
 	}
 }
 
-// What the planner's work takes of a whole core, from plays of a node with 0.35 of a core that
-// was at its limit with 1,700 starts, 1,800 reports and 230 questions a second: 0.3 of its time
-// went by plans, 100 a second with 300 steps that waited, and 0.7 by the rest.
+// Processor time of the planner's work on a whole core. A node with 0.35 of a core is saturated by 1,700 starts, 1,800
+// reports and 230 advice requests a second: it spends 0.3 of its time on plans, 100 a second with 300 waiting steps,
+// and 0.7 on the rest.
 const (
-	planCost     = 300 * time.Microsecond
-	stepCost     = 500 * time.Nanosecond
-	lookCost     = 150 * time.Nanosecond
-	sendCost     = 50 * time.Microsecond
-	answerCost   = 25 * time.Microsecond
-	reportCost   = 40 * time.Microsecond
-	questionCost = 150 * time.Microsecond
-	// onTheWay is what an order or an answer takes between planner and worker.
-	onTheWay = time.Millisecond
-	// planGap is the runtime's pause after a plan.
-	planGap = 5 * time.Millisecond
+	planCost    = 300 * time.Microsecond
+	stepCost    = 500 * time.Nanosecond
+	examineCost = 150 * time.Nanosecond
+	sendCost    = 50 * time.Microsecond
+	answerCost  = 25 * time.Microsecond
+	reportCost  = 40 * time.Microsecond
+	requestCost = 150 * time.Microsecond
+	// networkDelay is the one-way delay of an order or an answer between planner and worker.
+	networkDelay = time.Millisecond
+	// planPause is the runtime's pause after a plan.
+	planPause = 5 * time.Millisecond
 )
 
-// loadedDay is a busy day whose planner has a share of a processor, on which all that it does
-// waits for its turn.
-type loadedDay struct {
-	*busyDay
-	share float64
-	turns []turn
-	// planning is set while a plan waits for its turn or for the pause after the last one.
-	planning bool
-	// silent is set while the store is: nothing may start, and no job is accepted.
-	silent bool
-	// ended is set once no more jobs come.
-	ended bool
-	// started counts the starts that workers took, refused those with a lapsed ticket; waits are
+// loadedPlanner is a loadTestbed whose planner has a share of a processor, for which all of its work queues.
+type loadedPlanner struct {
+	*loadTestbed
+	share     float64
+	workQueue []workItem
+	// planQueued is set while a plan is queued or the pause after the last one lasts.
+	planQueued bool
+	// storeDown is set while the store does not answer: no task may start, and no job is accepted.
+	storeDown bool
+	// arrivalsEnded is set once no more jobs arrive.
+	arrivalsEnded bool
+	// started counts the starts that workers accepted, refused those with an expired ticket; latencies are
 	// the times from the decisions to the answers.
 	started, refused int
-	waits            []time.Duration
+	latencies        []time.Duration
 }
 
-// turn is something that the planner does, and what it takes of a whole core.
-type turn struct {
+// workItem is a piece of the planner's work, with its processor time on a whole core.
+type workItem struct {
 	cost time.Duration
-	act  func()
+	run  func()
 }
 
-func newLoadedDay(share float64, workers, nodes int) *loadedDay {
+func newLoadedPlanner(share float64, workers, nodes int) *loadedPlanner {
 	const seed, firstWindow = 1, 64
-	ld := &loadedDay{busyDay: newBusyDay(seed, workers, nodes, largeStreams(workers)), share: share}
+	ld := &loadedPlanner{loadTestbed: newLoadTestbed(seed, workers, nodes, largeStreams(workers)), share: share}
 	ld.cell = cell.New(cell.Options{Keep: time.Minute, FirstRun: 1, StopTime: stopTime, FirstWindow: firstWindow})
 	for n, id := range ld.workers {
 		ld.cell.PutWorker(0, cell.Worker{ID: id, Service: "svc", Rack: fmt.Sprint(n / 20), Capacity: ld.capacity})
 		ld.cell.Report(0, id, 0, nil, nil)
-		ld.after(time.Duration(n)*time.Second/time.Duration(workers), func() { ld.hold(id) })
+		ld.schedule(time.Duration(n)*time.Second/time.Duration(workers), func() { ld.reportEverySecond(id) })
 	}
 	ld.cell.Committed(ld.cell.Recorded())
 	ld.cell.Settle()
-	ld.every(dayStep, func() {
-		if !ld.silent && !ld.ended {
-			ld.arrive()
+	ld.every(timeStep, func() {
+		if !ld.storeDown && !ld.arrivalsEnded {
+			ld.submitArrivals()
 		}
-		ld.wantPlan()
+		ld.queuePlan()
 	})
-	ld.every(50*time.Millisecond, func() { ld.turn(0, func() { ld.cell.Tick(ld.now, ld.now) }) })
+	ld.every(50*time.Millisecond, func() { ld.enqueue(0, func() { ld.cell.Tick(ld.now, ld.now) }) })
 	return ld
 }
 
-func (ld *loadedDay) every(period time.Duration, act func()) {
-	ld.after(period, func() {
+func (ld *loadedPlanner) every(period time.Duration, act func()) {
+	ld.schedule(period, func() {
 		act()
 		ld.every(period, act)
 	})
 }
 
-// hold has a worker report once a second.
-func (ld *loadedDay) hold(id life.Life) {
-	ld.turn(reportCost, func() { ld.report(id, nil) })
-	ld.after(time.Second, func() { ld.hold(id) })
+// reportEverySecond queues a report of a worker every second.
+func (ld *loadedPlanner) reportEverySecond(id life.Life) {
+	ld.enqueue(reportCost, func() { ld.report(id, nil) })
+	ld.schedule(time.Second, func() { ld.reportEverySecond(id) })
 }
 
-func (ld *loadedDay) turn(cost time.Duration, act func()) {
-	ld.turns = append(ld.turns, turn{cost, act})
+func (ld *loadedPlanner) enqueue(cost time.Duration, act func()) {
+	ld.workQueue = append(ld.workQueue, workItem{cost, act})
 }
 
-// spend lets time go by for work on the planner's processor.
-func (ld *loadedDay) spend(cost time.Duration) { ld.now += time.Duration(float64(cost) / ld.share) }
+// spend advances the time by the duration of work on the planner's share of a processor.
+func (ld *loadedPlanner) spend(cost time.Duration) { ld.now += time.Duration(float64(cost) / ld.share) }
 
-// pass lets time go by until the end of a span.
-func (ld *loadedDay) pass(span time.Duration) {
+// advance moves the time forward by a span.
+func (ld *loadedPlanner) advance(span time.Duration) {
 	for end := ld.now + span; ld.now < end; {
-		for len(ld.queue) > 0 && ld.queue[0].at <= ld.now {
-			ld.happen()
+		for len(ld.events) > 0 && ld.events[0].at <= ld.now {
+			ld.runNextEvent()
 		}
-		if len(ld.turns) == 0 {
-			ld.now = ld.queue[0].at
+		if len(ld.workQueue) == 0 {
+			ld.now = ld.events[0].at
 			continue
 		}
-		tn := ld.turns[0]
-		ld.turns = ld.turns[1:]
-		ld.spend(tn.cost)
-		tn.act()
+		item := ld.workQueue[0]
+		ld.workQueue = ld.workQueue[1:]
+		ld.spend(item.cost)
+		item.run()
 	}
 }
 
-// wantPlan has a plan wait for its turn, unless one does.
-func (ld *loadedDay) wantPlan() {
-	if ld.planning || ld.silent {
+// queuePlan queues a plan, unless one is queued.
+func (ld *loadedPlanner) queuePlan() {
+	if ld.planQueued || ld.storeDown {
 		return
 	}
-	ld.planning = true
-	ld.turn(planCost, func() {
+	ld.planQueued = true
+	ld.enqueue(planCost, func() {
 		began, looks := ld.now, ld.cell.Looks()
 		ld.cell.Plan(ld.now)
 		_, waiting, _ := ld.cell.Sizes()
-		ld.spend(time.Duration(waiting)*stepCost + time.Duration(ld.cell.Looks()-looks)*lookCost)
-		ld.carry()
-		ld.after(cell.Rest(ld.now-began, planGap), func() { ld.planning = false })
+		ld.spend(time.Duration(waiting)*stepCost + time.Duration(ld.cell.Looks()-looks)*examineCost)
+		ld.queueOrders()
+		ld.schedule(cell.Rest(ld.now-began, planPause), func() { ld.planQueued = false })
 	})
 }
 
-// carry gives out what the cell wants done; each order waits for its turn.
-func (ld *loadedDay) carry() {
-	for out := range orders(ld.cell, &ld.records) {
+// queueOrders queues the cell's orders.
+func (ld *loadedPlanner) queueOrders() {
+	for out := range drainOutput(ld.cell, &ld.records) {
 		decided := ld.now
 		for _, sr := range out.Starts {
-			ld.turn(sendCost, func() {
-				ld.after(onTheWay, func() { ld.arriveAtWorker(sr, decided) })
+			ld.enqueue(sendCost, func() {
+				ld.schedule(networkDelay, func() { ld.deliverStart(sr, decided) })
 			})
 		}
 		for _, sp := range out.Stops {
-			ld.turn(sendCost, func() { ld.stop(sp) })
+			ld.enqueue(sendCost, func() { ld.stop(sp) })
 		}
-		for _, qn := range out.Questions {
-			ld.turn(questionCost, func() { ld.question(qn) })
+		for _, req := range out.Questions {
+			ld.enqueue(requestCost, func() { ld.queryAdvisor(req) })
 		}
 	}
 }
 
-// question puts a question; the tickets that come back say until when they are good.
-func (ld *loadedDay) question(qn cell.Question) {
-	ld.answered = func(rows []cell.Ticket) {
-		until := strconv.FormatInt(int64(ld.now+ticketValid), 10)
+// queryAdvisor sends an advice request. The text of the returned tickets is the time of their expiry.
+func (ld *loadedPlanner) queryAdvisor(req cell.Question) {
+	ld.onAdvice = func(rows []cell.Ticket) {
+		until := strconv.FormatInt(int64(ld.now+ticketTTL), 10)
 		for at := range rows {
 			rows[at].Text = until
 		}
-		ld.turn(answerCost, func() { ld.cell.Advised(ld.now, qn, rows, ticketValid) })
+		ld.enqueue(answerCost, func() { ld.cell.Advised(ld.now, req, rows, ticketTTL) })
 	}
-	ld.ask(qn)
+	ld.requestAdvice(req)
 }
 
-// arriveAtWorker has a worker take a start, unless its ticket has lapsed by now.
-func (ld *loadedDay) arriveAtWorker(sr cell.Start, decided time.Duration) {
+// deliverStart starts a run on its worker, unless its ticket has expired.
+func (ld *loadedPlanner) deliverStart(sr cell.Start, decided time.Duration) {
 	until, err := strconv.ParseInt(sr.Ticket, 10, 64)
-	good := err == nil && time.Duration(until) >= ld.now
-	if good {
-		if ar := ld.jobs[sr.Task.Job]; ar.started == 0 {
-			ar.started = ld.now
+	valid := err == nil && time.Duration(until) >= ld.now
+	if valid {
+		if sj := ld.jobs[sr.Task.Job]; sj.startedAt == 0 {
+			sj.startedAt = ld.now
 		}
 		ld.started++
-		ld.run(sr)
+		ld.beginRun(sr)
 	} else {
 		ld.refused++
 	}
-	ld.after(onTheWay, func() {
-		ld.turn(answerCost, func() {
-			ld.waits = append(ld.waits, ld.now-decided)
-			if good {
+	ld.schedule(networkDelay, func() {
+		ld.enqueue(answerCost, func() {
+			ld.latencies = append(ld.latencies, ld.now-decided)
+			if valid {
 				ld.cell.Started(ld.now, sr)
 			} else {
 				ld.cell.Refused(ld.now, sr, cell.RefusedTicket)
@@ -211,173 +210,172 @@
 	})
 }
 
-// TestComesOutOfOutage has the store silent for 4 s, in which nothing may start, and the callers
-// that were turned away come back at once. A planner that cannot keep up with that for a while
-// must still use the time that it has to start tasks. Seen at this size: with 1,700 to 3,500
-// steps that waited, each plan took 80 to 500 ms, starts waited for 1 to 3 s behind the plans,
-// the tickets of half of them lapsed meanwhile (2,099 refused in 3.6 s), and their questions
-// were put again, 2,900 a second; it never ended, nor for the planners that followed.
-func TestComesOutOfOutage(t *testing.T) {
-	const calm, outage, after = 6 * time.Second, 4 * time.Second, 10 * time.Second
+// TestRecoversFromOutage has the store unavailable for 4 s, during which no task may start, and all rejected callers
+// retry at once. A planner that cannot keep up with that load must still spend its time on starting tasks.
+// With 1,700 to 3,500 waiting steps each plan took 80 to 500 ms, starts waited 1 to 3 s behind the plans, half of
+// their tickets expired meanwhile (2,099 refused in 3.6 s), and the advice requests were repeated, 2,900 a second.
+// Neither that planner nor its successors ever recovered.
+func TestRecoversFromOutage(t *testing.T) {
+	const warmUp, outage, after = 6 * time.Second, 4 * time.Second, 10 * time.Second
 	tests := map[string]struct {
-		// share is the planner's share of a core, least the starts a second that it has to reach
-		// on average from the return on: nine tenths of what comes, or of what the share can send.
-		share float64
-		least float64
+		// share is the planner's share of a core, minRate the mean rate of starts per second that it has to reach
+		// after the outage: nine tenths of the arrivals, or of what the share can send.
+		share   float64
+		minRate float64
 	}{
-		"a whole core":            {share: 1, least: 1500},
-		"a strong node":           {share: 0.8, least: 1500},
-		"a strong node turned to": {share: 0.35, least: 1100},
-		"a small node":            {share: 0.19, least: 500},
-		"a slowed small node":     {share: 0.1, least: 200},
+		"whole core":         {share: 1, minRate: 1500},
+		"large node":         {share: 0.8, minRate: 1500},
+		"large node, shared": {share: 0.35, minRate: 1100},
+		"small node":         {share: 0.19, minRate: 500},
+		"small node, slowed": {share: 0.1, minRate: 200},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			ld := newLoadedDay(tt.share, 1100, 147)
-			ld.pass(calm)
-			ld.silence(outage)
-			ld.started, ld.refused, ld.waits = 0, 0, nil
+			ld := newLoadedPlanner(tt.share, 1100, 147)
+			ld.advance(warmUp)
+			ld.storeOutage(outage)
+			ld.started, ld.refused, ld.latencies = 0, 0, nil
 			for range int(after / time.Second) {
 				before := ld.started
-				ld.pass(time.Second)
+				ld.advance(time.Second)
 				_, waiting, _ := ld.cell.Sizes()
 				t.Logf("%s: %d starts, %d refused so far, %d steps open", ld.now, ld.started-before, ld.refused, waiting)
 			}
-			slices.Sort(ld.waits)
-			slow := ld.waits[len(ld.waits)*95/100]
-			t.Logf("95 of 100 starts took up to %s", slow)
-			is.True(float64(ld.started)/after.Seconds() >= tt.least) // starts a second
-			is.True(ld.refused*100 <= ld.started)                    // of a hundred starts one with a lapsed ticket at most
-			is.True(slow <= 250*time.Millisecond)
+			slices.Sort(ld.latencies)
+			p95 := ld.latencies[len(ld.latencies)*95/100]
+			t.Logf("95th percentile of the start latency: %s", p95)
+			is.True(float64(ld.started)/after.Seconds() >= tt.minRate) // starts a second
+			is.True(ld.refused*100 <= ld.started)                      // at most 1% of the starts have an expired ticket
+			is.True(p95 <= 250*time.Millisecond)
 		})
 	}
 }
 
-// silence has the store silent for a time. The callers that were turned away come back at once;
-// they wait for some 2 s for an answer.
-func (ld *loadedDay) silence(span time.Duration) {
-	const comesBack = 2 * time.Second
-	ld.silent = true
-	ld.pass(span)
-	ld.silent = false
-	for at := range ld.next {
-		ld.next[at] = ld.now - comesBack
+// storeOutage makes the store unavailable for a time. Rejected callers retry at once afterwards: those of the last
+// 2 s, which is about how long callers wait for an answer.
+func (ld *loadedPlanner) storeOutage(span time.Duration) {
+	const retryWindow = 2 * time.Second
+	ld.storeDown = true
+	ld.advance(span)
+	ld.storeDown = false
+	for at := range ld.nextArrival {
+		ld.nextArrival[at] = ld.now - retryWindow
 	}
 }
 
-// lacking counts the tasks of jobs that have not begun, but for gangs, which wait for tickets and room.
-func (ld *loadedDay) lacking() int {
+// waitingTasks counts the tasks of jobs that have not begun, except for gangs, which wait for tickets and capacity.
+func (ld *loadedPlanner) waitingTasks() int {
 	count := 0
-	for _, ar := range ld.order {
-		if ar.started == 0 && !ld.streams[ar.stream].gang {
-			count += ar.left
+	for _, sj := range ld.arrivals {
+		if sj.startedAt == 0 && !ld.streams[sj.stream].gang {
+			count += sj.remaining
 		}
 	}
 	return count
 }
 
-// urgentWait is how long the urgent job that has waited longest has not begun.
-func (ld *loadedDay) urgentWait() time.Duration {
+// longestUrgentWait returns the age of the oldest urgent job that has not begun.
+func (ld *loadedPlanner) longestUrgentWait() time.Duration {
 	var longest time.Duration
-	for _, ar := range ld.order {
-		if ar.started == 0 && ar.spec.Queue.Priority == 0 {
-			longest = max(longest, ld.now-ar.at)
+	for _, sj := range ld.arrivals {
+		if sj.startedAt == 0 && sj.spec.Queue.Priority == 0 {
+			longest = max(longest, ld.now-sj.arrivedAt)
 		}
 	}
 	return longest
 }
 
-// TestRecoveryTime bounds how long urgent jobs feel an outage of the store, by a formula: what
-// came back with it, at the rate that is left of what the processor bears beside what goes on coming.
+// TestRecoveryTime bounds the time for which urgent jobs are delayed after an outage of the store: the waiting tasks
+// are started at the rate that the processor can sustain, less the rate of new arrivals.
 //
-//	time = waiting / (bears - comes)
-//	bears = (2/3 share - holds) / cost of a start
+//	time = waiting / (sustained - arrivals)
+//	sustained = (2/3 share - reports) / cost of a start
 //
-// A third of the processor goes by plans, and each worker is asked once a second. The number of nodes
-// does not count, as long as they suffice for the questions.
+// Plans take a third of the processor, and each worker reports once a second. The number of nodes has no influence as
+// long as they can handle the advice requests.
 func TestRecoveryTime(t *testing.T) {
 	const (
-		calm, outage = 4 * time.Second, 4 * time.Second
-		comes        = 1700.0 / 1100 // starts a second for each worker
-		// perStart includes the report of its end and its part of a question.
-		perStart = sendCost + answerCost + reportCost + questionCost/6
-		// promptly is how long urgent jobs wait at most once the planner has recovered.
-		promptly = 500 * time.Millisecond
-		slack    = time.Second
+		warmUp, outage = 4 * time.Second, 4 * time.Second
+		arrivalRate    = 1700.0 / 1100 // starts per second and worker
+		// perStart includes the report of the run's end and a share of an advice request.
+		perStart = sendCost + answerCost + reportCost + requestCost/6
+		// maxUrgentWait bounds the wait of urgent jobs once the planner has recovered.
+		maxUrgentWait = 500 * time.Millisecond
+		slack         = time.Second
 	)
 	tests := map[string]struct {
 		workers, nodes int
 		share          float64
 	}{
 		"1,100 workers":                    {workers: 1100, nodes: 147, share: 0.8},
-		"1,100 workers, a slower planner":  {workers: 1100, nodes: 147, share: 0.6},
+		"1,100 workers, slower planner":    {workers: 1100, nodes: 147, share: 0.6},
 		"1,100 workers, many nodes":        {workers: 1100, nodes: 1000, share: 0.8},
 		"2,000 workers and 1,000 nodes":    {workers: 2000, nodes: 1000, share: 1},
-		"350 workers, a small node":        {workers: 350, nodes: 43, share: 0.25},
+		"350 workers, small node":          {workers: 350, nodes: 43, share: 0.25},
 		"350 workers, much of a processor": {workers: 350, nodes: 43, share: 0.8},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			ld := newLoadedDay(tt.share, tt.workers, tt.nodes)
-			ld.pass(calm)
-			usual := ld.lacking()
-			ld.silence(outage)
-			ld.pass(100 * time.Millisecond)
-			back, waiting := ld.now, max(ld.lacking()-usual, 0)
-			bears := (2*tt.share/3 - float64(tt.workers)*reportCost.Seconds()) / perStart.Seconds()
-			formula := time.Duration(float64(waiting) / (bears - comes*float64(tt.workers)) * float64(time.Second))
-			for ld.urgentWait() > promptly && ld.now-back < 2*formula+2*slack {
-				ld.pass(20 * time.Millisecond)
+			ld := newLoadedPlanner(tt.share, tt.workers, tt.nodes)
+			ld.advance(warmUp)
+			baseline := ld.waitingTasks()
+			ld.storeOutage(outage)
+			ld.advance(100 * time.Millisecond)
+			restoredAt, waiting := ld.now, max(ld.waitingTasks()-baseline, 0)
+			sustained := (2*tt.share/3 - float64(tt.workers)*reportCost.Seconds()) / perStart.Seconds()
+			formula := time.Duration(float64(waiting) / (sustained - arrivalRate*float64(tt.workers)) * float64(time.Second))
+			for ld.longestUrgentWait() > maxUrgentWait && ld.now-restoredAt < 2*formula+2*slack {
+				ld.advance(20 * time.Millisecond)
 			}
-			t.Logf("%d waited, %.0f starts a second are borne; %s by the formula, took %s", waiting, bears, formula, ld.now-back)
-			is.True(ld.now-back <= formula*3/2+slack)
+			t.Logf("%d tasks waiting, %.0f starts a second sustained; formula gives %s, recovery took %s", waiting, sustained, formula, ld.now-restoredAt)
+			is.True(ld.now-restoredAt <= formula*3/2+slack)
 		})
 	}
 }
 
-// TestBacklogIsBounded has a planner start far less than what comes, as a small node that plans
-// since all strong ones are gone. What was accepted begins within the time in which callers ask for
-// it after the last job: without a bound at the door 60 and 3,009 jobs had not.
+// TestBacklogIsBounded overloads the planner far beyond its capacity, as on a small node that plans after all large
+// ones have failed. Every accepted job must begin within the time after the last job at which callers check: without
+// admission control 60 and 3,009 jobs had not begun.
 func TestBacklogIsBounded(t *testing.T) {
-	const day = 30 * time.Second
+	const loadTime = 30 * time.Second
 	tests := map[string]struct {
-		share float64
-		least int // starts while jobs come, with or without the bound
+		share     float64
+		minStarts int // starts while jobs arrive, with or without admission control
 	}{
-		"a small node":        {share: 0.19, least: 30_000},
-		"a slowed small node": {share: 0.1, least: 9000},
+		"small node":         {share: 0.19, minStarts: 30_000},
+		"small node, slowed": {share: 0.1, minStarts: 9000},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			ld := newLoadedDay(tt.share, 1100, 147)
+			ld := newLoadedPlanner(tt.share, 1100, 147)
 			var dr door.Door
-			taken, refused := 0, 0
-			ld.admits = func(qu work.Queue) bool {
+			accepted, refused := 0, 0
+			ld.admit = func(qu work.Queue) bool {
 				if _, refuse := dr.Refuse(ld.now, qu.Priority == 0); refuse {
 					refused++
 					return false
 				}
-				taken++
+				accepted++
 				return true
 			}
 			ld.every(time.Second, func() {
 				urgent, all := ld.cell.Backlog(ld.now)
-				ld.after(200*time.Millisecond, func() { dr.Note(ld.now, urgent, all) })
+				ld.schedule(200*time.Millisecond, func() { dr.Note(ld.now, urgent, all) })
 			})
-			ld.pass(day)
+			ld.advance(loadTime)
 			first, all := ld.cell.Backlog(ld.now)
-			urgent, _ := ld.inTime(2)
-			t.Logf("%d taken, %d refused, %d starts, %.2f of the urgent jobs in time, planner is %s and %s behind", taken, refused, ld.started, urgent, first, all)
+			urgent, _ := ld.onTimeShare(2)
+			t.Logf("%d accepted, %d refused, %d starts, %.2f of the urgent jobs on time, backlog %s urgent and %s in all", accepted, refused, ld.started, urgent, first, all)
 			started := ld.started
-			ld.ended = true
-			ld.pass(drained)
+			ld.arrivalsEnded = true
+			ld.advance(drainTime)
 			count, oldest := ld.waiting()
-			t.Logf("%d wait, for up to %s", count, oldest)
+			t.Logf("%d jobs waiting, the oldest for %s", count, oldest)
 			is.Equal(count, 0)
-			is.True(started >= tt.least) // it takes what it can start
+			is.True(started >= tt.minStarts) // it accepts as much as it can start
 		})
 	}
 }
--- a/policy/cell/remains_test.go
+++ b/policy/cell/remains_test.go
@@ -12,11 +12,10 @@
 	"tackbeam.example/policy/work"
 )
 
-// TestRoomWhereProgressIs has a task that needs a whole worker wait for one of two, each of
-// which runs half a worker's task that saves its progress. Room is gathered where the
-// progress is greater, and a small task goes to the other. The same holds for runs that went
-// on from a checkpoint: what they have gained since tells their speed.
-func TestRoomWhereProgressIs(t *testing.T) {
+// TestReservesWhereProgressIsGreater has a task that needs a whole worker wait for one of two workers, each of which
+// runs a task that takes half of it and writes checkpoints. Capacity is reserved where the progress is greater, and a
+// small task goes to the other worker. For runs resumed from a checkpoint, the speed is the progress made since then.
+func TestReservesWhereProgressIsGreater(t *testing.T) {
 	tests := map[string]struct {
 		checkpoint    string
 		first, second int
@@ -27,10 +26,10 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			cl := crowd(2)
+			cl := newTestCell(2)
 			half := size.New(30000, 100, 0)
 			qu := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9}
-			submit(cl, "half", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: 10 * time.Second, Checkpoints: true}, qu)
+			submitStep(cl, "half", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: 10 * time.Second, Checkpoints: true}, qu)
 			cl.Plan(0)
 			started := cl.Take().Starts
 			is.Equal(len(started), 2)
@@ -47,15 +46,15 @@
 				}
 			}
 			if tt.checkpoint != "" {
-				started = startAgain(cl, started, tt.checkpoint)
+				started = restartFrom(cl, started, tt.checkpoint)
 				report(time.Second, 60, 60)
 			}
 			report(3*time.Second, tt.first, tt.second)
 			whole := work.Step{Count: 1, Need: size.New(64000, 100, 0), Estimate: time.Second}
-			submit(cl, "whole", whole, work.Queue{Name: "w", Service: "svc", Attempts: 3, Priority: 1, Stretch: 8})
+			submitStep(cl, "whole", whole, work.Queue{Name: "w", Service: "svc", Attempts: 3, Priority: 1, Stretch: 8})
 			cl.Plan(3 * time.Second)
 			is.Equal(len(cl.Take().Starts), 0)
-			submit(cl, "small", work.Step{Count: 1, Need: half, Estimate: 9 * time.Second}, qu)
+			submitStep(cl, "small", work.Step{Count: 1, Need: half, Estimate: 9 * time.Second}, qu)
 			cl.Plan(3 * time.Second)
 			starts := cl.Take().Starts
 			is.Equal(len(starts), 1)
@@ -65,8 +64,8 @@
 	}
 }
 
-// startAgain stops runs by their ends, which bring a checkpoint, and returns the runs that follow.
-func startAgain(cl *cell.Cell, runs []cell.Start, checkpoint string) []cell.Start {
+// restartFrom reports runs as stopped with a checkpoint, and returns the starts that follow.
+func restartFrom(cl *cell.Cell, runs []cell.Start, checkpoint string) []cell.Start {
 	for _, sr := range runs {
 		end := cell.End{Seq: 1, Run: cell.Run{Task: sr.Task, Number: sr.Run, Checkpoint: checkpoint}, Result: cell.ResultStopped}
 		cl.Report(0, sr.Worker, 0, nil, []cell.End{end})
@@ -79,12 +78,12 @@
 	return again
 }
 
-// TestRunsSeenMidway has a new planner see two runs for the first time, one near its beginning and
-// one near its end: it gathers a whole worker's room where the run ends first. It took each for as
-// fast as if it had begun when it was first seen, so that both were about to end.
-func TestRunsSeenMidway(t *testing.T) {
+// TestRunsFirstSeenMidway has a new planner receive the first reports of two runs, one near its beginning and one near
+// its end: it must reserve a whole worker where the run ends first. Estimated as if it had begun when it was
+// first reported, each run seemed about to end.
+func TestRunsFirstSeenMidway(t *testing.T) {
 	is := is.New(t)
-	cl := crowd(2)
+	cl := newTestCell(2)
 	half := size.New(30000, 100, 0)
 	qu := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9}
 	step := work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: 10 * time.Second}
@@ -95,10 +94,10 @@
 		cl.Report(now, []life.Life{"w000", "w001"}[at], now, []cell.Run{run}, nil)
 	}
 	whole := work.Step{Count: 1, Need: size.New(64000, 100, 0), Estimate: time.Second}
-	submit(cl, "whole", whole, work.Queue{Name: "w", Service: "svc", Attempts: 3, Priority: 1, Stretch: 8})
+	submitStep(cl, "whole", whole, work.Queue{Name: "w", Service: "svc", Attempts: 3, Priority: 1, Stretch: 8})
 	cl.Plan(now)
 	is.Equal(len(cl.Take().Starts), 0)
-	submit(cl, "small", work.Step{Count: 1, Need: half, Estimate: 9 * time.Second}, qu)
+	submitStep(cl, "small", work.Step{Count: 1, Need: half, Estimate: 9 * time.Second}, qu)
 	cl.Plan(now)
 	starts := cl.Take().Starts
 	is.Equal(len(starts), 1)
--- a/policy/cell/sharing_test.go
+++ b/policy/cell/sharing_test.go
@@ -10,16 +10,16 @@
 	"tackbeam.example/policy/work"
 )
 
-// lasting returns a job of tasks that run until it is cancelled.
-func lasting(id string, count, mayMiss int) *work.Job {
-	jb := batch(id, count)
+// longRunningJob returns a job whose tasks run until it is cancelled.
+func longRunningJob(id string, count, mayMiss int) *work.Job {
+	jb := batchJob(id, count)
 	jb.Steps[0].Lasting = true
 	jb.Steps[0].MayMiss = mayMiss
 	return jb
 }
 
-// place starts all that waits on the only worker and confirms it.
-func place(t *testing.T, cl *cell.Cell, now time.Duration) []cell.Run {
+// startWaiting starts all waiting tasks on the only worker and confirms the starts.
+func startWaiting(t *testing.T, cl *cell.Cell, now time.Duration) []cell.Run {
 	t.Helper()
 	cl.Plan(now)
 	var runs []cell.Run
@@ -30,26 +30,26 @@
 	return runs
 }
 
-func oneWorker(cl *cell.Cell) {
+func addOnlyWorker(cl *cell.Cell) {
 	cl.PutWorker(0, cell.Worker{ID: "w", Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	cl.Report(1, "w", 1, nil, nil)
 	cl.Committed(cl.Recorded())
 }
 
-// TestSharing slows a filler while its neighbour is near the latency that it promised,
-// and lets it go again.
+// TestSharing checks that a best-effort task is throttled while a task on the same worker is close to its latency
+// target, and released afterwards.
 func TestSharing(t *testing.T) {
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
-	oneWorker(cl)
-	serve := lasting("serve", 1, 0)
+	addOnlyWorker(cl)
+	serve := longRunningJob("serve", 1, 0)
 	serve.Steps[0].Tail = 100 * time.Millisecond
-	fill := batch("fill", 1)
+	fill := batchJob("fill", 1)
 	fill.Steps[0].Filler = true
 	cl.Add(0, serve, false)
 	cl.Add(0, fill, false)
-	runs := place(t, cl, 2)
+	runs := startWaiting(t, cl, 2)
 	if len(runs) != 2 || !cl.Serves("w") {
-		t.Fatalf("runs %v, serves %v", runs, cl.Serves("w"))
+		t.Fatalf("runs %v, latency target %v", runs, cl.Serves("w"))
 	}
 	steps := []struct{ load, want int }{
 		{50, 100}, {90, 50}, {90, 25}, {120, 0}, {90, 0}, {70, 0}, {50, 10}, {50, 20},
@@ -70,36 +70,36 @@
 			percent = pc.Percent
 		}
 		if percent != step.want {
-			t.Errorf("look %d at latency %d: filler at %d percent, want %d", n, step.load, percent, step.want)
+			t.Errorf("report %d with latency %d ms: best-effort task at %d percent, want %d", n, step.load, percent, step.want)
 		}
 	}
 }
 
-// TestEvacuate moves work off a worker that leaves, where staying would lose it.
+// TestEvacuate checks that runs are stopped on a draining worker only if staying would lose their work.
 func TestEvacuate(t *testing.T) {
 	cases := map[string]struct {
 		change  func(st *work.Step)
 		percent int
-		stays   time.Duration // after the notice
+		stays   time.Duration // remaining time of the worker after the notice
 		stops   int
 	}{
-		"ends in time":                    {func(*work.Step) {}, 60, 10 * time.Second, 0},
-		"cannot end in time":              {func(*work.Step) {}, 10, 2 * time.Second, 3},
-		"may end in time":                 {func(*work.Step) {}, 40, 2 * time.Second, 0},
-		"saves, worker stays for a while": {func(st *work.Step) { st.Checkpoints = true }, 10, 3 * time.Second, 0},
-		"saves, worker leaves":            {func(st *work.Step) { st.Checkpoints = true }, 10, time.Second, 3},
-		"lasting, none may miss":          {func(st *work.Step) { st.Lasting = true }, 100, time.Second, 0},
-		"lasting, two may miss":           {func(st *work.Step) { st.Lasting, st.MayMiss = true, 2 }, 100, time.Second, 2},
-		"done, waits for its gang":        {func(*work.Step) {}, 100, time.Second, 0},
+		"ends in time":                     {func(*work.Step) {}, 60, 10 * time.Second, 0},
+		"cannot end in time":               {func(*work.Step) {}, 10, 2 * time.Second, 3},
+		"may end in time":                  {func(*work.Step) {}, 40, 2 * time.Second, 0},
+		"checkpoints, worker leaves later": {func(st *work.Step) { st.Checkpoints = true }, 10, 3 * time.Second, 0},
+		"checkpoints, worker leaves now":   {func(st *work.Step) { st.Checkpoints = true }, 10, time.Second, 3},
+		"long-running, none may be down":   {func(st *work.Step) { st.Lasting = true }, 100, time.Second, 0},
+		"long-running, two may be down":    {func(st *work.Step) { st.Lasting, st.MayMiss = true, 2 }, 100, time.Second, 2},
+		"done, waits for its gang":         {func(*work.Step) {}, 100, time.Second, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
-			oneWorker(cl)
-			jb := batch("a", 3)
+			addOnlyWorker(cl)
+			jb := batchJob("a", 3)
 			tc.change(&jb.Steps[0])
 			cl.Add(0, jb, false)
-			runs := place(t, cl, 2)
+			runs := startWaiting(t, cl, 2)
 			now := 2 * time.Second
 			for at := range runs {
 				runs[at].Percent = tc.percent
@@ -115,15 +115,16 @@
 	}
 }
 
-// TestLasting starts a lasting task again however it ended, and never fails its job.
-func TestLasting(t *testing.T) {
+// TestLongRunning checks that a long-running task is restarted whatever the result of its run, and that its job never
+// fails.
+func TestLongRunning(t *testing.T) {
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
-	oneWorker(cl)
-	cl.Add(0, lasting("a", 1, 0), false)
+	addOnlyWorker(cl)
+	cl.Add(0, longRunningJob("a", 1, 0), false)
 	for n, how := range []cell.Result{cell.ResultFailed, cell.ResultDone, cell.ResultFailed, cell.ResultFailed, cell.ResultLapsed} {
 		now := time.Duration(n+1) * 10 * time.Second
 		cl.Report(now, "w", now, nil, nil)
-		runs := place(t, cl, now)
+		runs := startWaiting(t, cl, now)
 		if len(runs) != 1 {
 			t.Fatalf("after %d ends: starts %v", n, runs)
 		}
@@ -139,12 +140,11 @@
 	}
 }
 
-// TestInheritedStop has an earlier planner stop a run and start the next one elsewhere
-// just before it ended. The live run stays; were it to be stopped, the task would wait
-// for both.
+// TestInheritedStop has an earlier planner stop a run and start the next one on another worker just before its term
+// ended. The new run must stay: if it were stopped too, the task would wait for both to end.
 func TestInheritedStop(t *testing.T) {
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65, StopTime: time.Second})
-	cl.Add(0, batch("a", 1), true)
+	cl.Add(0, batchJob("a", 1), true)
 	task := work.Task{Job: "a"}
 	cl.InheritStops(0, "w1", []cell.Run{{Task: task, Number: 1}})
 	for _, id := range []life.Life{"w1", "w2", "w3"} {
@@ -161,11 +161,11 @@
 	}
 }
 
-// TestTwoRuns has two planners' runs of one task on two workers. The older one is
-// stopped, and the task does not start anew while either is there.
+// TestTwoRuns has runs of one task from two planners on two workers. The older run is stopped, and the task does not
+// start again while either run exists.
 func TestTwoRuns(t *testing.T) {
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 129, StopTime: time.Second})
-	cl.Add(0, batch("a", 1), true)
+	cl.Add(0, batchJob("a", 1), true)
 	task := work.Task{Job: "a"}
 	for _, id := range []life.Life{"w1", "w2", "w3"} {
 		cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
--- a/policy/cell/widegangs_test.go
+++ b/policy/cell/widegangs_test.go
@@ -7,25 +7,24 @@
 	"github.com/matryer/is"
 )
 
-// TestWideGangsInTime plays a day of 1,100 workers on which gangs of 40 tasks, and up to 240, run
-// on a quarter of the workers each. Seen on such a day: a gang of 91 tasks that was allowed on 72
-// workers after 4.4 s and three questions, one after the other, had places for 89; by the time it
-// had more, the tickets of the first ones had lapsed, and a fourth and a fifth question asked
-// about new workers instead of renewing them. It had not begun 7.4 s after its turn came, with
-// most of the workers' room free.
-func TestWideGangsInTime(t *testing.T) {
+// TestWideGangsOnTime simulates 1,100 workers with gangs of 40 tasks on average and up to 240, each allowed on a
+// quarter of the workers. A gang of 91 tasks that was allowed on 72 workers, after three successive advice
+// requests in 4.4 s, had slots for 89 tasks. Before it had more, the first tickets expired, and the fourth and fifth
+// requests asked about new workers instead of renewing them. The gang had not begun 7.4 s after its turn, with most of
+// the capacity free.
+func TestWideGangsOnTime(t *testing.T) {
 	is := is.New(t)
 	const seed, workers, nodes = 1, 1100, 147
-	bd := newBusyDay(seed, workers, nodes, largeStreams(workers))
-	bd.pass(30*time.Second, true)
-	bd.pass(drained, false)
+	bd := newLoadTestbed(seed, workers, nodes, largeStreams(workers))
+	bd.advance(30*time.Second, true)
+	bd.advance(drainTime, false)
 	count, oldest := bd.waiting()
-	all, largest := bd.inTime(0)
-	patient, _ := bd.inTime(1)
-	urgent, _ := bd.inTime(2)
-	t.Logf("in time: gangs %.3f, of the largest tenth %.3f, patient jobs %.3f, urgent %.3f; %d wait for up to %s",
-		all, largest, patient, urgent, count, oldest)
-	t.Logf("%d questions, %d put off, advisor's time %v, longest wait of a gang %s", bd.questions, bd.misses, bd.took, bd.longestStart(0))
+	all, largest := bd.onTimeShare(0)
+	deferrable, _ := bd.onTimeShare(1)
+	urgent, _ := bd.onTimeShare(2)
+	t.Logf("on time: gangs %.3f, of the largest tenth %.3f, deferrable jobs %.3f, urgent %.3f; %d jobs waiting, the oldest for %s",
+		all, largest, deferrable, urgent, count, oldest)
+	t.Logf("%d advice requests, %d deferred, advisor time %v, longest wait of a gang %s", bd.requests, bd.deferred, bd.advisorTime, bd.longestStartDelay(0))
 	is.Equal(count, 0)
 	is.True(all >= 0.8)
 }
--- a/policy/cell/window_test.go
+++ b/policy/cell/window_test.go
@@ -11,10 +11,10 @@
 	"tackbeam.example/policy/work"
 )
 
-// TestLateAnswerStopsNothing has one start answered only after its third try, 3 s later. Tickets that
-// are good for less than that are used all the same, at the latest a second after: where the lateness
-// counted until further starts were answered, none was ever sent again.
-func TestLateAnswerStopsNothing(t *testing.T) {
+// TestLateAnswerDoesNotBlockStarts has a start answered only at its third attempt, after 3 s. Tickets that are valid
+// for less than that must be used again after a second at most. If the delay counted until further starts were
+// answered, no start would ever be sent again.
+func TestLateAnswerDoesNotBlockStarts(t *testing.T) {
 	is := is.New(t)
 	const late = 3 * time.Second
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1, FirstWindow: 64})
@@ -27,28 +27,28 @@
 	plan := func(now time.Duration) []cell.Start {
 		cl.Report(now, "w1", 0, nil, nil)
 		cl.Plan(now)
-		for _, qn := range cl.Take().Questions {
-			cl.Advised(now, qn, []cell.Ticket{{Worker: "w1", Text: "t"}}, ticketValid)
+		for _, req := range cl.Take().Questions {
+			cl.Advised(now, req, []cell.Ticket{{Worker: "w1", Text: "t"}}, ticketTTL)
 		}
 		cl.Plan(now)
 		return cl.Take().Starts
 	}
-	submit(cl, "first", one, qu)
+	submitStep(cl, "first", one, qu)
 	quick := plan(0)
 	is.Equal(len(quick), 1)
 	cl.Started(time.Millisecond, quick[0])
-	submit(cl, "second", one, qu)
+	submitStep(cl, "second", one, qu)
 	slow := plan(time.Second)
 	is.Equal(len(slow), 1)
 	cl.Started(time.Second+late, slow[0])
-	submit(cl, "third", one, qu)
+	submitStep(cl, "third", one, qu)
 	is.Equal(len(plan(3*time.Second+late)), 1)
 }
 
-// TestTakeoverIsNoBacklog: a planner that had just taken over said that what waited took it 23 minutes, urgent work 3 m 53 s,
-// by the rate of a second in which it had read the journal for the most part. For a second all jobs were refused;
-// 1 s later it was not behind at all.
-func TestTakeoverIsNoBacklog(t *testing.T) {
+// TestNoBacklogAfterTakeover checks that a new planner does not estimate its backlog from its first seconds. From the
+// rate of a second that it had mostly spent reading the journal, a planner estimated 23 minutes, and 3 m 53 s for
+// urgent work, so that all jobs were refused for a second; 1 s later it was not behind at all.
+func TestNoBacklogAfterTakeover(t *testing.T) {
 	is := is.New(t)
 	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1, FirstWindow: 64})
 	cl.PutWorker(0, cell.Worker{ID: "w1", Service: "svc", Capacity: size.New(1<<40, 1<<40, 0)})
@@ -56,11 +56,11 @@
 	cl.Committed(cl.Recorded())
 	cl.Settle()
 	many := work.Step{Count: 5000, Need: size.New(1, 1, 0)}
-	submit(cl, "a", many, work.Queue{Name: "q", Service: "svc", Attempts: 3})
+	submitStep(cl, "a", many, work.Queue{Name: "q", Service: "svc", Attempts: 3})
 	var underWay []cell.Start
 	startSome := func(now time.Duration) {
 		cl.Plan(now)
-		cl.Plan(now) // finds the window full
+		cl.Plan(now) // the start window is full
 		for _, sr := range underWay {
 			cl.Started(now, sr)
 		}
@@ -76,5 +76,5 @@
 	is.Equal(all, time.Duration(0))
 	startSome(begins + 2300*time.Millisecond)
 	urgent, _ = cl.Backlog(begins + 2300*time.Millisecond)
-	is.True(urgent > 10*time.Second) // as slow as that for longer, it is behind
+	is.True(urgent > 10*time.Second) // with such a rate for longer, it is behind
 }
