--- a/policy/cell/advice_test.go
+++ b/policy/cell/advice_test.go
@@ -73,13 +73,13 @@
 		cl.Plan(now)
 		is.Equal(len(cl.Take().Starts), 0)
 		now += 100 * time.Millisecond
-		var still []cell.Run
+		var remaining []cell.Run
 		for _, other := range running {
 			if other.Worker == sr.Worker && other.Task != sr.Task {
-				still = append(still, cell.Run{Task: other.Task, Number: other.Run, Percent: 1})
+				remaining = append(remaining, cell.Run{Task: other.Task, Number: other.Run, Percent: 1})
 			}
 		}
-		cl.Report(now, sr.Worker, now, still, []cell.End{{Seq: 1, Run: cell.Run{Task: sr.Task, Number: sr.Run}, Result: cell.ResultDone}})
+		cl.Report(now, sr.Worker, now, remaining, []cell.End{{Seq: 1, Run: cell.Run{Task: sr.Task, Number: sr.Run}, Result: cell.ResultDone}})
 	}
 	cl.Plan(now)
 	for _, sr := range cl.Take().Starts {
--- a/policy/cell/busyday_test.go
+++ b/policy/cell/busyday_test.go
@@ -184,8 +184,8 @@
 }
 
 // schedule adds an event after a time span.
-func (bd *loadTestbed) schedule(span time.Duration, act func()) {
-	heap.Push(&bd.events, event{bd.now + span, act})
+func (bd *loadTestbed) schedule(span time.Duration, call func()) {
+	heap.Push(&bd.events, event{bd.now + span, call})
 }
 
 // runNextEvent runs the next event.
--- a/policy/cell/cell_test.go
+++ b/policy/cell/cell_test.go
@@ -303,7 +303,7 @@
 			cl.Committed(cl.Recorded())
 			out := cl.Take()
 			if moves := len(out.Stops) == 1; moves != tc.moves {
-				t.Fatalf("stops: %v", out.Stops)
+				t.Fatalf("unexpected stops: %v", out.Stops)
 			}
 			if !tc.moves {
 				return
@@ -341,16 +341,16 @@
 // took it for a new start, and the task ran again after its end had been recorded.
 func TestStartValid(t *testing.T) {
 	entry := cell.Worker{ID: "w000", Service: "svc", Capacity: size.New(64000, 128000, 0)}
-	leaving, small, large := entry, entry, entry
-	leaving.Draining = true
+	draining, small, large := entry, entry, entry
+	draining.Draining = true
 	small.Capacity = size.New(1000, 128000, 0)
 	large.Capacity = size.New(99000, 128000, 0)
 	tests := map[string]struct {
-		act  func(cl *cell.Cell)
-		want bool
+		change func(cl *cell.Cell)
+		want   bool
 	}{
 		"nothing":              {func(*cell.Cell) {}, true},
-		"it drains":            {func(cl *cell.Cell) { cl.PutWorker(0, leaving) }, false},
+		"it drains":            {func(cl *cell.Cell) { cl.PutWorker(0, draining) }, false},
 		"it is deregistered":   {func(cl *cell.Cell) { cl.Deregister(entry.ID) }, false},
 		"it shrinks":           {func(cl *cell.Cell) { cl.PutWorker(0, small) }, false},
 		"it grows":             {func(cl *cell.Cell) { cl.PutWorker(0, large) }, true},
@@ -373,9 +373,9 @@
 			cl.Plan(0)
 			starts := cl.Take().Starts
 			if len(starts) != 1 {
-				t.Fatalf("%d starts", len(starts))
+				t.Fatalf("%d starts, want 1", len(starts))
 			}
-			if tt.act(cl); cl.Stands(starts[0]) != tt.want {
+			if tt.change(cl); cl.Stands(starts[0]) != tt.want {
 				t.Errorf("start valid: %v, want %v", !tt.want, tt.want)
 			}
 		})
--- a/policy/cell/gather_test.go
+++ b/policy/cell/gather_test.go
@@ -41,8 +41,8 @@
 		}}, false)
 	}
 	var served []string
-	const pause = 25 * time.Millisecond
-	for now := 100 * time.Millisecond; len(served) < gangs && now < 2*time.Second; now += pause {
+	const interval = 25 * time.Millisecond
+	for now := 100 * time.Millisecond; len(served) < gangs && now < 2*time.Second; now += interval {
 		cl.Plan(now)
 		for at, req := range cl.Take().Questions {
 			if at > 0 {
--- a/policy/cell/recovery_test.go
+++ b/policy/cell/recovery_test.go
@@ -102,10 +102,10 @@
 	return ld
 }
 
-func (ld *loadedPlanner) every(period time.Duration, act func()) {
+func (ld *loadedPlanner) every(period time.Duration, call func()) {
 	ld.schedule(period, func() {
-		act()
-		ld.every(period, act)
+		call()
+		ld.every(period, call)
 	})
 }
 
@@ -115,8 +115,8 @@
 	ld.schedule(time.Second, func() { ld.reportEverySecond(id) })
 }
 
-func (ld *loadedPlanner) enqueue(cost time.Duration, act func()) {
-	ld.workQueue = append(ld.workQueue, workItem{cost, act})
+func (ld *loadedPlanner) enqueue(cost time.Duration, run func()) {
+	ld.workQueue = append(ld.workQueue, workItem{cost, run})
 }
 
 // spend advances the time by the duration of work on the planner's share of a processor.
--- a/policy/cell/sharing_test.go
+++ b/policy/cell/sharing_test.go
@@ -49,7 +49,7 @@
 	cl.Add(0, fill, false)
 	runs := startWaiting(t, cl, 2)
 	if len(runs) != 2 || !cl.Serves("w") {
-		t.Fatalf("runs %v, latency target %v", runs, cl.Serves("w"))
+		t.Fatalf("runs %v, want two; latency target %v, want true", runs, cl.Serves("w"))
 	}
 	steps := []struct{ load, want int }{
 		{50, 100}, {90, 50}, {90, 25}, {120, 0}, {90, 0}, {70, 0}, {50, 10}, {50, 20},
@@ -65,7 +65,7 @@
 		cl.Report(now, "w", now, runs, nil)
 		for _, pc := range cl.Take().Paces {
 			if pc.Task.Job != "fill" {
-				t.Errorf("pace of %v", pc.Task)
+				t.Errorf("unexpected pace order for %v", pc.Task)
 			}
 			percent = pc.Percent
 		}
@@ -126,17 +126,17 @@
 		cl.Report(now, "w", now, nil, nil)
 		runs := startWaiting(t, cl, now)
 		if len(runs) != 1 {
-			t.Fatalf("after %d ends: starts %v", n, runs)
+			t.Fatalf("after %d ends: starts %v, want one", n, runs)
 		}
 		cl.Report(now+1, "w", now+1, nil, []cell.End{{Seq: n + 1, Run: runs[0], Result: how}})
 	}
 	if phase, _ := cl.Phase("a", ""); phase != cell.Running {
-		t.Errorf("phase is %s", phase)
+		t.Errorf("phase is %s, want running", phase)
 	}
 	cl.Cancel(time.Hour, "a", "")
 	cl.Committed(cl.Recorded())
 	if phase, _ := cl.Phase("a", ""); phase != cell.Cancelled {
-		t.Errorf("phase after the cancel is %s", phase)
+		t.Errorf("phase after the cancel is %s, want cancelled", phase)
 	}
 }
 
@@ -157,7 +157,7 @@
 	cl.Committed(cl.Recorded())
 	cl.Plan(4)
 	if out := cl.Take(); len(out.Stops)+len(out.Starts) > 0 {
-		t.Errorf("stops %v, starts %v", out.Stops, out.Starts)
+		t.Errorf("unexpected stops %v and starts %v", out.Stops, out.Starts)
 	}
 }
 
@@ -177,7 +177,7 @@
 	cl.Committed(cl.Recorded())
 	out := cl.Take()
 	if len(out.Stops) != 1 || out.Stops[0].Worker != "w1" {
-		t.Fatalf("stops %v", out.Stops)
+		t.Fatalf("stops %v, want one on w1", out.Stops)
 	}
 	cl.Stopped(3, out.Stops[0])
 	cl.Report(4, "w2", 4, nil, []cell.End{{Seq: 1, Run: cell.Run{Task: task, Number: 65}, Result: cell.ResultFailed}})
@@ -189,6 +189,6 @@
 	cl.Committed(cl.Recorded())
 	cl.Plan(7)
 	if out := cl.Take(); len(out.Starts) != 1 {
-		t.Errorf("starts %v once both are gone", out.Starts)
+		t.Errorf("starts %v after both runs have ended, want one", out.Starts)
 	}
 }
