--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,4 @@
-// Package agent is the interface to the workers' agents, which start, stop and
-// report runs.
+// Package agent is the interface to the agents on the workers, which start, stop and report runs.
 package agent
 
 import (
@@ -12,53 +11,52 @@
 	"tackbeam.example/policy/life"
 )
 
-// Target is one life of a worker.
+// Target is one incarnation of a worker, with its address.
 type Target struct {
 	Address     string
 	Incarnation life.Life
 }
 
-// Hold renews the lease of what runs on a worker and asks what runs there.
+// Hold renews the lease of a worker's runs and requests a report of them.
 type Hold struct {
 	Token uint64
-	// Deadline on the worker's clock up to which runs may go on; 0 leaves it as it is.
+	// Deadline is the time on the worker's clock until which runs may go on; 0 leaves it unchanged.
 	Deadline time.Duration
-	// Acked is the last end that need not be reported any more.
+	// Acked is the number of the last end that the worker need not report again.
 	Acked int
-	// Wait is how long the worker may wait for an end to report.
+	// Wait is how long the worker may wait for an end to report before it answers.
 	Wait time.Duration
 }
 
 // Report is a worker's answer to a hold.
 type Report struct {
-	// Clock is the worker's steady clock when it answered.
+	// Clock is the worker's monotonic clock when it answered.
 	Clock time.Duration
-	// StartedAt is when the life that answers began, in milliseconds since 1970; 0 where it does not say.
+	// StartedAt is the start time of the answering incarnation in milliseconds since 1970, 0 if unknown.
 	StartedAt int64
 	Runs      []cell.Run
 	Ends      []cell.End
 }
 
-// Agents carries orders to workers. The fields are seams: an adapter sets them for
-// a wire format, a test for a fault.
+// Agents sends orders to workers. The adapter of a wire format sets the fields; tests may replace them to inject
+// faults.
 type Agents struct {
-	// Hold returns an error of one of the kinds below.
+	// Hold returns one of the errors below, possibly wrapped.
 	Hold func(ctx context.Context, to Target, hold Hold) (Report, error)
-	// Start orders a run that may go on up to the deadline on the worker's clock. A
-	// refusal is no error.
+	// Start starts a run that may go on until the deadline on the worker's clock. A refusal is not an error.
 	Start func(ctx context.Context, to Target, token uint64, deadline time.Duration, start cell.Start) (cell.Refusal, error)
-	// Stop ends a run and keeps it from starting later.
+	// Stop ends a run, and prevents it from starting later.
 	Stop func(ctx context.Context, to Target, token uint64, stop cell.Stop) error
-	// Pace lets a run work at a percentage of its speed.
+	// Pace makes a run work at a percentage of its speed.
 	Pace func(ctx context.Context, to Target, token uint64, pace cell.Pace) error
 }
 
-// The kinds of errors.
+// Errors returned by the functions of Agents.
 var (
 	// ErrFenced means that the worker has seen a higher fencing token.
-	ErrFenced = errors.New("the worker follows a later planner")
+	ErrFenced = errors.New("the worker has seen a higher fencing token")
 	// ErrOtherIncarnation means that another incarnation answers at the worker's address.
-	ErrOtherIncarnation = errors.New("the worker's incarnation is over")
-	// ErrNoAnswer means that the order may have been carried out, or may be yet.
+	ErrOtherIncarnation = errors.New("another incarnation of the worker answered")
+	// ErrNoAnswer means that the order may have been carried out, or may still be.
 	ErrNoAnswer = errors.New("the worker did not answer")
 )
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,4 +1,4 @@
-// Package job is the record of one job as the journal keeps it.
+// Package job defines the record of a job in the journal.
 package job
 
 import (
@@ -14,21 +14,20 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// State is how far a job has come.
+// State is the progress of a job.
 type State string
 
-// The states of a job. A job is Placed from the moment that its intent to start
-// is kept.
+// The states of a job. A job is Placed once the journal has the intent to start it.
 const (
 	Waiting State = "waiting"
 	Placed  State = "running"
 	Done    State = "done"
 )
 
-// Answer is what the system says of a job that is done.
+// Answer tells what happened to a job that is done.
 type Answer string
 
-// The three answers of work.
+// The possible answers.
 const (
 	Ran     Answer = "ran"
 	NotRun  Answer = "not-run"
@@ -67,17 +66,17 @@
 	PlacedAt   time.Time       `cbor:"21,keyasint,omitzero"`
 	EndedAt    time.Time       `cbor:"22,keyasint,omitzero"`
 	Cancelled  bool            `cbor:"23,keyasint,omitempty"`
-	// StartedAttempts counts the attempts that began and did not succeed.
+	// Begun counts the attempts that began and did not succeed.
 	StartedAttempts int `cbor:"24,keyasint,omitempty"`
 	// Failures counts the attempts in which a task failed or was lost.
 	Failures int `cbor:"25,keyasint,omitempty"`
-	// SavedWork is the work that a next attempt need not do again.
+	// Saved is the run time whose work the next attempt need not repeat.
 	SavedWork time.Duration `cbor:"26,keyasint,omitempty"`
-	// EndedMapAge is the age of the cluster map when the job ended.
+	// EndedAge is the age of the cluster map at the end of the job.
 	EndedMapAge uint64 `cbor:"27,keyasint,omitempty"`
 }
 
-// New returns the record of a job that was just submitted.
+// New returns the record of a newly submitted job.
 func New(req nodemsg.Submit, now time.Time) Record {
 	rec := Record{
 		ID: ids.Job(req.Workspace), Workspace: req.Workspace, Workload: req.Workload,
@@ -91,13 +90,13 @@
 	return rec
 }
 
-// Encode returns the record for the journal.
+// Encode returns the record in the journal's format.
 func (rc Record) Encode() (nodemsg.Record, error) {
 	raw, err := wire.Encode(rc)
 	return nodemsg.Record{Key: rc.ID, Version: rc.Version, Value: raw}, err
 }
 
-// Decode reads a record of the journal.
+// Decode decodes a record of the journal.
 func Decode(from nodemsg.Record) (Record, error) {
 	var rc Record
 	err := wire.Decode(from.Value, &rc)
@@ -113,7 +112,7 @@
 	return list
 }
 
-// Rules returns what the next step of an attempt depends on.
+// Rules returns the properties of the job that determine the next action of an attempt.
 func (rc Record) Rules() attempt.Rules {
 	return attempt.Rules{
 		Together: rc.Class == "gang", Repeatable: rc.Repeatable, Cancelled: rc.Cancelled,
@@ -121,7 +120,7 @@
 	}
 }
 
-// StatusOf returns what a worker's state of a task means for an attempt.
+// StatusOf returns the status of a task in an attempt, given its state on the worker.
 func StatusOf(st workermsg.State, begun bool) attempt.Status {
 	switch st {
 	case workermsg.Prepared:
@@ -134,7 +133,7 @@
 		return attempt.Failed
 	case workermsg.Never:
 		if begun {
-			return attempt.Lost // it began, and its end was forgotten
+			return attempt.Lost // the task began, and the worker has forgotten its end
 		}
 		return attempt.Unbegun
 	case workermsg.Stopped:
@@ -151,7 +150,7 @@
 	return attempt.Unknown
 }
 
-// View returns what callers see of the job.
+// View returns the representation of the job for callers.
 func (rc Record) View(home string, statuses []attempt.Status) nodemsg.JobView {
 	vw := nodemsg.JobView{
 		ID: rc.ID, Workspace: rc.Workspace, Workload: rc.Workload, Key: rc.Key,
--- a/internal/job/model_test.go
+++ b/internal/job/model_test.go
@@ -13,12 +13,12 @@
 )
 
 func init() {
-	_ = flag.Set("rapid.seed", "20261202") // the same verdict each time
+	_ = flag.Set("rapid.seed", "20261202") // for reproducible results
 	_ = flag.Set("rapid.checks", "5000")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// order is a message to a worker, or its reply, that may be late or lost.
+// order is a message to a worker, or the reply to it, which may be late or lost.
 type order struct {
 	verb    string
 	attempt int
@@ -28,11 +28,11 @@
 	begun   bool
 }
 
-// place is one task of one attempt on the model's worker.
+// place is one task of one attempt on the modelled worker.
 type place struct{ attempt, index int }
 
-// world is a model of the workers and the network around the real decisions.
-type world struct {
+// model models the workers and the network around the decisions of policy/attempt.
+type model struct {
 	rules    attempt.Rules
 	tasks    int
 	number   int
@@ -45,126 +45,125 @@
 	final    attempt.Step
 }
 
-func newWorld(tasks int, rl attempt.Rules) *world {
-	return &world{
+func newModel(tasks int, rl attempt.Rules) *model {
+	return &model{
 		rules: rl, tasks: tasks, final: attempt.Wait,
 		workers: map[place]workermsg.State{}, begun: map[place]bool{}, begins: map[int]int{},
 	}
 }
 
-// start begins a next attempt: its intent is kept, then its starts are sent.
-func (wo *world) start() {
-	wo.number++
-	wo.kept = true
-	wo.statuses = make([]attempt.Status, wo.tasks)
-	for i := range wo.tasks {
-		wo.net = append(wo.net, order{verb: "start", attempt: wo.number, index: i})
+// start begins the next attempt: the journal has its intent, then its starts are sent.
+func (md *model) start() {
+	md.number++
+	md.kept = true
+	md.statuses = make([]attempt.Status, md.tasks)
+	for i := range md.tasks {
+		md.net = append(md.net, order{verb: "start", attempt: md.number, index: i})
 	}
 }
 
-// home takes the next step, as the home service does.
-func (wo *world) home() {
-	if !wo.kept || wo.final != attempt.Wait {
+// home takes the next action, like the home service.
+func (md *model) home() {
+	if !md.kept || md.final != attempt.Wait {
 		return
 	}
-	switch step := attempt.Next(wo.statuses, wo.rules); step {
+	switch step := attempt.Next(md.statuses, md.rules); step {
 	case attempt.Ask:
-		wo.send("fence", attempt.Unknown)
+		md.send("fence", attempt.Unknown)
 	case attempt.Go:
-		wo.send("go", attempt.Prepared)
+		md.send("go", attempt.Prepared)
 	case attempt.Stop:
-		wo.send("stop", attempt.Prepared)
-		wo.send("stop", attempt.Running)
+		md.send("stop", attempt.Prepared)
+		md.send("stop", attempt.Running)
 	case attempt.Retry:
-		wo.rules.Begun = wo.rules.Begun || attempt.Began(wo.statuses)
-		wo.start()
+		md.rules.Begun = md.rules.Begun || attempt.Began(md.statuses)
+		md.start()
 	case attempt.NotRun, attempt.Ran, attempt.Doubt:
-		wo.final = step
+		md.final = step
 	}
 }
 
-func (wo *world) send(verb string, to attempt.Status) {
-	for i, st := range wo.statuses {
+func (md *model) send(verb string, to attempt.Status) {
+	for i, st := range md.statuses {
 		if st == to {
-			wo.net = append(wo.net, order{verb: verb, attempt: wo.number, index: i})
+			md.net = append(md.net, order{verb: verb, attempt: md.number, index: i})
 		}
 	}
 }
 
-// deliver carries one message over; the worker acts on an order and replies.
-func (wo *world) deliver(od order) {
+// deliver delivers one message. The worker carries out an order and replies.
+func (md *model) deliver(od order) {
 	if od.reply {
-		wo.learn(od)
+		md.learn(od)
 		return
 	}
 	pl := place{od.attempt, od.index}
-	state, known := wo.workers[pl]
+	state, known := md.workers[pl]
 	switch {
-	case od.verb == "start" && !known && wo.tasks > 1:
-		wo.workers[pl] = workermsg.Prepared
+	case od.verb == "start" && !known && md.tasks > 1:
+		md.workers[pl] = workermsg.Prepared
 	case od.verb == "start" && !known:
-		wo.begin(pl)
+		md.begin(pl)
 	case od.verb == "go" && state == workermsg.Prepared:
-		wo.begin(pl)
+		md.begin(pl)
 	case od.verb == "stop" && known && !state.Ended():
-		wo.workers[pl] = workermsg.Stopped
+		md.workers[pl] = workermsg.Stopped
 	case !known:
-		wo.workers[pl] = workermsg.Never // fenced: a late start is refused
+		md.workers[pl] = workermsg.Never // fenced: a late start is refused
 	}
-	od.reply, od.state, od.begun = true, wo.workers[pl], wo.begun[pl]
-	wo.net = append(wo.net, od)
+	od.reply, od.state, od.begun = true, md.workers[pl], md.begun[pl]
+	md.net = append(md.net, od)
 }
 
-func (wo *world) begin(pl place) {
-	wo.workers[pl] = workermsg.Running
-	wo.begun[pl] = true
-	wo.begins[pl.index]++
+func (md *model) begin(pl place) {
+	md.workers[pl] = workermsg.Running
+	md.begun[pl] = true
+	md.begins[pl.index]++
 }
 
-func (wo *world) learn(od order) {
-	if od.attempt != wo.number || !wo.kept || wo.statuses[od.index] >= attempt.Unbegun {
+func (md *model) learn(od order) {
+	if od.attempt != md.number || !md.kept || md.statuses[od.index] >= attempt.Unbegun {
 		return
 	}
 	st := job.StatusOf(od.state, od.begun)
-	if st == attempt.Unknown || st == attempt.Prepared && wo.statuses[od.index] == attempt.Running {
+	if st == attempt.Unknown || st == attempt.Prepared && md.statuses[od.index] == attempt.Running {
 		return
 	}
-	wo.statuses[od.index] = st
+	md.statuses[od.index] = st
 }
 
-// end lets a running task end; its report is a message too.
-func (wo *world) end(pl place, as workermsg.State) {
-	if wo.workers[pl] != workermsg.Running {
+// end ends a running task. Its report is a message too.
+func (md *model) end(pl place, as workermsg.State) {
+	if md.workers[pl] != workermsg.Running {
 		return
 	}
-	wo.workers[pl] = as
-	wo.net = append(wo.net, order{attempt: pl.attempt, index: pl.index, reply: true, state: as, begun: true})
+	md.workers[pl] = as
+	md.net = append(md.net, order{attempt: pl.attempt, index: pl.index, reply: true, state: as, begun: true})
 }
 
-// crash loses the home; the next one has what the journal kept.
-func (wo *world) crash() {
-	if wo.kept {
-		wo.statuses = make([]attempt.Status, wo.tasks)
+// crash stops the home. The next one has what is in the journal.
+func (md *model) crash() {
+	if md.kept {
+		md.statuses = make([]attempt.Status, md.tasks)
 	}
 }
 
-// lapse lets a worker's lease run out; whoever asks later is told that the task
-// has surely ended.
-func (wo *world) lapse(pl place) {
-	switch wo.workers[pl] {
+// lapse expires a worker's lease. Later queries are answered that the task has surely ended.
+func (md *model) lapse(pl place) {
+	switch md.workers[pl] {
 	case workermsg.Running, workermsg.Prepared:
-		wo.workers[pl] = workermsg.Lapsed
+		md.workers[pl] = workermsg.Lapsed
 	}
 }
 
-// check holds in every state of the model.
-func (wo *world) check(rt *rapid.T) {
-	for index, n := range wo.begins {
-		if n > 1 && !wo.rules.Repeatable {
+// check verifies the invariants, which hold in every state of the model.
+func (md *model) check(rt *rapid.T) {
+	for index, n := range md.begins {
+		if n > 1 && !md.rules.Repeatable {
 			rt.Fatalf("task %d began %d times", index, n)
 		}
 		running := 0
-		for pl, st := range wo.workers {
+		for pl, st := range md.workers {
 			if pl.index == index && st == workermsg.Running {
 				running++
 			}
@@ -173,82 +172,80 @@
 			rt.Fatalf("task %d runs twice at once", index)
 		}
 	}
-	if wo.final == attempt.NotRun && len(wo.begins) > 0 {
-		rt.Fatalf("said not-run, but %v began", wo.begins)
+	if md.final == attempt.NotRun && len(md.begins) > 0 {
+		rt.Fatalf("said not-run, but %v began", md.begins)
 	}
-	if wo.final == attempt.Ran && len(wo.begins) < wo.tasks {
-		rt.Fatalf("said ran, but only %v began", wo.begins)
+	if md.final == attempt.Ran && len(md.begins) < md.tasks {
+		rt.Fatalf("said ran, but only %v began", md.begins)
 	}
 }
 
-// TestModel drives the decisions through random interleavings of late, lost and
-// doubled messages, crashes of the home, ends, lapsed leases and a cancel. Once
-// the faults end, every job comes to an answer.
+// TestModel drives the decisions through random interleavings of late, lost and duplicated messages, crashes of the
+// home, ends of tasks, expired leases and a cancellation. Once the faults have ended, every job must get an answer.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		wo := newWorld(rapid.IntRange(1, 3).Draw(rt, "tasks"), attempt.Rules{
+		md := newModel(rapid.IntRange(1, 3).Draw(rt, "tasks"), attempt.Rules{
 			Together: rapid.Bool().Draw(rt, "gang"), Repeatable: rapid.Bool().Draw(rt, "repeatable"),
 		})
-		wo.start()
+		md.start()
 		for range rapid.IntRange(0, 60).Draw(rt, "events") {
-			wo.event(rt)
-			wo.check(rt)
+			md.event(rt)
+			md.check(rt)
 		}
-		wo.settle(rt)
-		wo.check(rt)
-		if wo.final == attempt.Wait {
-			rt.Fatalf("no answer: statuses %v of attempt %d, messages %v", wo.statuses, wo.number, wo.net)
+		md.settle(rt)
+		md.check(rt)
+		if md.final == attempt.Wait {
+			rt.Fatalf("no answer: statuses %v of attempt %d, messages %v", md.statuses, md.number, md.net)
 		}
 	})
 }
 
-// event lets one thing happen.
-func (wo *world) event(rt *rapid.T) {
-	at := func(what string) int { return rapid.IntRange(0, len(wo.net)-1).Draw(rt, what) }
-	pl := place{wo.number, rapid.IntRange(0, wo.tasks-1).Draw(rt, "task")}
+// event runs one random event.
+func (md *model) event(rt *rapid.T) {
+	at := func(what string) int { return rapid.IntRange(0, len(md.net)-1).Draw(rt, what) }
+	pl := place{md.number, rapid.IntRange(0, md.tasks-1).Draw(rt, "task")}
 	switch kind := rapid.IntRange(0, 9).Draw(rt, "kind"); {
-	case kind <= 3 && len(wo.net) > 0: // in any order
+	case kind <= 3 && len(md.net) > 0: // in any order
 		i := at("deliver")
-		od := wo.net[i]
-		wo.net = append(wo.net[:i:i], wo.net[i+1:]...)
-		wo.deliver(od)
-	case kind == 4 && len(wo.net) > 0:
+		od := md.net[i]
+		md.net = append(md.net[:i:i], md.net[i+1:]...)
+		md.deliver(od)
+	case kind == 4 && len(md.net) > 0:
 		i := at("lose")
-		wo.net = append(wo.net[:i:i], wo.net[i+1:]...)
-	case kind == 5 && len(wo.net) > 0:
-		wo.net = append(wo.net, wo.net[at("double")])
+		md.net = append(md.net[:i:i], md.net[i+1:]...)
+	case kind == 5 && len(md.net) > 0:
+		md.net = append(md.net, md.net[at("double")])
 	case kind == 6:
-		wo.crash()
+		md.crash()
 	case kind == 7:
-		wo.end(pl, rapid.SampledFrom([]workermsg.State{workermsg.OK, workermsg.Failed}).Draw(rt, "end"))
+		md.end(pl, rapid.SampledFrom([]workermsg.State{workermsg.OK, workermsg.Failed}).Draw(rt, "end"))
 	case kind == 8:
-		wo.lapse(pl)
+		md.lapse(pl)
 	case kind == 9 && rapid.IntRange(0, 9).Draw(rt, "cancel") == 0:
-		wo.rules.Cancelled = true
+		md.rules.Cancelled = true
 	default:
-		wo.home()
+		md.home()
 	}
 }
 
-// settle ends the faults: messages arrive, running tasks succeed, and lost
-// reports are told again.
-func (wo *world) settle(rt *rapid.T) {
-	for round := 0; round < 200 && wo.final == attempt.Wait; round++ {
-		wo.home()
-		for len(wo.net) > 0 {
-			od := wo.net[0]
-			wo.net = wo.net[1:]
-			wo.deliver(od)
-			wo.check(rt)
+// settle ends the faults: messages arrive, running tasks succeed, and lost reports are sent again.
+func (md *model) settle(rt *rapid.T) {
+	for round := 0; round < 200 && md.final == attempt.Wait; round++ {
+		md.home()
+		for len(md.net) > 0 {
+			od := md.net[0]
+			md.net = md.net[1:]
+			md.deliver(od)
+			md.check(rt)
 		}
-		for pl := range wo.workers {
-			if wo.workers[pl] == workermsg.Running {
-				wo.end(pl, workermsg.OK)
+		for pl := range md.workers {
+			if md.workers[pl] == workermsg.Running {
+				md.end(pl, workermsg.OK)
 			}
 		}
-		for pl, st := range wo.workers { // owners tell ends again until they are kept
-			if st.Ended() && pl.attempt == wo.number {
-				wo.net = append(wo.net, order{attempt: pl.attempt, index: pl.index, reply: true, state: st, begun: wo.begun[pl]})
+		for pl, st := range md.workers { // owners report ends again until the journal has them
+			if st.Ended() && pl.attempt == md.number {
+				md.net = append(md.net, order{attempt: pl.attempt, index: pl.index, reply: true, state: st, begun: md.begun[pl]})
 			}
 		}
 	}
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -1,5 +1,5 @@
-// Package joblog is the journal of a cell in the store: batches of accepted jobs and
-// cancels, written by any node, and the records of the planner.
+// Package joblog defines the journal of a cell in the store: batches of accepted jobs and cancellations, which any node
+// writes, and the records of the planner.
 package joblog
 
 import (
@@ -13,14 +13,14 @@
 	"tackbeam.example/policy/work"
 )
 
-// Prefixes of the keys. Members is watched by every node, Batches by the planner.
+// Keys and key prefixes. Every node watches Members, the planner watches Batches.
 const (
 	Prefix  = "tackbeam/"
 	Members = Prefix + "m/"
 	Leader  = Members + "leader"
-	// TermNumber holds the number of the latest reign, which outlasts the leader's key.
+	// TermNumber holds the number of the latest term. It remains when the leader's key is gone.
 	TermNumber = Members + "reigns"
-	// Backlog is where a planner that is behind says so.
+	// Backlog holds the backlog of a planner that is behind.
 	Backlog = Members + "backlog"
 	Nodes   = Members + "n/"
 	Batches = Prefix + "j/"
@@ -31,49 +31,48 @@
 type Batch struct {
 	Jobs    []work.Job `cbor:"1,keyasint,omitempty"`
 	Cancels []string   `cbor:"2,keyasint,omitempty"`
-	// Void marks a key that was taken so that a lost write can never take it.
+	// Void marks a key that was written to prevent a lost write from taking effect later.
 	Void bool `cbor:"3,keyasint,omitempty"`
-	// CreatedAt is the time of day, since 1970, at which the node began the batch: how old its jobs
-	// are. Clocks may differ by seconds, so it only orders what waits.
+	// At is the wall-clock time since 1970 at which the node began the batch, which tells the age of its jobs. The
+	// clocks of nodes may differ by seconds, so it is only used to order waiting work.
 	CreatedAt time.Duration `cbor:"4,keyasint,omitempty"`
-	// Cancellers are the workspaces whose callers sent the cancels, by the jobs' ids; a cancel that is not
-	// here may be of any job.
+	// Cancellers maps the id of a job to the workspace whose caller cancelled it. A cancellation without an entry may
+	// be of a job of any workspace.
 	Cancellers map[string]string `cbor:"5,keyasint,omitempty"`
 }
 
-// WrittenBatch is a batch that the store has, with its key and the revision of its write.
+// WrittenBatch is a batch in the store, with its key and the revision of its write.
 type WrittenBatch struct {
 	Key      string `cbor:"1,keyasint"`
 	Revision uint64 `cbor:"2,keyasint"`
 	Batch    Batch  `cbor:"3,keyasint"`
 }
 
-// mostAge bounds what is believed of a batch's age: work that waited for longer goes first
-// anyway, and fresh work of a node whose clock is hours behind must not stay ahead of all.
-const mostAge = 5 * time.Minute
+// maxAge limits the age of a batch. Work that has waited for longer comes first anyway, and new work of a node whose
+// clock is hours behind must not stay ahead of everything else.
+const maxAge = 5 * time.Minute
 
-// Age is how long ago the batch was begun, at a time of day since 1970, and 0 where that is
-// not known.
+// Age returns how long ago the batch was begun, given the wall-clock time since 1970. It is 0 if the time is unknown.
 func (bt *Batch) Age(wall time.Duration) time.Duration {
 	if bt.CreatedAt == 0 {
 		return 0
 	}
-	return min(max(wall-bt.CreatedAt, 0), mostAge)
+	return min(max(wall-bt.CreatedAt, 0), maxAge)
 }
 
-// BatchKey is the key of a node's nth batch in one incarnation of the node.
+// BatchKey returns the key of the nth batch of one incarnation of a node.
 func BatchKey(node, incarnation string, n int) string {
 	return Batches + node + "." + incarnation + "." + number(n)
 }
 
-// RecordKey is the key of the nth write of a planner's term.
+// RecordKey returns the key of the nth write in a planner's term.
 func RecordKey(term uint64, n int) string {
 	const digits = 16
 	head := strconv.FormatUint(term, digits)
 	return Records + strings.Repeat("0", digits-len(head)) + head + "." + number(n)
 }
 
-// number writes n so that keys sort by it.
+// number formats n so that keys sort by it.
 func number(n int) string {
 	const digits = 8
 	text := strconv.Itoa(n)
@@ -83,17 +82,17 @@
 // Election is the value of the leader's key.
 type Election struct {
 	Node string `cbor:"1,keyasint"`
-	// PeerAddr is the address at which other nodes reach it.
+	// PeerAddr is the address at which other nodes reach the leader.
 	PeerAddr string `cbor:"2,keyasint"`
-	// Number counts the planners of the cell, from 1.
+	// Number counts the terms of the cell, from 1.
 	Number int `cbor:"3,keyasint"`
-	// Nonce tells apart the incarnations of one node.
+	// Nonce distinguishes the incarnations of one node.
 	Nonce string `cbor:"4,keyasint"`
 }
 
 // BacklogSize is the value of the backlog's key.
 type BacklogSize struct {
-	// Total is how long the planner needs to start what waits, Urgent for the urgent part of it.
+	// Total is the time that the planner needs to start all waiting work, Urgent that for its urgent part.
 	Total  time.Duration `cbor:"1,keyasint,omitempty"`
 	Urgent time.Duration `cbor:"2,keyasint,omitempty"`
 }
@@ -103,19 +102,19 @@
 	Node     string `cbor:"1,keyasint"`
 	PeerAddr string `cbor:"2,keyasint"`
 	Hall     string `cbor:"3,keyasint"`
-	// Processors is the node's share of a core, 0 where it is not known.
+	// Processors is the node's number of processors, which may be a fraction, 0 if unknown.
 	Processors float64 `cbor:"4,keyasint,omitempty"`
-	// Link is the bandwidth of the node's link in Mbit/s, 0 where it is not known.
+	// Link is the bandwidth of the node's link in Mbit/s, 0 if unknown.
 	Link float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Encode returns a batch, records, a member or an election as a value of the store.
+// Encode encodes a value of the store: a batch, records, a member, an election or a backlog.
 func Encode(value any) ([]byte, error) {
 	raw, err := cbor.Marshal(value)
 	return raw, errors.Wrapf(err, "encode %T", value)
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes a value that Encode returned.
 func Decode[T any](raw []byte) (T, error) {
 	var value T
 	err := cbor.Unmarshal(raw, &value)
--- a/internal/planner/backlog.go
+++ b/internal/planner/backlog.go
@@ -8,47 +8,46 @@
 	"tackbeam.example/tackbeam/internal/kv"
 )
 
-// How a planner that is behind says so.
+// Reporting of the planner's backlog.
 const (
-	// backlogEvery is how often: nodes believe it for three times as long.
-	backlogEvery = time.Second
-	// backlogLeast is the urgent backlog from which it does, backlogLeastAll that of all work: somewhat
-	// less than nodes refuse jobs from. All nodes watch the key, so that each write costs the store an
-	// answer to each of them.
-	backlogLeast    = 700 * time.Millisecond
-	backlogLeastAll = 3 * time.Second
+	// backlogInterval is the interval between reports. Nodes discard a report after three times as long.
+	backlogInterval = time.Second
+	// minUrgentBacklog is the backlog of urgent work from which the planner reports, minTotalBacklog that of all work.
+	// They are below the thresholds at which nodes refuse jobs. All nodes watch the key, so each write costs the store
+	// one event per node.
+	minUrgentBacklog = 700 * time.Millisecond
+	minTotalBacklog  = 3 * time.Second
 )
 
-// tellBacklog writes how far the planner is behind to the store, where all nodes see it. The caller
-// holds the lock.
-func (ld *lead) tellBacklog(now time.Duration) {
-	if now-ld.saidBacklog < backlogEvery || !ld.reign.Proven() {
+// reportBacklog writes the planner's backlog to the store, where all nodes see it. The caller holds the lock.
+func (ld *leader) reportBacklog(now time.Duration) {
+	if now-ld.backlogReported < backlogInterval || !ld.reign.Proven() {
 		return
 	}
 	urgent, all := ld.cell.Backlog(now)
-	ld.measures.gauge("planner.backlog_ms", int(all.Milliseconds()))
-	behind := urgent >= backlogLeast || all >= backlogLeastAll
+	ld.metrics.gauge("planner.backlog_ms", int(all.Milliseconds()))
+	behind := urgent >= minUrgentBacklog || all >= minTotalBacklog
 	if !behind && !ld.behind {
 		return
 	}
-	ld.saidBacklog, ld.behind = now, behind
-	ld.log.Info("Planner is behind.", "urgent", urgent.String(), "all", all.String())
+	ld.backlogReported, ld.behind = now, behind
+	ld.log.Info("Planner has a backlog.", "urgent", urgent.String(), "all", all.String())
 	ld.spawn(func() { ld.writeBacklog(joblog.BacklogSize{Urgent: urgent, Total: all}) })
 }
 
-func (ld *lead) writeBacklog(behind joblog.BacklogSize) {
-	raw, err := joblog.Encode(behind)
+func (ld *leader) writeBacklog(size joblog.BacklogSize) {
+	raw, err := joblog.Encode(size)
 	if err != nil {
-		ld.log.Error(err, "Backlog cannot be written.")
+		ld.log.Error(err, "Backlog could not be encoded.")
 		return
 	}
-	ctx, cancel := context.WithTimeout(ld.ctx, backlogEvery)
+	ctx, cancel := context.WithTimeout(ld.ctx, backlogInterval)
 	defer cancel()
-	settling := kv.Settling{Clock: ld.clock, Hedge: backlogEvery, Refused: time.Millisecond}
-	if _, _, err := ld.parts.Store.Settle(ctx, settling, kv.Txn{
+	settling := kv.Settling{Clock: ld.clock, Hedge: backlogInterval, Refused: time.Millisecond}
+	if _, _, err := ld.opts.Store.Settle(ctx, settling, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
 		Puts:       []kv.Put{{Key: joblog.Backlog, Value: raw}},
 	}); err != nil {
-		ld.log.Info("Backlog was not written; nodes take jobs as before.", "reason", err.Error())
+		ld.log.Info("Backlog was not written to the store; nodes accept jobs as before.", "reason", err.Error())
 	}
 }
--- a/internal/planner/crashes_test.go
+++ b/internal/planner/crashes_test.go
@@ -1,17 +1,13 @@
 package planner_test
 
-// What users saw: a job's only task was on its 74th run when traffic ended, each run gone within
-// 10 ms together with its worker; in each ten seconds 50 of 48 workers crashed, and a third of the
-// quick work beside came late or failed.
+// These tests guard against tasks that crash their workers and are started again without limit: a job's only task was
+// started 74 times, each run ended within 10 ms with a crash of its worker, there were 50 crashes per 10 s among 48
+// workers, and a third of the short jobs beside it were late or failed.
 //
-// The order of events: a start reaches a worker, which crashes. 8 ms later its hold ends with EOF.
-// Its address answers for another incarnation after 3 s; only then is the run given back, and the
-// task waits as if it had never run. It is started at once on the next worker.
-//
-// The cause: only ends that a worker reports were counted, and a worker that crashed reports none.
-// A planner that follows knew nothing of crashes either. The evidence: one node planned all day, in
-// one reign; its log has 74 starts of the task, "Run is lost with its worker" after each, no line
-// of an end, and none of a start that was not answered.
+// Only ends that a worker reported were counted as failures, and a worker that crashed reports none. The hold to it
+// ends with EOF 8 ms after the start, and its address answers for another incarnation after 3 s. Then the task was
+// queued again as if it had never run, and started at once on the next worker. A new planner did not know of earlier
+// crashes either.
 
 import (
 	"fmt"
@@ -27,18 +23,18 @@
 )
 
 const (
-	// crashesUntil is how many workers may crash under a task before its starts are counted, and
-	// startsAfter how many starts more break the users' rule.
+	// crashesUntil is the number of workers that may crash under a task before its starts are counted. startsAfter is
+	// the number of further starts that exceeds the limit.
 	crashesUntil = 3
 	startsAfter  = 3
-	// longestWait is how many times 10 ms a task may wait for its next start: a planner that follows
-	// waits 10.1 s for a worker that is in no list any more.
-	longestWait = 1200
-	// backAfter is how long a worker that crashed is away.
+	// maxPolls is how many times 10 ms a task may wait for its next start: a new planner waits 10.1 s for a worker that
+	// is in no list any more.
+	maxPolls = 1200
+	// backAfter is how long a crashed worker is away.
 	backAfter = 2 * time.Second
 )
 
-// ids says under which ids workers come back after a crash.
+// ids tells under which ids workers return after a crash.
 type ids bool
 
 const (
@@ -46,9 +42,9 @@
 	ownIDs ids = true
 )
 
-// crashOn has each worker crash that starts a task of a job, and come back.
-func (bd *bed) crashOn(back ids, jobs ...string) {
-	lives := 0
+// crashOn makes each worker that starts a task of one of the jobs crash, and return later.
+func (bd *testbed) crashOn(back ids, jobs ...string) {
+	incarnations := 0
 	bad := func(sr cell.Start) bool {
 		for _, id := range jobs {
 			if sr.Task.Job == id {
@@ -63,14 +59,14 @@
 			bd.list(id)
 			return
 		}
-		lives++
+		incarnations++
 		bd.store.Remove(workersPrefix + id)
-		bd.addWorker(fmt.Sprintf("%s.%d", id, lives))
+		bd.addWorker(fmt.Sprintf("%s.%d", id, incarnations))
 	})
 }
 
 // startsOf counts the starts of each task of a job.
-func (bd *bed) startsOf(job string) map[work.Task]int {
+func (bd *testbed) startsOf(job string) map[work.Task]int {
 	counts := map[work.Task]int{}
 	for _, sr := range bd.fleet.Starts() {
 		if sr.Task.Job == job {
@@ -80,23 +76,23 @@
 	return counts
 }
 
-// checkBound fails where a task was started more often than the users' rule allows.
-func (bd *bed) checkBound(job string) {
+// checkBound fails the test if a task was started more often than allowed.
+func (bd *testbed) checkBound(job string) {
 	bd.t.Helper()
 	for task, starts := range bd.startsOf(job) {
 		if starts >= crashesUntil+startsAfter {
-			bd.t.Errorf("%s was started %d times, each time its worker crashed", task, starts)
+			bd.t.Errorf("%s was started %d times, and its worker crashed each time", task, starts)
 		}
 	}
 }
 
-// TestCrashingTaskIsGivenUp has a task crash each worker that starts it. Its job fails after a few
-// crashes; work beside it, which loses its workers as often as chance has it, does not.
+// TestCrashingTaskIsGivenUp runs a task that crashes each worker that starts it. Its job must fail after a few crashes.
+// Other jobs that lose workers by chance must not fail.
 func TestCrashingTaskIsGivenUp(t *testing.T) {
-	for name, back := range map[string]ids{"workers come back under new ids": newIDs, "under their own": ownIDs} {
+	for name, back := range map[string]ids{"workers return under new ids": newIDs, "workers return under their ids": ownIDs} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bd := newBed(t, 700*time.Millisecond, "w1", "w2", "w3", "w4", "w5", "w6")
+				bd := newTestbed(t, 700*time.Millisecond, "w1", "w2", "w3", "w4", "w5", "w6")
 				defer bd.end()
 				nd := bd.addNode("n1")
 				bd.crashOn(back, "bad")
@@ -115,8 +111,8 @@
 	}
 }
 
-// TestCrashesOutlivePlanners has the planner die after each crash, before and after it can know of
-// it. The bound holds over all of them.
+// TestCrashesOutlivePlanners stops the planner after each crash, before and after it can detect the crash. The limit
+// must hold across planners.
 func TestCrashesOutlivePlanners(t *testing.T) {
 	const soon, late = 300 * time.Millisecond, backAfter + 700*time.Millisecond
 	for name, tt := range map[string]struct {
@@ -130,7 +126,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bd := newBed(t, 700*time.Millisecond, "w1", "w2", "w3", "w4", "w5", "w6")
+				bd := newTestbed(t, 700*time.Millisecond, "w1", "w2", "w3", "w4", "w5", "w6")
 				defer bd.end()
 				bd.crashOn(tt.back, "bad")
 				bd.dieAtCrashes(tt.diesAfter)
@@ -141,15 +137,16 @@
 	}
 }
 
-// dieAtCrashes has planner after planner start a task that crashes its worker, and die a while after.
-func (bd *bed) dieAtCrashes(after time.Duration) {
+// dieAtCrashes has each of a series of planners start a task that crashes its worker, and stops the planner some time
+// later.
+func (bd *testbed) dieAtCrashes(after time.Duration) {
 	const planners = 12
 	nd := bd.addNode("n0")
 	bd.submit(nd, "bad", 1)
 	crashes := 0
 	starts := func() int { return bd.startsOf("bad")[work.Task{Job: "bad"}] }
 	for next := 1; next < planners; next++ {
-		for waited := 0; waited < longestWait && starts() == crashes; waited++ {
+		for waited := 0; waited < maxPolls && starts() == crashes; waited++ {
 			time.Sleep(10 * time.Millisecond)
 		}
 		crashes = starts()
@@ -161,12 +158,12 @@
 	}
 }
 
-// TestStopsToCrashedWorker has a worker crash whose runs are being stopped. The stops are not sent
-// again and again while nobody listens at its address.
+// TestStopsToCrashedWorker crashes a worker whose runs are being stopped. The stops must not be repeated at a high rate
+// while nothing listens at the worker's address.
 func TestStopsToCrashedWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const runs, mostEach = 4, 7
-		bd := newBed(t, 20*time.Second, "w1")
+		bd := newTestbed(t, 20*time.Second, "w1")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		bd.crashOn(newIDs)
@@ -185,17 +182,17 @@
 		}
 		time.Sleep(backAfter + time.Second)
 		if sent := stops.Load(); sent > runs*mostEach {
-			t.Errorf("%d stops of %d runs to a worker that had crashed", sent, runs)
+			t.Errorf("%d stops of %d runs were sent to a crashed worker", sent, runs)
 		}
 	})
 }
 
-// TestCutsAreNoCrashes cuts all workers off again and again for longer than their lease, while
-// planners change. They answer again each time, so that nothing is attributed to what ran there.
+// TestCutsAreNoCrashes repeatedly disconnects all workers for longer than their lease, while planners change. The
+// workers answer again each time, so that no crash may be attributed to their tasks.
 func TestCutsAreNoCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const cuts, cut, calm = 6, 8 * time.Second, 4 * time.Second
-		bd := newBed(t, 12*time.Second, "w1", "w2", "w3")
+		bd := newTestbed(t, 12*time.Second, "w1", "w2", "w3")
 		defer bd.end()
 		nd := bd.addNode("n0")
 		bd.submit(nd, "a", 6)
@@ -208,7 +205,7 @@
 				nd.cancel()
 				nd = follower
 			}
-			bd.calm()
+			bd.clearFaults()
 		}
 		bd.await("a", cell.Succeeded, time.Minute)
 	})
--- a/internal/planner/fence.go
+++ b/internal/planner/fence.go
@@ -6,39 +6,39 @@
 	"tackbeam.example/tackbeam/internal/agent"
 )
 
-// Workers do nothing for a token lower than one that they have seen. Each session with a worker has a higher
-// one than the session before, so that the first report of a worker's next life bars, in that life, whatever
-// was ordered of the earlier one and is still under way: the id that orders name is that of both.
+// A worker rejects orders whose fencing token is lower than one that it has seen. Each session with a worker has a
+// higher token than the session before. So the first hold that reaches a new incarnation of the worker makes it reject
+// all orders that were meant for the previous incarnation and are still under way, although both have the same id.
 
-// sessionBits is the part of a token that counts the sessions with a worker in a reign. The reign's number
-// is above it, so that every token of the next reign is higher.
+// sessionBits is the number of low bits of a token that count the sessions with a worker in a term. The term's number
+// is above them, so that every token of the next term is higher.
 const sessionBits = 16
 
-// mostSessions is how many sessions with a worker a reign may have.
-const mostSessions = 1<<sessionBits - 1
+// maxSessions is the maximum number of sessions with one worker in a term.
+const maxSessions = 1<<sessionBits - 1
 
-// fence returns the token of the next session with a worker.
-func (ld *lead) fence(id string) uint64 {
-	count := ld.fences[id]
-	if count == mostSessions {
-		ld.reign.Depose("worker " + id + " has begun again too often for one reign")
+// nextToken returns the token of the next session with a worker.
+func (ld *leader) nextToken(id string) uint64 {
+	count := ld.sessionCounts[id]
+	if count == maxSessions {
+		ld.reign.Depose("worker " + id + " has restarted too often in one term")
 	}
-	ld.fences[id] = min(count+1, mostSessions)
+	ld.sessionCounts[id] = min(count+1, maxSessions)
 	return ld.reign.Token<<sessionBits | count
 }
 
-// fenced deposes the reign if another planner's token is why a worker did nothing, not that of a later
-// session of this one.
-func (se *session) fenced(err error) bool {
+// handleFenced reports whether err is agent.ErrFenced. It ends the term if the worker rejected the call because of
+// another planner's token, rather than because of a later session of this planner.
+func (se *session) handleFenced(err error) bool {
 	if !errors.Is(err, agent.ErrFenced) {
 		return false
 	}
-	ld := se.lead
+	ld := se.leader
 	ld.mu.Lock()
 	ended := se.ended
 	ld.mu.Unlock()
 	if !ended {
-		ld.reign.Depose("worker " + string(se.life) + " follows a later planner")
+		ld.reign.Depose("worker " + string(se.incarnation) + " has seen the token of a later planner")
 	}
 	return true
 }
--- /dev/null
+++ b/internal/planner/gc.go
@@ -0,0 +1,151 @@
+package planner
+
+import (
+	"context"
+	"time"
+
+	"tackbeam.example/policy/cell"
+
+	"tackbeam.example/tackbeam/internal/joblog"
+	"tackbeam.example/tackbeam/internal/kv"
+	"tackbeam.example/tackbeam/internal/loop"
+)
+
+// gcInterval is the interval between two removals of keys that are no longer needed. About a thousand jobs end within
+// it at the largest sites.
+const gcInterval = 10 * time.Second
+
+// Settings for removing old keys. Removal is not urgent: keys that remain are removed in the next round.
+const (
+	// gcTimeout bounds one removal. The store answers in 4 ms, or in 0.25 s when it is slow.
+	gcTimeout = time.Second
+	// gcHedge is how long to wait for an answer before the removal is sent again.
+	gcHedge = 300 * time.Millisecond
+	// gcRefused is so short that a removal which the store refuses is not sent again.
+	gcRefused = time.Millisecond
+)
+
+// batchIndex records which jobs and cancellations each batch of the journal contains, and in how many batches each job
+// id occurs.
+type batchIndex struct {
+	ids  map[string][]string
+	refs map[string]int
+}
+
+func (bi *batchIndex) init() {
+	bi.ids = map[string][]string{}
+	bi.refs = map[string]int{}
+}
+
+func (bi *batchIndex) add(key string, bt *joblog.Batch) {
+	ids := append([]string{}, bt.Cancels...)
+	for at := range bt.Jobs {
+		ids = append(ids, bt.Jobs[at].ID)
+	}
+	bi.ids[key] = ids
+	for _, id := range ids {
+		bi.refs[id]++
+	}
+}
+
+func (bi *batchIndex) has(key string) bool {
+	_, ok := bi.ids[key]
+	return ok
+}
+
+func (bi *batchIndex) drop(key string) {
+	for _, id := range bi.ids[key] {
+		if bi.refs[id]--; bi.refs[id] == 0 {
+			delete(bi.refs, id)
+		}
+	}
+	delete(bi.ids, key)
+}
+
+// gcLoop removes batches and records whose jobs are no longer known to the cell.
+func (ld *leader) gcLoop(ctx context.Context) {
+	for loop.Pause(ctx, ld.clock, gcInterval) {
+		for _, keys := range ld.removable() {
+			if err := ld.remove(ctx, keys); err != nil {
+				ld.log.Info("Removing old keys of the journal failed; trying again in the next round.", "keys", len(keys), "reason", err.Error())
+				break
+			}
+			ld.forgetKeys(keys)
+		}
+	}
+}
+
+// remove removes keys. Each key is written only once, so a repeated attempt does no harm. Settle ends with the term: a
+// call that may change something otherwise runs until its deadline, or for 10 s, and would delay the node's next term.
+func (ld *leader) remove(ctx context.Context, keys []string) error {
+	call, cancel := context.WithTimeout(ctx, gcTimeout)
+	defer cancel()
+	settling := kv.Settling{Clock: ld.clock, Hedge: gcHedge, Refused: gcRefused}
+	_, _, err := ld.opts.Store.Settle(call, settling, kv.Txn{
+		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
+		Removes:    keys,
+	})
+	return err
+}
+
+// removable returns the keys that are no longer needed, in groups of one write each.
+func (ld *leader) removable() [][]string {
+	ld.mu.Lock()
+	defer ld.mu.Unlock()
+	if !ld.loaded || !ld.cell.Settled() {
+		return nil
+	}
+	var keys []string
+	for key, ids := range ld.batches.ids {
+		if !ld.anyKnown(ids) {
+			keys = append(keys, key)
+		}
+	}
+	for key, recs := range ld.records.keys {
+		if !ld.needed(key, recs) {
+			keys = append(keys, key)
+		}
+	}
+	const maxKeys = kv.MaxEntries - 1 // one entry is the condition
+	var groups [][]string
+	for len(keys) > 0 {
+		n := min(len(keys), maxKeys)
+		groups = append(groups, keys[:n])
+		keys = keys[n:]
+	}
+	return groups
+}
+
+func (ld *leader) anyKnown(ids []string) bool {
+	for _, id := range ids {
+		if ld.cell.Known(id) {
+			return true
+		}
+	}
+	return false
+}
+
+// needed reports whether a record concerns a job or worker that still matters. The record of an ended job stays until
+// its batch is removed, because otherwise another planner would run the job again. Records of workers by earlier
+// planners are not needed: each planner records the workers that it uses itself.
+func (ld *leader) needed(key string, recs []cell.Record) bool {
+	own := key >= joblog.RecordKey(ld.reign.Token, 0)
+	for _, rec := range recs {
+		if rec.Job != "" && (ld.cell.Known(rec.Job) || ld.batches.refs[rec.Job] > 0) {
+			return true
+		}
+		if known, _ := ld.cell.Listed(rec.Worker); rec.Worker != "" && !rec.Stop && own && known {
+			return true
+		}
+	}
+	return false
+}
+
+func (ld *leader) forgetKeys(keys []string) {
+	ld.mu.Lock()
+	defer ld.mu.Unlock()
+	for _, key := range keys {
+		ld.batches.drop(key)
+		delete(ld.records.keys, key)
+	}
+}
--- /dev/null
+++ b/internal/planner/incarnation.go
@@ -0,0 +1,134 @@
+package planner
+
+import (
+	"time"
+
+	"github.com/pkg/errors"
+
+	"tackbeam.example/policy/life"
+
+	"tackbeam.example/tackbeam/internal/agent"
+)
+
+// A worker may restart under the same id. Its new incarnation knows nothing of the previous one: it numbers its ends
+// from 1, and its clock starts at 0. With state kept by worker id, the planner would tell the new incarnation to forget
+// ends that the planner has not received, and ignore others as duplicates, so that their tasks would run again. So a
+// session, and all state of the cell, belongs to one incarnation. Only the worker's reports tell which incarnation is
+// running: an entry in the list of workers may be late, early or written by someone else.
+
+// recordCall records whether the worker answered a call.
+func (se *session) recordCall(err error) {
+	ld := se.leader
+	lost := errors.Is(err, agent.ErrNoAnswer)
+	ld.lossRate.record(!lost)
+	if lost {
+		ld.mu.Lock()
+		defer ld.mu.Unlock()
+		se.unanswered = true
+	}
+}
+
+// ackedEnd returns the number of the last end that the worker need not report again, for the next call to it. After a
+// call without an answer another incarnation may be running, which would forget ends of its own that were not read;
+// then the result is 0. The caller holds the lock.
+func (se *session) ackedEnd() int {
+	if se.unanswered {
+		return 0
+	}
+	number, _ := se.leader.cell.Noted(se.incarnation)
+	return number
+}
+
+// matches reports whether an entry may be of the session's incarnation, as far as the start times are known.
+func (se *session) matches(en WorkerEntry) bool {
+	born := en.ID.Born()
+	return born == 0 || born == se.startedAt || se.startedAt == 0 && !se.answered
+}
+
+// expectOther handles an entry of another incarnation than the one that answered. The worker is asked for a report at
+// once, and gets no runs until it has answered.
+func (se *session) expectOther(en WorkerEntry) {
+	ld := se.leader
+	if en.ID.Born() < se.startedAt {
+		ld.log.Info("Ignoring the entry of an earlier incarnation of a worker.", "worker", se.incarnation, "entry", en.ID)
+		return
+	}
+	known := se.other != nil && se.other.ID == en.ID
+	se.other = &en
+	if known {
+		return
+	}
+	ld.log.Info("Worker's entry is of another incarnation.", "worker", se.incarnation, "entry", en.ID)
+	ld.cell.Silent(ld.now(), se.incarnation)
+	se.requestReport()
+}
+
+// accepts reports whether a report is of the session's incarnation. If it is of a later one, a session with that
+// begins. The caller holds the lock.
+func (se *session) accepts(report agent.Report) bool {
+	ld := se.leader
+	switch {
+	case report.StartedAt == 0 || report.StartedAt == se.startedAt:
+		return true
+	case se.startedAt == 0 && !se.answered:
+		se.startedAt = report.StartedAt
+		return true
+	case se.answered && report.StartedAt < se.startedAt:
+		ld.log.Info("Ignoring the report of an earlier incarnation of a worker.", "worker", se.incarnation, "born", report.StartedAt)
+		return false
+	}
+	next := life.Of(se.incarnation.ID(), report.StartedAt)
+	ld.log.Info("Worker has restarted under the same id.", "worker", next, "before", se.incarnation,
+		"clock", report.Clock.String(), "clock_before", se.clock.String())
+	se.replace(next)
+	return false
+}
+
+// replace ends the session in favour of another incarnation of the worker, whose entry may not be in the list yet.
+func (se *session) replace(next life.Life) {
+	ld, now := se.leader, se.leader.now()
+	en := se.entry
+	listed := se.other != nil && se.other.ID == next
+	if listed {
+		en = *se.other
+	}
+	en.ID, se.other = next, nil
+	ld.transferUnresolved(se.incarnation, next)
+	se.close(now, func() { ld.cell.Follow(now, se.incarnation, next) })
+	if listed {
+		ld.addWorker(en)
+		return
+	}
+	ld.cell.Inherit(now, next, nil)
+	ld.beginSession(en)
+}
+
+// transferUnresolved makes tasks of earlier planners wait for the next incarnation if they waited for the previous one:
+// a start that the earlier planner had an answer to may have been carried out by either.
+func (ld *leader) transferUnresolved(earlier, next life.Life) {
+	if open, old := ld.unresolved[earlier]; old {
+		ld.unresolved[next] = open
+	}
+}
+
+// startOther begins a session with the other incarnation in the list of workers, if there is one.
+func (se *session) startOther() {
+	if se.other != nil {
+		se.leader.addWorker(*se.other)
+		se.other = nil
+	}
+}
+
+// resolveEarlier handles the first answer of an incarnation: other incarnations of the worker that earlier planners
+// recorded are over.
+func (se *session) resolveEarlier(now time.Duration) {
+	ld := se.leader
+	for _, lf := range ld.earlier[se.incarnation.ID()] {
+		if _, old := ld.unresolved[lf]; old && lf != se.incarnation {
+			ld.log.Info("Worker's incarnation is over.", "worker", lf)
+			ld.cell.Over(now, lf)
+			delete(ld.unresolved, lf)
+		}
+	}
+	delete(ld.unresolved, se.incarnation)
+}
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -12,25 +12,25 @@
 	"tackbeam.example/tackbeam/internal/loop"
 )
 
-// readRecords reads what earlier planners wrote.
-func (ld *lead) readRecords(ctx context.Context) ([]kv.Item, bool) {
-	reading := ld.parts.Store.Read(ld.clock, joblog.Records)
+// readRecords reads the records of earlier planners.
+func (ld *leader) readRecords(ctx context.Context) ([]kv.Item, bool) {
+	reading := ld.opts.Store.Read(ld.clock, joblog.Records)
 	for {
 		if reading.On(ctx) == nil {
 			return reading.Items(), true
 		}
-		if !loop.Pause(ctx, ld.clock, readPause) {
+		if !loop.Pause(ctx, ld.clock, readRetryPause) {
 			return nil, false
 		}
 	}
 }
 
-// readPause is the pause between two tries to read a page of the records.
-const readPause = 50 * time.Millisecond
+// readRetryPause is the pause before another attempt to read a page of the records.
+const readRetryPause = 50 * time.Millisecond
 
-// takeBatches takes in accepted jobs and cancels; the first time, with the records
-// of earlier planners.
-func (ld *lead) takeBatches(items []kv.Item, whole bool, old []kv.Item) {
+// applyBatches applies accepted jobs and cancellations. The first complete read also restores the records of earlier
+// planners.
+func (ld *leader) applyBatches(items []kv.Item, whole bool, old []kv.Item) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	now := ld.now()
@@ -40,34 +40,34 @@
 		}
 		bt, err := joblog.Decode[joblog.Batch](item.Value)
 		if err != nil {
-			ld.log.Error(err, "A batch of the journal cannot be read.", "key", item.Key)
+			ld.log.Error(err, "Batch of the journal cannot be decoded.", "key", item.Key)
 			continue
 		}
-		ld.takeBatch(now, item.Key, item.Revision, &bt)
+		ld.applyBatch(now, item.Key, item.Revision, &bt)
 	}
 	if whole && !ld.loaded {
 		ld.restore(now, old)
 		ld.loaded = true
-		close(ld.journaled)
-		ld.log.Info("Journal is read.", "batches", len(items), "writes", len(old), "after", now.String())
+		close(ld.journalRead)
+		ld.log.Info("Journal has been read.", "batches", len(items), "writes", len(old), "after", now.String())
 	}
-	ld.settle(now)
-	ld.kick()
+	ld.checkRecovery(now)
+	ld.schedulePlan()
 }
 
-// written takes in a batch that its node told of. Before the journal has been read whole, that
-// shows it soon enough.
-func (ld *lead) written(wr joblog.WrittenBatch) {
+// addBatch applies a batch that a node has announced. Until the journal has been read completely, the batch is left to
+// that read.
+func (ld *leader) addBatch(wr joblog.WrittenBatch) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	if ld.loaded {
-		ld.takeBatch(ld.now(), wr.Key, wr.Revision, &wr.Batch)
-		ld.kick()
+		ld.applyBatch(ld.now(), wr.Key, wr.Revision, &wr.Batch)
+		ld.schedulePlan()
 	}
 }
 
-// takeBatch takes a batch in, unless it was before.
-func (ld *lead) takeBatch(now time.Duration, key string, revision uint64, bt *joblog.Batch) {
+// applyBatch applies a batch that has not been applied yet.
+func (ld *leader) applyBatch(now time.Duration, key string, revision uint64, bt *joblog.Batch) {
 	if ld.batches.has(key) {
 		return
 	}
@@ -75,10 +75,10 @@
 	age := bt.Age(ld.wall())
 	for at := range bt.Jobs {
 		jb := &bt.Jobs[at]
-		if qu, ok := ld.parts.Queue(jb.Queue.Name); ok {
+		if qu, ok := ld.opts.Queue(jb.Queue.Name); ok {
 			jb.Queue = jb.Queue.Later(qu)
 		}
-		if ws, ok := ld.parts.Workspace(jb.Workspace.Name); ok {
+		if ws, ok := ld.opts.Workspace(jb.Workspace.Name); ok {
 			jb.Workspace = jb.Workspace.Later(ws)
 		}
 		if inherited {
@@ -86,24 +86,24 @@
 		} else {
 			ld.cell.Add(now, jb, false)
 		}
-		ld.log.Info("Job taken in.", "job", jb.ID, "queue", jb.Queue.Name, "revision", revision, "inherited", inherited)
+		ld.log.Info("Job added.", "job", jb.ID, "queue", jb.Queue.Name, "revision", revision, "inherited", inherited)
 	}
 	for _, id := range bt.Cancels {
 		ld.cell.Cancel(now, id, bt.Cancellers[id])
-		ld.log.Info("Cancel taken in.", "job", id, "revision", revision)
+		ld.log.Info("Cancellation added.", "job", id, "revision", revision)
 	}
 	ld.batches.add(key, bt)
 }
 
-// restore takes in what earlier planners recorded.
-func (ld *lead) restore(now time.Duration, items []kv.Item) {
+// restore applies the records of earlier planners.
+func (ld *leader) restore(now time.Duration, items []kv.Item) {
 	var all []cell.Record
 	workers := map[life.Life]cell.Record{}
 	stops := map[life.Life][]cell.Run{}
 	for at, item := range items {
 		recs, err := joblog.Decode[[]cell.Record](item.Value)
 		if err != nil {
-			ld.log.Error(err, "Records of an earlier planner cannot be read.", "key", item.Key)
+			ld.log.Error(err, "Records of an earlier planner cannot be decoded.", "key", item.Key)
 			continue
 		}
 		ld.records.keep(item.Key, recs)
@@ -127,44 +127,45 @@
 		if rec.Left {
 			ld.cell.InheritLeft(now, id)
 		}
-		ld.old[id] = !rec.Closed
+		ld.unresolved[id] = !rec.Closed
 		ld.earlier[id.ID()] = append(ld.earlier[id.ID()], id)
 	}
 }
 
-// recentWrites is the number of the journal's last writes in which stops may be that
-// are not over: writes are commitGap apart, a stop takes up to 0.9 s.
+// recentWrites is the number of last writes of the journal that may contain unfinished stops: writes are at least
+// commitDelay apart, and a stop takes up to 0.9 s.
 const recentWrites = 40
 
-// settle lets workers lapse that no list names any more, and frees the old tasks once
-// no worker can hold any of them unknown.
-func (ld *lead) settle(now time.Duration) {
+// checkRecovery expires the leases of workers of earlier planners that are in no list any more. It completes the
+// recovery, and so releases the tasks of earlier planners once no worker can run any of them without the planner
+// knowing.
+func (ld *leader) checkRecovery(now time.Duration) {
 	if !ld.loaded {
 		return
 	}
 	open := 0
-	for id, any := range ld.old {
-		if _, ok := ld.sessions[id]; !ok && now > ld.lapseUnknown() {
-			ld.lapseOld(now, id)
+	for id, any := range ld.unresolved {
+		if _, ok := ld.sessions[id]; !ok && now > ld.unknownExpiry() {
+			ld.expireOld(now, id)
 		} else if any {
 			open++
 		}
 	}
 	if open == 0 && !ld.cell.Settled() {
 		ld.cell.Settle()
-		ld.log.Info("Whereabouts of all tasks are known.", "after", now.String(), "silent", len(ld.old))
+		ld.log.Info("Recovery is complete: no earlier planner's task can be running unknown to this one.", "after", now.String(), "silent", len(ld.unresolved))
 	}
 }
 
-// lapseUnknown is when a worker that an earlier planner held has surely ended all
-// that it ran, if it has not answered this one: the earlier planner renewed it for
-// the last time at most unproven after its last proof.
-func (ld *lead) lapseUnknown() time.Duration {
-	return unproven + time.Duration(float64(ld.lease)*(1+drift)) + time.Second
+// unknownExpiry is when a worker of an earlier planner that has not answered this one has surely ended all its runs:
+// the earlier planner last renewed the worker's lease at most maxUnrenewed after the last confirmed renewal of its own
+// lease.
+func (ld *leader) unknownExpiry() time.Duration {
+	return maxUnrenewed + time.Duration(float64(ld.lease)*(1+maxClockDrift)) + time.Second
 }
 
-func (ld *lead) lapseOld(now time.Duration, id life.Life) {
-	delete(ld.old, id)
+func (ld *leader) expireOld(now time.Duration, id life.Life) {
+	delete(ld.unresolved, id)
 	ld.cell.Lapsed(now, id)
-	ld.log.Info("Worker of an earlier planner has lapsed.", "worker", id)
+	ld.log.Info("Lease of an earlier planner's worker has expired.", "worker", id)
 }
--- a/internal/planner/manyworkers_test.go
+++ b/internal/planner/manyworkers_test.go
@@ -74,14 +74,14 @@
 		// within is the time limit of the job, and how long the node is observed after it.
 		within time.Duration
 	}{
-		"3,000 workers":                    {workers: 3000, within: 8 * time.Second},
-		"3,000 workers, a quarter is dead": {workers: 3000, dead: 750, within: 10 * time.Second},
-		"10 workers":                       {workers: 10, within: time.Second},
+		"3,000 workers":                         {workers: 3000, within: 8 * time.Second},
+		"3,000 workers, a quarter of them dead": {workers: 3000, dead: 750, within: 10 * time.Second},
+		"10 workers":                            {workers: 10, within: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const connectTime, callTime = time.Millisecond, 100 * time.Microsecond
-				bd := newBed(t, time.Second)
+				bd := newTestbed(t, time.Second)
 				defer bd.end()
 				dead := map[string]bool{}
 				for at := range tc.workers {
@@ -103,7 +103,7 @@
 				bd.submit(nd, "a", 10)
 				bd.await("a", cell.Succeeded, tc.within)
 				time.Sleep(tc.within)
-				if number := nd.reign().Number; number != 1 {
+				if number := nd.currentTerm().Number; number != 1 {
 					t.Errorf("the node lost leadership %d times", number-1)
 				}
 			})
--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -15,26 +15,26 @@
 	"tackbeam.example/tackbeam/internal/loop"
 )
 
-// Times of orders.
+// Timeouts of orders.
 const (
-	// stopTimeout is how long a worker may take to answer a stop or a change of pace: it
-	// does so within a few ms, on a lossy link within a retransmission of 200 ms.
+	// stopTimeout is how long a worker may take to answer a stop or a change of pace. It answers within a few ms, on a
+	// lossy link within a retransmission of 200 ms.
 	stopTimeout = 400 * time.Millisecond
-	// stopPatience is added to the time that a stop takes, before a report is asked for
-	// that shows that the run is gone.
-	stopPatience = 120 * time.Millisecond
+	// stopReportDelay is the time, in addition to the duration of a stop, after which a report is requested to confirm
+	// that the run has ended.
+	stopReportDelay = 120 * time.Millisecond
 )
 
-// stopPause is the pause before a stop that was not answered is sent again: a worker that crashed answers
-// none until another one is in its place.
-var stopPause = backoff.Backoff{First: 50 * time.Millisecond, Most: 800 * time.Millisecond}
+// stopBackoff is the pause before an unanswered stop is sent again. A crashed worker answers none until another one is
+// in its place.
+var stopBackoff = backoff.Backoff{First: 50 * time.Millisecond, Most: 800 * time.Millisecond}
 
-// start carries out one start.
-func (ld *lead) start(sr cell.Start) {
-	se, deadline, ok := ld.prepare(sr)
-	if !ok || !ld.mayStart() {
-		ld.after(func(now time.Duration) {
-			ld.effort.end(now-sr.Decided, cell.RefusedLate)
+// sendStart sends one start and records its outcome.
+func (ld *leader) sendStart(sr cell.Start) {
+	se, deadline, ok := ld.prepareStart(sr)
+	if !ok || !ld.canPlan() {
+		ld.update(func(now time.Duration) {
+			ld.stats.end(now-sr.Decided, cell.RefusedLate)
 			ld.cell.Refused(now, sr, cell.RefusedLate)
 		})
 		ld.log.Info("Start was not sent.", "task", sr.Task.String(), "run", sr.Run, "worker", sr.Worker)
@@ -42,20 +42,20 @@
 	}
 	sent := ld.clock.Now()
 	tries := 0
-	refusal, err := ld.patience.repeat(func() bool { return ld.mayStart() && ld.stands(sr) }, func(wait time.Duration) (cell.Refusal, error) {
+	refusal, err := ld.replyTimeout.retry(func() bool { return ld.canPlan() && ld.startValid(sr) }, func(wait time.Duration) (cell.Refusal, error) {
 		tries++
 		call, cancel := context.WithTimeout(context.WithoutCancel(ld.ctx), wait)
 		defer cancel()
 		began := ld.clock.Now()
-		refusal, err := ld.parts.Agents.Start(call, se.target(), se.token, deadline, sr)
-		ld.patience.note(ld.clock.Since(began))
-		se.note(err)
+		refusal, err := ld.opts.Agents.Start(call, se.target(), se.token, deadline, sr)
+		ld.replyTimeout.record(ld.clock.Since(began))
+		se.recordCall(err)
 		return refusal, err
 	})
 	took := ld.clock.Since(sent)
-	ld.measures.start(took, refusal, err)
-	ld.after(func(now time.Duration) {
-		ld.effort.end(now-sr.Decided, refusal)
+	ld.metrics.start(took, refusal, err)
+	ld.update(func(now time.Duration) {
+		ld.stats.end(now-sr.Decided, refusal)
 		if tries > 1 {
 			ld.cell.StartDelayed(sr)
 		}
@@ -65,39 +65,38 @@
 		case err == nil:
 			ld.cell.Refused(now, sr, refusal)
 		case tries == 1 && (errors.Is(err, agent.ErrOtherIncarnation) || errors.Is(err, agent.ErrFenced)):
-			// Another life has answered the only try: the run never was there, and what ended
-			// the worker is not to be attributed to it.
+			// Another incarnation answered the only attempt, so the run never began, and the end of the previous
+			// incarnation must not be attributed to it.
 			ld.cell.Refused(now, sr, cell.RefusedLate)
 		default:
 			ld.cell.StartLost(now, sr)
 		}
 	})
-	ld.log.Info("Start.", "task", sr.Task.String(), "run", sr.Run, "worker", sr.Worker,
-		"took", took.String(), "tries", tries, "refusal", refusal, "error", text(err))
-	ld.orderFailed(se, err)
+	ld.log.Info("Sent start.", "task", sr.Task.String(), "run", sr.Run, "worker", sr.Worker,
+		"took", took.String(), "tries", tries, "refusal", refusal, "error", errorText(err))
+	ld.handleOrderError(se, err)
 }
 
-// mayStart reports whether the reign may start tasks now.
-func (ld *lead) mayStart() bool { return ld.ctx.Err() == nil && ld.reign.Proven() && ld.knowsRoom() }
+// canPlan reports whether tasks may be started now.
+func (ld *leader) canPlan() bool { return ld.ctx.Err() == nil && ld.reign.Proven() && ld.listFresh() }
 
-func text(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-// stands reports whether a start may still be sent to its worker. A planner that is behind sends
-// starts seconds after it decided them, and users allow 2 s after a worker has said that it leaves.
-func (ld *lead) stands(sr cell.Start) bool {
+// startValid reports whether a start may still be sent to its worker. A planner that is behind sends starts seconds
+// after their decision, but a worker may be given tasks only for 2 s after it has announced that it leaves.
+func (ld *leader) startValid(sr cell.Start) bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	return ld.cell.Stands(sr)
 }
 
-// prepare returns what a start needs: its worker's session, and the deadline that the worker's lease
-// has.
-func (ld *lead) prepare(sr cell.Start) (*session, time.Duration, bool) {
+// prepareStart returns the session of a start's worker and the deadline of the worker's lease.
+func (ld *leader) prepareStart(sr cell.Start) (*session, time.Duration, bool) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	se, ok := ld.sessions[sr.Worker]
@@ -107,24 +106,24 @@
 	return se, se.extend(ld.now()), true
 }
 
-// after takes the outcome of an order in, and plans again.
-func (ld *lead) after(act func(now time.Duration)) {
+// update applies the outcome of an order to the cell, and schedules a planning pass.
+func (ld *leader) update(act func(now time.Duration)) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	act(ld.now())
-	ld.kick()
+	ld.schedulePlan()
 }
 
-// orderFailed draws the consequences of an order's error beyond the order itself.
-func (ld *lead) orderFailed(se *session, err error) {
-	if !se.fenced(err) && errors.Is(err, agent.ErrOtherIncarnation) {
-		ld.after(func(now time.Duration) { se.dead(now) })
+// handleOrderError handles consequences of an order's error that concern the session or the term.
+func (ld *leader) handleOrderError(se *session, err error) {
+	if !se.handleFenced(err) && errors.Is(err, agent.ErrOtherIncarnation) {
+		ld.update(func(now time.Duration) { se.incarnationOver(now) })
 	}
 }
 
-// send carries an order other than a start to a worker. It reports false where the worker
-// is gone, or the reign over.
-func (ld *lead) send(id life.Life, order func(ctx context.Context, to agent.Target, token uint64) error) (se *session, sent bool, err error) {
+// send sends an order other than a start to a worker. sent is false if the worker has no session, or if the term is
+// over.
+func (ld *leader) send(id life.Life, order func(ctx context.Context, to agent.Target, token uint64) error) (se *session, sent bool, err error) {
 	ld.mu.Lock()
 	se, ok := ld.sessions[id]
 	ld.mu.Unlock()
@@ -136,54 +135,54 @@
 	return se, true, order(call, se.target(), se.token)
 }
 
-// stop carries out one stop, and has it ordered again while it is not confirmed.
-func (ld *lead) stop(sp cell.Stop) {
+// sendStop sends one stop. If the stop is not confirmed, the cell orders it again.
+func (ld *leader) sendStop(sp cell.Stop) {
 	se, sent, err := ld.send(sp.Worker, func(ctx context.Context, to agent.Target, token uint64) error {
-		return ld.parts.Agents.Stop(ctx, to, token, sp)
+		return ld.opts.Agents.Stop(ctx, to, token, sp)
 	})
 	if !sent {
 		return
 	}
-	ld.measures.count("planner.stops")
-	ld.log.Info("Stop.", "task", sp.Task.String(), "run", sp.Run, "worker", sp.Worker, "reason", sp.Reason, "error", text(err))
+	ld.metrics.count("planner.stops")
+	ld.log.Info("Sent stop.", "task", sp.Task.String(), "run", sp.Run, "worker", sp.Worker, "reason", sp.Reason, "error", errorText(err))
 	if err == nil {
-		ld.after(func(now time.Duration) {
+		ld.update(func(now time.Duration) {
 			if ld.cell.Stopped(now, sp) {
-				// A run that never was there has no end that would be reported.
-				ld.clock.AfterFunc(ld.parts.Site.Bounds.StopTime+stopPatience, func() { ld.ask(sp.Worker) })
+				// A run that never began has no end to report.
+				ld.clock.AfterFunc(ld.opts.Site.Bounds.StopTime+stopReportDelay, func() { ld.requestReport(sp.Worker) })
 			}
 		})
 		return
 	}
-	ld.orderFailed(se, err)
-	if loop.Pause(ld.ctx, ld.clock, stopPause.After(sp.Tries)) {
-		ld.after(func(time.Duration) { ld.cell.StopLost(sp) })
+	ld.handleOrderError(se, err)
+	if loop.Pause(ld.ctx, ld.clock, stopBackoff.After(sp.Tries)) {
+		ld.update(func(time.Duration) { ld.cell.StopLost(sp) })
 	}
 }
 
-// setPace carries out one change of a run's pace.
-func (ld *lead) setPace(pc cell.Pace) {
+// sendPace sends one change of a run's pace.
+func (ld *leader) sendPace(pc cell.Pace) {
 	se, sent, err := ld.send(pc.Worker, func(ctx context.Context, to agent.Target, token uint64) error {
-		return ld.parts.Agents.Pace(ctx, to, token, pc)
+		return ld.opts.Agents.Pace(ctx, to, token, pc)
 	})
 	if !sent {
 		return
 	}
-	ld.log.Info("Pace.", "task", pc.Task.String(), "run", pc.Run, "worker", pc.Worker, "percent", pc.Percent, "error", text(err))
+	ld.log.Info("Sent change of pace.", "task", pc.Task.String(), "run", pc.Run, "worker", pc.Worker, "percent", pc.Percent, "error", errorText(err))
 	if err != nil {
-		ld.orderFailed(se, err)
-		ld.after(func(time.Duration) { ld.cell.PaceLost(pc) })
+		ld.handleOrderError(se, err)
+		ld.update(func(time.Duration) { ld.cell.PaceLost(pc) })
 	}
 }
 
-// advise asks one question.
-func (ld *lead) advise(qn cell.Question) {
+// requestAdvice sends one advice request.
+func (ld *leader) requestAdvice(qn cell.Question) {
 	sent := ld.clock.Now()
-	answer, err := ld.parts.Advise(ld.ctx, qn)
+	answer, err := ld.opts.Advise(ld.ctx, qn)
 	took := ld.clock.Since(sent)
-	ld.measures.timed("planner.advice", took)
+	ld.metrics.observe("planner.advice", took)
 	busy := fault.Is(err, fault.Full)
-	ld.after(func(now time.Duration) {
+	ld.update(func(now time.Duration) {
 		switch {
 		case busy:
 			ld.cell.PutOff(now, qn)
@@ -194,10 +193,10 @@
 		}
 	})
 	if busy {
-		// Nothing was asked; the cell asks again soon, which may be often.
-		ld.measures.count("planner.advice.put_off")
+		// The request was not sent. The cell soon repeats it, possibly often, so this is not logged.
+		ld.metrics.count("planner.advice.put_off")
 		return
 	}
-	ld.log.Info("Advice.", "step", qn.Step.StepName(), "asked", len(qn.Workers), "allowed", len(answer.Tickets),
-		"took", took.String(), "error", text(err))
+	ld.log.Info("Requested advice.", "step", qn.Step.StepName(), "asked", len(qn.Workers), "allowed", len(answer.Tickets),
+		"took", took.String(), "error", errorText(err))
 }
--- a/internal/planner/planloop.go
+++ b/internal/planner/planloop.go
@@ -9,16 +9,16 @@
 	"tackbeam.example/tackbeam/internal/loop"
 )
 
-// keepPace has another node plan where this one is too slow.
-func (ld *lead) keepPace() {
-	if ld.pace.slow(ld.now()) {
+// yieldIfSlow lets another node plan if this one is too slow.
+func (ld *leader) yieldIfSlow() {
+	if ld.tickMonitor.slow(ld.now()) {
 		ld.reign.Yield("this node is too slow to plan")
 	}
 }
 
-// planLoop plans when something has changed, and at each tick.
-func (ld *lead) planLoop(ctx context.Context) {
-	timer := ld.clock.NewTicker(tick)
+// planLoop plans after changes, and at each tick.
+func (ld *leader) planLoop(ctx context.Context) {
+	timer := ld.clock.NewTicker(tickInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -28,18 +28,18 @@
 		case <-timer.Chan():
 			ld.tick()
 		}
-		if !loop.Pause(ctx, ld.clock, cell.Rest(ld.plan(), planGap)) {
+		if !loop.Pause(ctx, ld.clock, cell.Rest(ld.plan(), planPause)) {
 			return
 		}
 	}
 }
 
-func (ld *lead) kick() {
+func (ld *leader) schedulePlan() {
 	ld.dirty = true
 	ld.wake.Give()
 }
 
-func (ld *lead) tick() {
+func (ld *leader) tick() {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	if !ld.loaded {
@@ -47,68 +47,68 @@
 	}
 	now := ld.now()
 	ld.cell.Tick(now, ld.wall())
-	ld.settle(now)
-	ld.relist()
+	ld.checkRecovery(now)
+	ld.listNewlyUsed()
 	ld.dirty = true
-	ld.tellWaits(now)
-	ld.tellLosses()
-	ld.tellEffort(now)
-	ld.tellBacklog(now)
+	ld.logWaits(now)
+	ld.logLossRate()
+	ld.logStats(now)
+	ld.reportBacklog(now)
 	jobs, waiting, workers := ld.cell.Sizes()
-	ld.measures.gauge("planner.jobs", jobs)
-	ld.measures.gauge("planner.steps_waiting", waiting)
-	ld.measures.gauge("planner.workers", workers)
+	ld.metrics.gauge("planner.jobs", jobs)
+	ld.metrics.gauge("planner.steps_waiting", waiting)
+	ld.metrics.gauge("planner.workers", workers)
 	oldest, kept := ld.cell.Oldest(now)
-	ld.measures.gauge("planner.oldest_wait_ms", int(oldest.Milliseconds()))
-	ld.measures.gauge("planner.workers_kept_free", kept)
-	ld.measures.gauge("planner.workers_resting", ld.cell.Resting(now))
+	ld.metrics.gauge("planner.oldest_wait_ms", int(oldest.Milliseconds()))
+	ld.metrics.gauge("planner.workers_kept_free", kept)
+	ld.metrics.gauge("planner.workers_resting", ld.cell.Resting(now))
 }
 
-// plan decides, if the reign may start tasks, and has the orders carried out. It returns
-// how long it took to decide.
-func (ld *lead) plan() (took time.Duration) {
+// plan runs a planning pass, if the planner may start tasks, and sends the resulting orders. It returns the duration of
+// the pass.
+func (ld *leader) plan() (took time.Duration) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	if ld.loaded && ld.dirty && ld.mayStart() {
+	if ld.loaded && ld.dirty && ld.canPlan() {
 		ld.dirty = false
 		began := ld.clock.Now()
 		ld.cell.Plan(ld.now())
 		took = ld.clock.Since(began)
-		ld.measures.timed("planner.plan", took)
-		ld.effort.plan(took)
-		ld.measures.count("planner.plans")
+		ld.metrics.observe("planner.plan", took)
+		ld.stats.plan(took)
+		ld.metrics.count("planner.plans")
 	}
-	ld.flush()
+	ld.dispatch()
 	return took
 }
 
-// flush carries out what the cell wants done. The caller holds the lock.
-func (ld *lead) flush() {
+// dispatch sends the orders of the cell and queues its records. The caller holds the lock.
+func (ld *leader) dispatch() {
 	out := ld.cell.Take()
 	ld.records.add(out.Records)
 	for _, rec := range out.Records {
 		if rec.Phase.Ended() {
 			ld.log.Info("Job has ended.", "job", rec.Job, "phase", rec.Phase)
-			ld.measures.count("planner.jobs." + string(rec.Phase))
+			ld.metrics.count("planner.jobs." + string(rec.Phase))
 		}
 	}
 	for _, sr := range out.Starts {
-		ld.effort.begin()
-		ld.spawn(func() { ld.start(sr) })
+		ld.stats.begin()
+		ld.spawn(func() { ld.sendStart(sr) })
 	}
 	for _, sp := range out.Stops {
-		ld.spawn(func() { ld.stop(sp) })
+		ld.spawn(func() { ld.sendStop(sp) })
 	}
 	for _, id := range out.Asks {
 		if se, ok := ld.sessions[id]; ok {
-			se.ask()
+			se.requestReport()
 		}
 	}
 	for _, pc := range out.Paces {
-		ld.spawn(func() { ld.setPace(pc) })
+		ld.spawn(func() { ld.sendPace(pc) })
 	}
-	ld.effort.questions += len(out.Questions)
+	ld.stats.adviceRequests += len(out.Questions)
 	for _, qn := range out.Questions {
-		ld.spawn(func() { ld.advise(qn) })
+		ld.spawn(func() { ld.requestAdvice(qn) })
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,6 +1,5 @@
-// Package planner runs the decisions of policy/cell while this node is the planner:
-// it feeds them from the journal, the list of workers and the workers' reports, and
-// carries their orders out.
+// Package planner runs the decisions of policy/cell while this node is the planner. It feeds them from the journal, the
+// list of workers and the workers' reports, and carries out the resulting orders.
 package planner
 
 import (
@@ -23,21 +22,21 @@
 	"tackbeam.example/tackbeam/internal/term"
 )
 
-// WorkerEntry is one worker in the list of workers, by the life that wrote it.
+// WorkerEntry is a worker's entry in the list of workers, with the incarnation that wrote it.
 type WorkerEntry struct {
 	cell.Worker
 	Address string
 	Hall    string
 }
 
-// Advice is what the advisor said: the workers that may run a step, with tickets
-// that are good for a time.
+// Advice is the advisor's answer to an advice request: the workers that may run a step, with tickets that are valid for
+// a limited time.
 type Advice struct {
 	Tickets  []cell.Ticket
 	ValidFor time.Duration
 }
 
-// Options are the services that a planner uses. The fields are seams.
+// Options are the services that a planner uses. Tests may replace each of them.
 type Options struct {
 	Clock  clockwork.Clock
 	Log    logr.Logger
@@ -45,76 +44,75 @@
 	Agents *agent.Agents
 	Site   *site.Site
 	Meters metrics.Registry
-	// WorkersPrefix is where the store has the list of workers, DecodeWorker reads
-	// one entry of it.
+	// WorkersPrefix is the store's prefix of the list of workers. DecodeWorker decodes one entry of the list.
 	WorkersPrefix string
 	DecodeWorker  func(item kv.Item) (WorkerEntry, error)
-	// Advise asks the advisor through the node that is free soonest.
+	// Advise asks the advisor through the node that is expected to be free first.
 	Advise func(ctx context.Context, qn cell.Question) (Advice, error)
-	// ServiceInUse reports whether the configuration sends any queue to a service.
+	// ServiceInUse reports whether the configuration routes any queue to a service.
 	ServiceInUse func(service string) bool
-	// Queue returns the present settings of a queue, or false where its route is gone.
+	// Queue returns the current settings of a queue, or false if it has no route.
 	Queue func(name string) (work.Queue, bool)
-	// Workspace returns the present settings of a workspace, or false where the configuration lacks it.
+	// Workspace returns the current settings of a workspace, or false if the configuration lacks it.
 	Workspace func(name string) (work.Workspace, bool)
 }
 
-// Planner answers for the cell while this node leads it.
+// Planner plans for the cell while this node leads it.
 type Planner struct {
-	parts Options
-	log   logr.Logger
+	opts Options
+	log  logr.Logger
 
-	mu   sync.Mutex
-	lead *lead
+	mu     sync.Mutex
+	leader *leader
 }
 
 // New returns a planner that does not lead.
-func New(pt Options) *Planner {
-	return &Planner{parts: pt, log: pt.Log.WithName("planner")}
+func New(opts Options) *Planner {
+	return &Planner{opts: opts, log: opts.Log.WithName("planner")}
 }
 
-// Lead plans until the context ends.
+// Lead plans until ctx is done.
 func (pl *Planner) Lead(ctx context.Context, reign term.Reign) {
-	ld := newLead(pl.parts, pl.log.WithValues("token", reign.Token), reign)
-	pl.set(ld)
-	defer pl.set(nil)
+	ld := newLeader(pl.opts, pl.log.WithValues("token", reign.Token), reign)
+	pl.setLeader(ld)
+	defer pl.setLeader(nil)
 	ld.run(ctx)
 }
 
-func (pl *Planner) set(ld *lead) {
+func (pl *Planner) setLeader(ld *leader) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.lead = ld
+	pl.leader = ld
 }
 
-func (pl *Planner) current() (*lead, error) {
+func (pl *Planner) current() (*leader, error) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	if pl.lead == nil {
-		return nil, notReady("this node does not plan")
+	if pl.leader == nil {
+		return nil, unavailable("this node is not the planner")
 	}
-	return pl.lead, nil
+	return pl.leader, nil
 }
 
-// comeBack is when a caller should ask again while planners change: an election
-// takes about the lease's time.
-const comeBack = time.Second
+// retryAfter is the time after which callers should try again during a change of planners. An election takes about the
+// TTL of the lease.
+const retryAfter = time.Second
 
-func notReady(why string) *fault.Error {
-	return fault.New(fault.Unavailable, "%s; ask again", why).After(comeBack)
+func unavailable(why string) *fault.Error {
+	return fault.New(fault.Unavailable, "%s; try again", why).After(retryAfter)
 }
 
-// JobPhase returns the phase of a job of a workspace, or of any where that is empty. It answers NotFound only
-// where the journal has been read whole, and waits a little for the end of a job that runs.
+// JobPhase returns the phase of a job of a workspace, or of any workspace if workspace is empty. It returns NotFound
+// only if the journal has been read completely. If the job is running, it waits briefly for the job's end.
 func (pl *Planner) JobPhase(ctx context.Context, id, workspace string) (cell.Phase, error) {
 	ld, err := pl.current()
 	if err != nil {
 		return "", err
 	}
-	return ld.awaitState(ctx, id, workspace)
+	return ld.awaitPhase(ctx, id, workspace)
 }
 
-// Pending returns how many accepted jobs of a queue have not begun.
+// Pending returns the number of accepted jobs of a queue that have not begun.
 func (pl *Planner) Pending(queue string) (int, error) {
 	ld, err := pl.current()
 	if err != nil {
@@ -123,19 +121,19 @@
 	return ld.pending(queue)
 }
 
-// AddBatch takes in a batch that the journal has, before the journal's copy here shows it.
+// AddBatch adds a batch that the journal has, before the local copy of the journal shows it.
 func (pl *Planner) AddBatch(wr joblog.WrittenBatch) error {
 	ld, err := pl.current()
 	if err != nil {
 		return err
 	}
-	ld.written(wr)
+	ld.addBatch(wr)
 	return nil
 }
 
-// ApplySettings takes the present settings of the queues over into the jobs that wait, and those of the workspaces.
+// ApplySettings applies the current settings of queues and workspaces to waiting jobs.
 func (pl *Planner) ApplySettings() {
 	if ld, err := pl.current(); err == nil {
-		ld.reroute()
+		ld.applySettings()
 	}
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -15,25 +15,25 @@
 	"tackbeam.example/tackbeam/internal/standin/memworkers"
 )
 
-// TestCalm carries a job from its acceptance to its end.
-func TestCalm(t *testing.T) {
+// TestJobRuns runs a job from its submission to its end.
+func TestJobRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1", "w2")
+		bd := newTestbed(t, time.Second, "w1", "w2")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		bd.submit(nd, "a", 4)
 		bd.await("a", cell.Succeeded, 3*time.Second)
 		if _, err := nd.planner.JobPhase(t.Context(), "b", ""); !fault.Is(err, fault.NotFound) {
-			t.Errorf("state of a job that nobody submitted: %v", err)
+			t.Errorf("phase of a job that was not submitted: %v", err)
 		}
 	})
 }
 
-// TestPlansGather has something change each millisecond: a plan takes in what has
-// changed over some of them, since each of them costs as much as many changes do.
-func TestPlansGather(t *testing.T) {
+// TestPlanningIsBatched changes something each millisecond. Several changes must be handled by one planning pass, which
+// costs as much as many changes.
+func TestPlanningIsBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1", "w2")
+		bd := newTestbed(t, time.Second, "w1", "w2")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		bd.submit(nd, "a", 4)
@@ -45,16 +45,16 @@
 			time.Sleep(time.Millisecond)
 		}
 		if count := plans.Count() - before; count < 100 || count > 250 {
-			t.Errorf("%d plans in a second", count)
+			t.Errorf("%d planning passes in a second", count)
 		}
 	})
 }
 
-// TestWorkerVanishes lets a worker fall silent for good. What it ran starts elsewhere
-// once its lease is over, not before and not much later.
+// TestWorkerVanishes makes a worker stop answering for good. Its tasks must start elsewhere once its lease has expired,
+// not before and not much later.
 func TestWorkerVanishes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, 3*time.Second, "w1", "w2")
+		bd := newTestbed(t, 3*time.Second, "w1", "w2")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		bd.submit(nd, "a", 12)
@@ -70,7 +70,7 @@
 	})
 }
 
-// TestOrdersDelayed loses answers and carries orders out late. No task runs twice.
+// TestOrdersDelayed loses answers to orders and carries orders out late. No task may run twice.
 func TestOrdersDelayed(t *testing.T) {
 	cases := map[string]memworkers.Fault{
 		"not carried out":           memworkers.Silent,
@@ -80,7 +80,7 @@
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bd := newBed(t, time.Second, "w1", "w2", "w3")
+				bd := newTestbed(t, time.Second, "w1", "w2", "w3")
 				defer bd.end()
 				nd := bd.addNode("n1")
 				count := 0
@@ -101,21 +101,21 @@
 	}
 }
 
-// TestStoreAway keeps running work through an outage of the store, and starts work
-// again soon after it.
-func TestStoreAway(t *testing.T) {
+// TestStoreOutage checks that running work goes on during an outage of the store, and that work is started again soon
+// after it.
+func TestStoreOutage(t *testing.T) {
 	cases := map[string]struct {
 		fault  memkv.Fault
 		revoke bool
 	}{
-		"silent":               {memkv.Silent, false},
-		"silent, leases lapse": {memkv.Silent, true},
-		"refuses":              {memkv.Refused, false},
+		"silent":                {memkv.Silent, false},
+		"silent, leases expire": {memkv.Silent, true},
+		"refuses":               {memkv.Refused, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bd := newBed(t, 6*time.Second, "w1", "w2")
+				bd := newTestbed(t, 6*time.Second, "w1", "w2")
 				defer bd.end()
 				nd := bd.addNode("n1")
 				bd.addNode("n2")
@@ -138,10 +138,10 @@
 	}
 }
 
-// TestStoreForgets drops the store's history; jobs accepted meanwhile run.
-func TestStoreForgets(t *testing.T) {
+// TestStoreLosesHistory drops the store's history. Jobs accepted meanwhile must run.
+func TestStoreLosesHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1")
+		bd := newTestbed(t, time.Second, "w1")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		time.Sleep(time.Second)
@@ -153,11 +153,11 @@
 	})
 }
 
-// TestAnswersLost loses the answer of every second write. Jobs are accepted soon all
-// the same, and the planner stays.
+// TestAnswersLost loses the answer to every second write. Jobs must still be accepted soon, and the planner must not
+// change.
 func TestAnswersLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1", "w2")
+		bd := newTestbed(t, time.Second, "w1", "w2")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		bd.addNode("n2")
@@ -189,11 +189,11 @@
 	})
 }
 
-// TestStartNotCarriedOut has the first start not arrive. The task starts elsewhere
-// within half a second, though the worker has no end to report.
+// TestStartNotCarriedOut loses the first start. The task must start elsewhere within half a second, although the worker
+// has no end to report.
 func TestStartNotCarriedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1", "w2")
+		bd := newTestbed(t, time.Second, "w1", "w2")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		time.Sleep(time.Second)
@@ -210,16 +210,16 @@
 	})
 }
 
-// TestStaleJournal has the planner lose the journal's watch. It says no longer that a
-// job is not known, nor how many wait.
+// TestStaleJournal makes the planner lose the watch on the journal. It must no longer answer that a job is unknown, or
+// how many jobs are queued.
 func TestStaleJournal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1")
+		bd := newTestbed(t, time.Second, "w1")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		time.Sleep(time.Second)
 		if _, err := nd.planner.JobPhase(t.Context(), "b", ""); !fault.Is(err, fault.NotFound) {
-			t.Errorf("state of an unknown job: %v", err)
+			t.Errorf("phase of an unknown job: %v", err)
 		}
 		bd.store.SetFault(func(_, call string) memkv.Fault {
 			if call == "watch" || call == "range" {
@@ -229,25 +229,25 @@
 		})
 		time.Sleep(3 * time.Second)
 		if _, err := nd.planner.JobPhase(t.Context(), "b", ""); !fault.Is(err, fault.Unavailable) {
-			t.Errorf("state of an unknown job with an old journal: %v", err)
+			t.Errorf("phase of an unknown job with a stale journal: %v", err)
 		}
 		if _, err := nd.planner.Pending("q"); !fault.Is(err, fault.Unavailable) {
-			t.Errorf("jobs that wait with an old journal: %v", err)
+			t.Errorf("queued jobs with a stale journal: %v", err)
 		}
 	})
 }
 
-// TestLeavesWithItsLastEnd has a worker leave just after it reported an end, while a
-// report is asked for besides. The end is not lost, and the task does not run twice.
+// TestLeavesWithItsLastEnd has a worker leave just after it reported an end, while another report is requested. The end
+// must not be lost, and the task must not run twice.
 func TestLeavesWithItsLastEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1")
+		bd := newTestbed(t, time.Second, "w1")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		bd.submit(nd, "a", 1)
 		time.Sleep(500 * time.Millisecond)
 		bd.addWorker("w2")
-		// The next start gets no answer at the moment of the end, so that w1 is asked.
+		// The next start gets no answer at the time of the end, so that a report is requested from w1.
 		bd.fleet.SetFault(func(_, order string) memworkers.Fault {
 			if order == "start" {
 				return memworkers.Silent
--- a/internal/planner/records.go
+++ b/internal/planner/records.go
@@ -14,21 +14,19 @@
 	"tackbeam.example/tackbeam/internal/wake"
 )
 
-// Times of the writing of records.
+// Timings of writes of records.
 const (
-	// commitGap is the time in which records gather before a write.
-	commitGap = 40 * time.Millisecond
-	// commitHedge is how long a write may be without an answer before it is sent again:
-	// the store answers in 4 ms.
+	// commitDelay is the time in which records accumulate before a write.
+	commitDelay = 40 * time.Millisecond
+	// commitHedge is how long a write may be unanswered before it is sent again. The store answers in 4 ms.
 	commitHedge = 80 * time.Millisecond
 )
 
-// recorder holds the records that are not yet in the journal, and which jobs each
-// key of the journal tells of.
+// recorder holds the records that are not in the journal yet, and the records of each key in the journal.
 type recorder struct {
-	open []cell.Record
-	// count is how many records were ever added.
-	count int
+	pending []cell.Record
+	// added is the number of records that were ever added.
+	added int
 	keys  map[string][]cell.Record
 	wake  wake.Signal
 }
@@ -42,72 +40,70 @@
 	if len(recs) == 0 {
 		return
 	}
-	rc.open = append(rc.open, recs...)
-	rc.count += len(recs)
+	rc.pending = append(rc.pending, recs...)
+	rc.added += len(recs)
 	rc.wake.Give()
 }
 
 func (rc *recorder) keep(key string, recs []cell.Record) { rc.keys[key] = recs }
 
-// maxRecords is the most records of one write, about 200 kB.
+// maxRecords is the maximum number of records of one write, about 200 kB.
 const maxRecords = 4000
 
-// commitLoop writes records in their order, each write under the condition that
-// this node is still the planner.
-func (ld *lead) commitLoop(ctx context.Context) {
+// commitLoop writes records in order. Each write has the condition that this node is still the planner.
+func (ld *leader) commitLoop(ctx context.Context) {
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
-			ld.commitLast(n)
+			ld.commitRemaining(n)
 			return
 		case <-ld.records.wake:
 		}
-		if !loop.Pause(ctx, ld.clock, commitGap) {
-			ld.commitLast(n)
+		if !loop.Pause(ctx, ld.clock, commitDelay) {
+			ld.commitRemaining(n)
 			return
 		}
 		ld.mu.Lock()
-		recs := ld.records.open[:min(len(ld.records.open), maxRecords)]
-		upTo := ld.records.count - len(ld.records.open) + len(recs)
+		recs := ld.records.pending[:min(len(ld.records.pending), maxRecords)]
+		upTo := ld.records.added - len(ld.records.pending) + len(recs)
 		ld.mu.Unlock()
 		if len(recs) == 0 || !ld.commit(ctx, joblog.RecordKey(ld.reign.Token, n), recs) {
 			continue
 		}
 		ld.mu.Lock()
 		ld.records.keep(joblog.RecordKey(ld.reign.Token, n), recs)
-		ld.records.open = ld.records.open[len(recs):]
+		ld.records.pending = ld.records.pending[len(recs):]
 		ld.cell.Committed(upTo)
 		close(ld.committed)
 		ld.committed = make(chan struct{})
-		if len(ld.records.open) > 0 {
+		if len(ld.records.pending) > 0 {
 			ld.records.wake.Give()
 		}
-		ld.kick()
+		ld.schedulePlan()
 		ld.mu.Unlock()
 	}
 }
 
-// commitLast writes what is left when a reign ends in order, so that the next
-// planner knows it at once. It fails where another planner was elected, or the lease is
-// over: the write carries the condition on the leader's key, and needs no proof.
-func (ld *lead) commitLast(n int) {
+// commitRemaining writes the remaining records when a term ends in order, so that the next planner has them at once. It
+// fails if another planner was elected or the lease has expired. It does not check that the lease is held, because the
+// write has the condition on the leader's key.
+func (ld *leader) commitRemaining(n int) {
 	ld.mu.Lock()
-	recs := ld.records.open
+	recs := ld.records.pending
 	ld.mu.Unlock()
 	if len(recs) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), lastTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), finalCommitTimeout)
 	defer cancel()
 	ld.commit(ctx, joblog.RecordKey(ld.reign.Token, n), recs)
 }
 
-// lastTimeout bounds the last write of a reign.
-const lastTimeout = 200 * time.Millisecond
+// finalCommitTimeout bounds the last write of a term.
+const finalCommitTimeout = 200 * time.Millisecond
 
-// commit writes records under a key until the outcome is known. It reports false
-// where the reign ended.
-func (ld *lead) commit(ctx context.Context, key string, recs []cell.Record) bool {
+// commit writes records under a key until the outcome is known. It returns false if the term has ended.
+func (ld *leader) commit(ctx context.Context, key string, recs []cell.Record) bool {
 	raw, err := joblog.Encode(recs)
 	if err != nil {
 		ld.reign.Depose("records cannot be encoded: " + err.Error())
@@ -117,20 +113,20 @@
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}, {Key: key}},
 		Puts:       []kv.Put{{Key: key, Value: raw}},
 	}
-	_, items, err := ld.parts.Store.Settle(ctx, kv.Settling{Clock: ld.clock, Hedge: commitHedge}, txn)
+	_, items, err := ld.opts.Store.Settle(ctx, kv.Settling{Clock: ld.clock, Hedge: commitHedge}, txn)
 	switch {
 	case err == nil:
 		return true
-	case errors.Is(err, kv.ErrConflict) && written(items, key):
-		return true // by an earlier try whose answer was lost
+	case errors.Is(err, kv.ErrConflict) && exists(items, key):
+		return true // by an earlier attempt whose answer was lost
 	case errors.Is(err, kv.ErrConflict):
 		ld.reign.Depose("the leader's key has changed")
 	}
 	return false
 }
 
-// written reports whether the key is there. Only this reign writes it.
-func written(items []kv.Item, key string) bool {
+// exists reports whether items has the key, which only this term writes.
+func exists(items []kv.Item, key string) bool {
 	for _, item := range items {
 		if item.Key == key && item.Revision > 0 {
 			return true
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -12,89 +12,86 @@
 	"tackbeam.example/tackbeam/internal/loop"
 )
 
-// Times of holds.
+// Timings of holds. A hold is a long-poll request to a worker: it renews the worker's lease and returns a report.
 const (
-	// holdWait is how long a worker may wait for an end before it answers; reports
-	// must be fresh enough to see tasks that stand still.
+	// holdWait is how long a worker may wait for an end before it answers. Reports must be recent enough to detect
+	// tasks that make no progress.
 	holdWait = time.Second
-	// serveWait is the same for workers whose tasks have promised a latency; the
-	// workers' figure is over half a second.
-	serveWait = 400 * time.Millisecond
-	// holdSlack is what a hold may take beyond its wait.
+	// latencyHoldWait is the same for workers whose tasks have a latency target, which is over half a second.
+	latencyHoldWait = 400 * time.Millisecond
+	// holdSlack is the time beyond its wait that a hold may take.
 	holdSlack = 700 * time.Millisecond
-	// holdGap is the pause between two holds of a worker, in which ends gather.
-	holdGap = 30 * time.Millisecond
-	// lossyMisses is how many holds in a row must be lost for their worker to count as silent
-	// while many calls are lost: of one lost in twenty, one worker in 8,000 holds then.
-	lossyMisses = 3
-	// holdRetry is the pause after a hold that was not answered.
-	holdRetry = 100 * time.Millisecond
-	// noteMost is the longest time without a hold while the journal does not have the ends of the
-	// last report: the worker would report them again at once.
-	noteMost = 800 * time.Millisecond
+	// holdPause is the pause between two holds of a worker, in which ends accumulate.
+	holdPause = 30 * time.Millisecond
+	// lossyMissLimit is the number of consecutive lost holds from which a worker counts as unreachable while many calls
+	// are lost. If one call in twenty is lost, this is wrong for one worker in 8,000.
+	lossyMissLimit = 3
+	// holdRetryPause is the pause after an unanswered hold.
+	holdRetryPause = 100 * time.Millisecond
+	// maxCommitWait is the maximum time without a hold while the journal lacks ends of the last report, which the
+	// worker would report again at once.
+	maxCommitWait = 800 * time.Millisecond
 )
 
-// session is the planner's link to one life of a worker.
+// session is the planner's connection with one incarnation of a worker.
 type session struct {
-	lead  *lead
-	life  life.Life
-	entry WorkerEntry
-	// token is that of all orders of the session.
+	leader      *leader
+	incarnation life.Life
+	entry       WorkerEntry
+	// token is the fencing token of all orders of the session.
 	token uint64
-	// born is when the life began, 0 while nobody has said so.
-	born int64
-	// other is an entry of another life, nil where there is none.
+	// startedAt is the start time of the incarnation, 0 if unknown.
+	startedAt int64
+	// other is an entry of another incarnation, or nil.
 	other *WorkerEntry
 
 	// answered is set once the worker has answered this planner.
 	answered bool
-	// clock was the worker's clock when it gave the answer that came at heard.
+	// clock is the worker's clock in its latest report, which was received at heard.
 	clock time.Duration
 	heard time.Duration
-	// deadline is the latest one that was ever sent, on the worker's clock.
-	deadline time.Duration
-	ended    bool
-	silent   bool
-	// doubted is set while a call to the worker has had no answer since its last report.
-	doubted bool
-	// missed counts the holds without an answer since the last that had one.
+	// deadline is the latest deadline sent, on the worker's clock.
+	deadline    time.Duration
+	ended       bool
+	unreachable bool
+	// unanswered is set if a call to the worker since its last report had no answer.
+	unanswered bool
+	// missed is the number of consecutive unanswered holds.
 	missed int
-	// looking is set while a report is asked for beside the hold that waits.
-	looking bool
+	// requesting is set while a report is requested in addition to the pending hold.
+	requesting bool
 }
 
-func newSession(ld *lead, en WorkerEntry) *session {
-	return &session{lead: ld, life: en.ID, born: en.ID.Born(), entry: en, token: ld.fence(en.ID.ID())}
+func newSession(ld *leader, en WorkerEntry) *session {
+	return &session{leader: ld, incarnation: en.ID, startedAt: en.ID.Born(), entry: en, token: ld.nextToken(en.ID.ID())}
 }
 
-// target is where the worker is called by its present entry. The caller does not hold the lock.
+// target returns the address of the worker's current entry and its incarnation. The caller does not hold the lock.
 func (se *session) target() agent.Target {
-	se.lead.mu.Lock()
-	defer se.lead.mu.Unlock()
-	return agent.Target{Address: se.entry.Address, Incarnation: se.life}
+	se.leader.mu.Lock()
+	defer se.leader.mu.Unlock()
+	return agent.Target{Address: se.entry.Address, Incarnation: se.incarnation}
 }
 
-// extend returns a deadline a lease from now on the worker's clock, at the least.
-// The caller holds the lock.
+// extend returns a deadline at least one lease from now, on the worker's clock. The caller holds the lock.
 func (se *session) extend(now time.Duration) time.Duration {
-	if !se.answered || se.lead.reign.SinceProof() > unproven {
+	if !se.answered || se.leader.reign.SinceProof() > maxUnrenewed {
 		return se.deadline
 	}
-	se.deadline = max(se.deadline, se.clock+(now-se.heard)+se.lead.lease)
+	se.deadline = max(se.deadline, se.clock+(now-se.heard)+se.leader.lease)
 	return se.deadline
 }
 
-// lapsed reports whether the worker has surely ended all that it ran. The caller
-// holds the lock.
-func (se *session) lapsed(now time.Duration) bool {
+// leaseExpired reports whether the worker has surely ended all its runs. The caller holds the lock.
+func (se *session) leaseExpired(now time.Duration) bool {
 	if !se.answered {
-		return now > se.lead.lapseUnknown()
+		return now > se.leader.unknownExpiry()
 	}
-	since := time.Duration(float64(now-se.heard) * (1 - drift))
+	since := time.Duration(float64(now-se.heard) * (1 - maxClockDrift))
 	return se.clock+since > se.deadline
 }
 
-// run holds the worker until its incarnation or the reign ends.
+// run sends holds to the worker until its incarnation or the term ends.
 func (se *session) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		release, ok := se.acquireSlot(ctx)
@@ -107,185 +104,183 @@
 			return
 		}
 		call, cancel := context.WithTimeout(ctx, hold.Wait+slack)
-		sent := se.lead.now()
-		report, err := se.lead.parts.Agents.Hold(call, se.target(), hold)
+		sent := se.leader.now()
+		report, err := se.leader.opts.Agents.Hold(call, se.target(), hold)
 		cancel()
 		release()
 		if ctx.Err() != nil {
 			return
 		}
-		se.note(err)
-		if se.overlooked(err) {
+		se.recordCall(err)
+		if se.tolerated(err) {
 			continue
 		}
 		if err != nil {
 			se.failed(err)
-			loop.Pause(ctx, se.lead.clock, holdRetry)
+			loop.Pause(ctx, se.leader.clock, holdRetryPause)
 			continue
 		}
-		se.take(sent, report)
-		se.settle(ctx)
+		se.apply(sent, report)
+		se.awaitCommit(ctx)
 	}
 }
 
 // acquireSlot waits for a slot of the hold limiter and returns a function that releases it. A worker that has answered
 // needs no slot. It returns false if ctx is done first.
 func (se *session) acquireSlot(ctx context.Context) (release func(), ok bool) {
-	se.lead.mu.Lock()
+	se.leader.mu.Lock()
 	answered := se.answered
-	se.lead.mu.Unlock()
+	se.leader.mu.Unlock()
 	if answered {
 		return func() {}, true
 	}
-	return se.lead.holdLimiter.acquire(ctx)
+	return se.leader.holdLimiter.acquire(ctx)
 }
 
-// overlooked reports whether a hold's error draws no consequence but another hold: where many
-// calls are lost, one is no sign of its worker.
-func (se *session) overlooked(err error) bool {
+// tolerated reports whether a hold's error is followed only by another hold: while many calls are lost, a single one is
+// no sign of its worker.
+func (se *session) tolerated(err error) bool {
 	if !errors.Is(err, agent.ErrNoAnswer) {
 		se.missed = 0
 		return false
 	}
 	se.missed++
-	return se.missed < lossyMisses && se.lead.losses.many()
+	return se.missed < lossyMissLimit && se.leader.lossRate.isHigh()
 }
 
-// next returns the hold to send and what it may take beyond its wait, or false where the
-// incarnation is over.
+// next returns the next hold and the time beyond its wait that it may take, or false if the incarnation is over.
 func (se *session) next() (hold agent.Hold, slack time.Duration, ok bool) {
-	ld := se.lead
+	ld := se.leader
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	if se.ended {
 		return agent.Hold{}, 0, false
 	}
-	ld.effort.holds++
-	_, waits := ld.cell.Noted(se.life)
-	hold, slack = agent.Hold{Token: se.token, Acked: se.noted()}, holdSlack
-	if se.answered && !se.silent {
-		// A worker that is silent is only asked: a lease that is renewed without an
-		// answer would never surely be over.
+	ld.stats.holds++
+	_, waits := ld.cell.Noted(se.incarnation)
+	hold, slack = agent.Hold{Token: se.token, Acked: se.ackedEnd()}, holdSlack
+	if se.answered && !se.unreachable {
+		// A hold to an unreachable worker does not extend the lease: a lease that is extended without an answer would
+		// never surely expire.
 		hold.Deadline = se.extend(ld.now())
 	}
-	if se.answered && !waits && !se.silent {
+	if se.answered && !waits && !se.unreachable {
 		hold.Wait = holdWait
-		if ld.cell.Serves(se.life) {
-			hold.Wait = serveWait
+		if ld.cell.Serves(se.incarnation) {
+			hold.Wait = latencyHoldWait
 		}
-		if ld.losses.many() {
-			hold.Wait = min(hold.Wait, ld.losses.holdWait(len(ld.sessions)))
-			slack = max(lossySlack, ld.patience.wait())
+		if ld.lossRate.isHigh() {
+			hold.Wait = min(hold.Wait, ld.lossRate.holdWait(len(ld.sessions)))
+			slack = max(lossyHoldSlack, ld.replyTimeout.next())
 		}
 	}
 	return hold, slack, true
 }
 
-// take takes a report in.
-func (se *session) take(sent time.Duration, report agent.Report) {
-	ld := se.lead
+// apply applies a report.
+func (se *session) apply(sent time.Duration, report agent.Report) {
+	ld := se.leader
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	now := ld.now()
 	if se.ended || !se.accepts(report) {
 		return
 	}
-	if se.silent {
-		ld.log.Info("Worker answers again.", "worker", se.life)
+	if se.unreachable {
+		ld.log.Info("Worker answers again.", "worker", se.incarnation)
 	}
-	se.silent, se.doubted = false, false
+	se.unreachable, se.unanswered = false, false
 	if report.Clock > se.clock {
 		se.clock, se.heard = report.Clock, now
 	}
 	first := !se.answered
 	se.answered = true
 	if first {
-		se.firstAnswer(now)
+		se.resolveEarlier(now)
 	}
-	for _, en := range ld.cell.Report(now, se.life, sent, report.Runs, report.Ends) {
-		ld.log.Info("End.", "task", en.Task.String(), "run", en.Number, "worker", se.life, "result", en.Result, "seq", en.Seq)
-		ld.measures.count("planner.ends." + string(en.Result))
+	for _, en := range ld.cell.Report(now, se.incarnation, sent, report.Runs, report.Ends) {
+		ld.log.Info("Run has ended.", "task", en.Task.String(), "run", en.Number, "worker", se.incarnation, "result", en.Result, "seq", en.Seq)
+		ld.metrics.count("planner.ends." + string(en.Result))
 	}
 	if first {
-		ld.settle(now)
+		ld.checkRecovery(now)
 	}
-	ld.kick()
+	ld.schedulePlan()
 }
 
-// failed draws the consequences of a hold's error.
+// failed handles a hold's error.
 func (se *session) failed(err error) {
-	ld := se.lead
-	if se.fenced(err) {
+	ld := se.leader
+	if se.handleFenced(err) {
 		return
 	}
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	now := ld.now()
 	if errors.Is(err, agent.ErrOtherIncarnation) {
-		se.dead(now)
-		ld.kick()
+		se.incarnationOver(now)
+		ld.schedulePlan()
 		return
 	}
-	if !se.silent {
-		ld.log.Info("Worker does not answer.", "worker", se.life, "reason", err.Error())
+	if !se.unreachable {
+		ld.log.Info("Worker does not answer.", "worker", se.incarnation, "reason", err.Error())
 	}
-	se.silent = true
-	ld.measures.count("planner.holds_failed")
-	ld.cell.Silent(now, se.life)
-	if !se.lapsed(now) {
+	se.unreachable = true
+	ld.metrics.count("planner.holds_failed")
+	ld.cell.Silent(now, se.incarnation)
+	if !se.leaseExpired(now) {
 		return
 	}
 	if se.other != nil {
-		ld.cell.Deregister(se.life) // its entry is of another life by now
+		ld.cell.Deregister(se.incarnation) // its entry is of another incarnation
 	}
-	if ld.cell.Holds(se.life) {
-		ld.log.Info("Worker's lease is over.", "worker", se.life, "silent_for", (now - se.heard).String())
+	if ld.cell.Holds(se.incarnation) {
+		ld.log.Info("Worker's lease has expired.", "worker", se.incarnation, "silent_for", (now - se.heard).String())
 	}
-	delete(ld.old, se.life)
-	se.lose(func() { ld.cell.Lapsed(now, se.life) })
+	delete(ld.unresolved, se.incarnation)
+	se.lose(func() { ld.cell.Lapsed(now, se.incarnation) })
 	se.answered = false
 	se.heard = now
-	if known, _ := ld.cell.Listed(se.life); !known {
+	if known, _ := ld.cell.Listed(se.incarnation); !known {
 		se.end()
-		se.beginOther()
+		se.startOther()
 	}
-	ld.settle(now)
-	ld.kick()
+	ld.checkRecovery(now)
+	ld.schedulePlan()
 }
 
-// dead notes that the life is over, and nobody knows of another one of the worker. The caller holds
-// the lock.
-func (se *session) dead(now time.Duration) {
-	se.over(now, func() { se.lead.cell.Over(now, se.life) })
+// incarnationOver ends the session of an incarnation that is over, if no other one of the worker is known. The caller
+// holds the lock.
+func (se *session) incarnationOver(now time.Duration) {
+	se.close(now, func() { se.leader.cell.Over(now, se.incarnation) })
 }
 
-// over ends the session, as the life is over. The caller holds the lock.
-func (se *session) over(now time.Duration, takeIn func()) {
-	ld := se.lead
+// close ends the session because the incarnation is over. The caller holds the lock.
+func (se *session) close(now time.Duration, update func()) {
+	ld := se.leader
 	if se.ended {
 		return
 	}
-	ld.log.Info("Worker's life is over.", "worker", se.life)
-	delete(ld.old, se.life)
-	se.lose(takeIn)
+	ld.log.Info("Worker's incarnation is over.", "worker", se.incarnation)
+	delete(ld.unresolved, se.incarnation)
+	se.lose(update)
 	se.end()
-	se.beginOther()
-	ld.settle(now)
+	se.startOther()
+	ld.checkRecovery(now)
 }
 
-// lose takes in that the worker is lost, and logs the runs that go with it. The caller holds the
-// lock.
-func (se *session) lose(takeIn func()) {
-	ld := se.lead
-	held := ld.cell.Held(se.life)
-	takeIn()
+// lose applies the loss of the worker, and logs the runs that are lost with it. The caller holds the lock.
+func (se *session) lose(update func()) {
+	ld := se.leader
+	held := ld.cell.Held(se.incarnation)
+	update()
 	if len(held) == 0 {
 		return
 	}
-	ld.measures.count("planner.workers_lost_with_runs")
+	ld.metrics.count("planner.workers_lost_with_runs")
 	for _, rn := range held {
 		crashes, blamed := ld.cell.Crashes(rn.Task)
-		ld.log.Info("Run is lost with its worker.", "task", rn.Task.String(), "run", rn.Number, "worker", se.life,
+		ld.log.Info("Run was lost with its worker.", "task", rn.Task.String(), "run", rn.Number, "worker", se.incarnation,
 			"crashes", crashes, "blamed", blamed)
 	}
 }
@@ -293,6 +288,6 @@
 // end ends the session. The caller holds the lock.
 func (se *session) end() {
 	se.ended = true
-	delete(se.lead.sessions, se.life)
-	delete(se.lead.present, se.life.ID())
+	delete(se.leader.sessions, se.incarnation)
+	delete(se.leader.current, se.incarnation.ID())
 }
--- a/internal/planner/settings_test.go
+++ b/internal/planner/settings_test.go
@@ -8,24 +8,22 @@
 	"tackbeam.example/policy/cell"
 )
 
-// TestLaterSettings: operators led a queue to another service. A node that had the change
-// accepted a job, but the planner's copy of the configuration was older, and the planner put each
-// job that it took in back on the settings of its copy: the job would run on the old service,
-// whose workers are gone, and again after each takeover.
-//
-// Of a job's settings and the copy's the later ones count, whichever way round.
+// TestLaterSettings guards against jobs that run with outdated settings. A queue was routed to another service, and a
+// node that had the change accepted a job. The planner's configuration was older, and the planner replaced the job's
+// settings by its own, so that the job would run on the old service, whose workers are gone, and again after each
+// takeover. The later settings must apply, whether they are the job's or the planner's.
 func TestLaterSettings(t *testing.T) {
 	cases := map[string]struct {
 		accepted, planner uint64
 		service           string // that the job was accepted for
 	}{
-		"the planner's copy is older": {accepted: 2, planner: 1, service: "svc"},
-		"the planner's copy is later": {accepted: 1, planner: 2, service: "gone"},
+		"planner's settings are older": {accepted: 2, planner: 1, service: "svc"},
+		"planner's settings are later": {accepted: 1, planner: 2, service: "gone"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bd := newBed(t, time.Second, "w1")
+				bd := newTestbed(t, time.Second, "w1")
 				defer bd.end()
 				bd.accepted.Version, bd.accepted.Service = tc.accepted, tc.service
 				bd.settings = bd.accepted
--- a/internal/planner/state.go
+++ b/internal/planner/state.go
@@ -9,18 +9,18 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// stateWait is how long a question for a job's state may wait for the end of a job that runs. Callers ask when
-// the last task has ended, which the planner learns some ms later and may tell once the journal has it: an
-// answer before that sends them away for another quarter of a second. It is half of the time after which a
-// call between nodes counts as overdue.
-const stateWait = 150 * time.Millisecond
+// phaseWait is how long a request for the phase of a running job may wait for the job's end. Callers ask when the last
+// task has ended, which the planner learns some ms later and may report only when it is in the journal; an earlier
+// answer costs them another quarter of a second. It is half of the time after which a call between nodes counts as
+// overdue.
+const phaseWait = 150 * time.Millisecond
 
-// awaitState returns a job's phase; while the job runs, it waits for the end for a while.
-func (ld *lead) awaitState(ctx context.Context, id, workspace string) (cell.Phase, error) {
-	over := ld.clock.NewTimer(stateWait)
+// awaitPhase returns a job's phase. While the job is running it waits up to phaseWait for the job's end.
+func (ld *leader) awaitPhase(ctx context.Context, id, workspace string) (cell.Phase, error) {
+	over := ld.clock.NewTimer(phaseWait)
 	defer over.Stop()
 	for {
-		phase, committed, err := ld.state(id, workspace)
+		phase, committed, err := ld.phase(id, workspace)
 		if err != nil || phase != cell.Running {
 			return phase, err
 		}
@@ -36,16 +36,16 @@
 	}
 }
 
-// state returns a job's phase, and what is closed with the next write of records.
-func (ld *lead) state(id, workspace string) (cell.Phase, <-chan struct{}, error) {
+// phase returns a job's phase, and a channel that is closed by the next write of records.
+func (ld *leader) phase(id, workspace string) (cell.Phase, <-chan struct{}, error) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	if err := ld.answers(); err != nil {
+	if err := ld.checkReady(); err != nil {
 		return "", nil, err
 	}
 	phase, ok := ld.cell.Phase(id, workspace)
 	if !ok {
-		if err := ld.fresh(); err != nil {
+		if err := ld.checkJournalAge(); err != nil {
 			return "", nil, err
 		}
 		return "", nil, fault.New(fault.NotFound, "job %s is not known", id)
--- a/internal/planner/state_test.go
+++ b/internal/planner/state_test.go
@@ -8,12 +8,12 @@
 	"tackbeam.example/policy/cell"
 )
 
-// TestStateAtTheEnd: callers ask for a job's state at the moment when its last task ends. 99 of 100 were told that it
-// runs, since the planner learned of the end some ms later and the journal had it some 45 ms after that, and asked
-// again a quarter of a second later.
+// TestStateAtTheEnd guards against needless polling by callers that request a job's state just when its last task ends.
+// The planner learns of the end some ms later, and the journal has it another 45 ms after that. 99 of 100 callers were
+// told that the job was running, and asked again a quarter of a second later.
 func TestStateAtTheEnd(t *testing.T) {
 	cases := map[string]struct {
-		// before is how long before the end of the job's task the question comes.
+		// before is the time from the request to the end of the job's task.
 		before time.Duration
 		want   cell.Phase
 		within time.Duration
@@ -27,7 +27,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const run = time.Second
-				bd := newBed(t, run, "w1")
+				bd := newTestbed(t, run, "w1")
 				defer bd.end()
 				nd := bd.addNode("n1")
 				time.Sleep(time.Second)
--- a/internal/planner/takeover_test.go
+++ b/internal/planner/takeover_test.go
@@ -12,11 +12,11 @@
 	"tackbeam.example/tackbeam/internal/standin/memworkers"
 )
 
-// TestPlannerDies ends the planner without notice. Another one plans within the
-// lease's time and a second, ends what runs, and runs nothing twice.
+// TestPlannerDies stops the planner without notice. Another node must plan within the TTL of the lease and a second,
+// finish the running work, and run nothing twice.
 func TestPlannerDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, 3*time.Second, "w1", "w2")
+		bd := newTestbed(t, 3*time.Second, "w1", "w2")
 		defer bd.end()
 		first, second := bd.addTwo()
 		bd.submit(second, "a", 4)
@@ -32,10 +32,10 @@
 	})
 }
 
-// TestResign hands the planner's place over at once, without losing work.
+// TestResign hands the leadership over at once, without losing work.
 func TestResign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, 2*time.Second, "w1", "w2")
+		bd := newTestbed(t, 2*time.Second, "w1", "w2")
 		defer bd.end()
 		first, second := bd.addTwo()
 		bd.submit(second, "a", 4)
@@ -45,7 +45,7 @@
 		first.term.Resign(ctx)
 		time.Sleep(300 * time.Millisecond)
 		if !second.term.Leading() {
-			t.Error("nobody else plans 0.3 s after the planner resigned")
+			t.Error("no other node plans 0.3 s after the planner resigned")
 		}
 		bd.await("a", cell.Succeeded, 3*time.Second)
 		if starts := len(bd.fleet.Starts()); starts != 4 {
@@ -54,11 +54,11 @@
 	})
 }
 
-// TestWorkerLeavesThenPlannerDies has a worker leave and the planner die soon after.
-// Old tasks that the worker cannot hold need not wait until it has surely lapsed.
+// TestWorkerLeavesThenPlannerDies has a worker leave and the planner die soon after. Tasks of the earlier planner that
+// this worker cannot have must not wait until its lease has surely expired.
 func TestWorkerLeavesThenPlannerDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, 3*time.Second, "w1", "w2")
+		bd := newTestbed(t, 3*time.Second, "w1", "w2")
 		defer bd.end()
 		first, second := bd.addTwo()
 		bd.submit(second, "a", 12)
@@ -79,12 +79,12 @@
 	})
 }
 
-// TestStrongNodePlans lets a planner die: of the other nodes one plans that has as much
-// of a processor as any, and where no such node is left, a weak one does.
+// TestStrongNodePlans stops a planner. A node with as many processors as any other must plan next, and a weak one only
+// if there is no such node.
 func TestStrongNodePlans(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const weak, strong = 0.2, 0.8
-		bd := newBed(t, time.Second, "w1")
+		bd := newTestbed(t, time.Second, "w1")
 		defer bd.end()
 		bd.addNodeOf("n1", strong)
 		time.Sleep(100 * time.Millisecond)
@@ -105,20 +105,20 @@
 				t.Fatalf("no node plans after %s has died", tt.dies)
 			}
 			if (nd == bd.nodes["n5"]) != tt.strong {
-				t.Errorf("after %s has died, a node of the wrong strength plans", tt.dies)
+				t.Errorf("after %s has died, the wrong kind of node plans", tt.dies)
 			}
 		}
 	})
 }
 
-// TestWeakNodeGivesWay lists a strong node after a weak one was elected: the strong one
-// plans soon. Where it cannot, the weak one goes on planning.
+// TestWeakNodeGivesWay adds a strong node after a weak one was elected. The strong one must plan soon. If it cannot,
+// the weak one must go on planning.
 func TestWeakNodeGivesWay(t *testing.T) {
 	for name, cut := range map[string]bool{"strong node plans": false, "strong node cannot write": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const weak, strong = 0.2, 0.8
-				bd := newBed(t, time.Second, "w1")
+				bd := newTestbed(t, time.Second, "w1")
 				defer bd.end()
 				first := bd.addNodeOf("n1", weak)
 				time.Sleep(time.Second)
@@ -127,7 +127,7 @@
 					if client == "n2" && call == "commit" {
 						commits++
 					}
-					if cut && client == "n2" && call == "commit" && commits > 1 { // the first one lists it
+					if cut && client == "n2" && call == "commit" && commits > 1 { // the first commit lists the node
 						return memkv.Refused
 					}
 					return memkv.None
@@ -142,11 +142,11 @@
 	}
 }
 
-// TestPlannerRestarts has the planner's process die and start again at once: it knows
-// that its earlier incarnation is dead, and does not wait for the lease's time.
+// TestPlannerRestarts restarts the planner's process at once. It knows that its previous incarnation is dead, and must
+// not wait for the TTL of the lease.
 func TestPlannerRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1", "w2")
+		bd := newTestbed(t, time.Second, "w1", "w2")
 		defer bd.end()
 		first := bd.addNode("n1")
 		time.Sleep(100 * time.Millisecond)
@@ -158,7 +158,7 @@
 		again := bd.addNode("n1")
 		time.Sleep(200 * time.Millisecond)
 		if !again.term.Leading() {
-			t.Error("the node that started again does not plan")
+			t.Error("the restarted node does not plan")
 		}
 		bd.await("a", cell.Succeeded, 3*time.Second)
 		if starts := len(bd.fleet.Starts()); starts != 4 {
@@ -167,58 +167,56 @@
 	})
 }
 
-// TestYield has the planner give its place up: another node plans at once, and the
-// first one does not take the place back.
+// TestYield has the planner yield. Another node must plan at once, and the first one must not take the leadership back.
 func TestYield(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1")
+		bd := newTestbed(t, time.Second, "w1")
 		defer bd.end()
 		first, second := bd.addTwo()
 		bd.submit(second, "a", 2)
 		time.Sleep(300 * time.Millisecond)
-		first.reign().Yield("test")
+		first.currentTerm().Yield("test")
 		time.Sleep(100 * time.Millisecond)
 		if first.term.Leading() || !second.term.Leading() {
-			t.Error("the other node does not plan 0.1 s after the planner gave its place up")
+			t.Error("the other node does not plan 0.1 s after the planner yielded")
 		}
 		bd.await("a", cell.Succeeded, 2*time.Second)
-		second.reign().Yield("test")
+		second.currentTerm().Yield("test")
 		time.Sleep(time.Second)
 		if first.term.Leading() {
-			t.Error("the first node has taken the place back at once")
+			t.Error("the first node has taken the leadership back")
 		}
 	})
 }
 
-// TestAllYield has each node give the planner's place up within a few seconds, as slow ones do. Jobs waited for
-// 8 s: each left the place to the others, until the first had done so for long enough. What proved it: no
-// line "This node plans" between, in logs of the drawn tests of workers that begin again. A slow planner is
-// better than none: one takes the place that nobody else has taken.
+// TestAllYield guards against a cell in which every node yields within a few seconds, as slow ones do, and none plans.
+// Jobs waited for 8 s, until the first node's abstention was over. A slow planner is better than none, so a node must
+// take a leadership that no other node has taken.
 func TestAllYield(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second, "w1")
+		bd := newTestbed(t, time.Second, "w1")
 		defer bd.end()
 		first, second := bd.addTwo()
 		time.Sleep(time.Second)
-		first.reign().Yield("test")
+		first.currentTerm().Yield("test")
 		time.Sleep(time.Second)
-		second.reign().Yield("test")
+		second.currentTerm().Yield("test")
 		time.Sleep(3 * time.Second)
 		if !first.term.Leading() && !second.term.Leading() {
-			t.Error("nobody plans 3 s after the last of two nodes gave the planner's place up")
+			t.Error("no node plans 3 s after the second of two nodes yielded")
 		}
 	})
 }
 
-// TestAgesAreJournaled has a planner end while two jobs wait for room. The next one serves
-// the older one first, as the first would have: it knows when they were accepted.
+// TestAgesAreJournaled stops a planner while two jobs are queued. The next planner must start the older one first,
+// because the journal has the times of acceptance.
 func TestAgesAreJournaled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const run = 4 * time.Second
-		bd := newBed(t, run, "w1")
+		bd := newTestbed(t, run, "w1")
 		defer bd.end()
 		first, second := bd.addTwo()
-		bd.submit(second, "running", 8) // all of the worker
+		bd.submit(second, "running", 8) // takes all capacity of the worker
 		time.Sleep(time.Second)
 		bd.submit(second, "b-older", 8)
 		time.Sleep(time.Second)
--- a/internal/planner/bed_test.go
+++ b/internal/planner/testbed_test.go
@@ -30,32 +30,32 @@
 	"tackbeam.example/tackbeam/internal/term"
 )
 
-// workersPrefix is where the bed's store lists workers.
+// workersPrefix is the prefix of the list of workers in the testbed's store.
 const workersPrefix = "workers/"
 
-// bed is some nodes on one store and one fleet, in a bubble of package synctest.
-type bed struct {
+// testbed is a set of nodes with one store and one fleet of workers. It runs in a bubble of package synctest.
+type testbed struct {
 	t     *testing.T
 	clock clockwork.Clock
 	store *memkv.Store
 	fleet *memworkers.Fleet
 	nodes map[string]*node
-	// settings are what the planners' copies of the configuration say of the queue; the bed's
-	// jobs carry accepted instead. Without a name there are none.
+	// settings are the settings of the queue in the planners' configuration; there are none if its name is empty.
+	// Submitted jobs carry accepted instead.
 	settings, accepted work.Queue
-	// workspaces are those that the planners' copies of the configuration have.
+	// workspaces are the workspaces in the planners' configuration.
 	workspaces map[string]work.Workspace
-	// serves is the service that the configuration names.
+	// serves is the service that the configuration routes a queue to.
 	serves atomic.Value
 	// wrapStore, if not nil, wraps each node's store; the nodes then use agents instead of the fleet's own.
 	wrapStore func(st *kv.Store) *kv.Store
 	agents    *agent.Agents
 }
 
-// usualRoom is how many of the bed's tasks a worker has room for.
-const usualRoom = 8
+// defaultCapacity is the number of the testbed's tasks that a worker can run at once.
+const defaultCapacity = 8
 
-// unreadable is the value of an entry in the list of workers that cannot be read.
+// unreadable is the value of an entry in the list of workers that cannot be decoded.
 const unreadable = "unreadable"
 
 type node struct {
@@ -64,18 +64,18 @@
 	intake  *intake.Intake
 	cancel  context.CancelFunc
 	meters  metrics.Registry
-	// latest is the node's latest reign; it begins one while tests look.
+	// latest is the node's latest term, which may begin while the test reads it.
 	latest atomic.Pointer[term.Reign]
-	// suspended is for how long the node's VM was suspended.
+	// suspended is the total time for which the node's VM was suspended.
 	suspended atomic.Int64
 }
 
-// reign returns the node's latest reign.
-func (nd *node) reign() term.Reign { return *nd.latest.Load() }
+// currentTerm returns the node's latest term.
+func (nd *node) currentTerm() term.Reign { return *nd.latest.Load() }
 
-// newClock returns the node's clock: steady time goes on in the bubble, what suspensions add to the
-// time of day and to the time since boot is the test's.
-func (nd *node) newClock(bd *bed) clockwork.Clock {
+// newClock returns the node's clock. Monotonic time advances in the bubble; the test sets by how much suspensions
+// advance the time of day and the time since boot.
+func (nd *node) newClock(bd *testbed) clockwork.Clock {
 	clock, err := vmclock.New(bd.clock, func() time.Duration { return time.Duration(nd.suspended.Load()) })
 	if err != nil {
 		bd.t.Fatal(err)
@@ -83,9 +83,9 @@
 	return clock
 }
 
-func newBed(t *testing.T, run time.Duration, workers ...string) *bed {
-	clock := clockwork.NewRealClock() // the bubble's
-	bd := &bed{
+func newTestbed(t *testing.T, run time.Duration, workers ...string) *testbed {
+	clock := clockwork.NewRealClock() // of the bubble
+	bd := &testbed{
 		t: t, clock: clock, store: memkv.New(clock), fleet: memworkers.New(clock, run), nodes: map[string]*node{},
 		accepted: work.Queue{Name: "q", Service: "svc", Attempts: 3, Stretch: 2, Target: time.Second},
 	}
@@ -96,20 +96,20 @@
 	return bd
 }
 
-func (bd *bed) addWorker(id string) {
+func (bd *testbed) addWorker(id string) {
 	bd.fleet.Add(id)
 	bd.list(id)
 }
 
-// list writes the entry of a worker's present life, with more words.
-func (bd *bed) list(id string, words ...string) {
+// list writes the entry of a worker's current incarnation, with additional words.
+func (bd *testbed) list(id string, words ...string) {
 	value := append([]string{"born", strconv.FormatInt(bd.fleet.Born(id), 10)}, words...)
 	bd.store.Set(workersPrefix+id, []byte(strings.Join(value, " ")))
 }
 
-// beginAgain ends the lives of workers with all that they run; a while later each begins another
-// under its id, and writes its entry a beat after that.
-func (bd *bed) beginAgain(away time.Duration, ids ...string) {
+// restart ends the incarnations of workers with all their runs. After the time away, each begins another one under the
+// same id, and writes its entry one heartbeat later.
+func (bd *testbed) restart(away time.Duration, ids ...string) {
 	const beat = 100 * time.Millisecond
 	for _, id := range ids {
 		bd.fleet.End(id)
@@ -118,28 +118,28 @@
 	}
 }
 
-// log returns a log that a failed test shows.
-func (bd *bed) log(name string) logr.Logger {
+// log returns a logger whose output is shown if the test fails.
+func (bd *testbed) log(name string) logr.Logger {
 	return funcr.New(func(prefix, args string) { bd.t.Log(bd.clock.Now().Format("05.000"), name, prefix, args) }, funcr.Options{})
 }
 
-func (bd *bed) addNode(name string) *node { return bd.addNodeOf(name, 1) }
+func (bd *testbed) addNode(name string) *node { return bd.addNodeOf(name, 1) }
 
 // addTwo adds a node, which becomes the planner, and another one a little later.
-func (bd *bed) addTwo() (first, second *node) {
+func (bd *testbed) addTwo() (first, second *node) {
 	const apart = 100 * time.Millisecond
 	first = bd.addNode("n1")
 	time.Sleep(apart)
 	return first, bd.addNode("n2")
 }
 
-// calm has the workers carry out and answer every order from now on.
-func (bd *bed) calm() {
+// clearFaults makes the workers carry out and answer all orders from now on.
+func (bd *testbed) clearFaults() {
 	bd.fleet.SetFault(func(string, string) memworkers.Fault { return memworkers.None })
 }
 
-// cutOff has the store swallow every call of one node.
-func (bd *bed) cutOff(name string) {
+// cutOff makes the store leave all calls of one node unanswered.
+func (bd *testbed) cutOff(name string) {
 	bd.store.SetFault(func(client, _ string) memkv.Fault {
 		if client == name {
 			return memkv.Silent
@@ -148,8 +148,8 @@
 	})
 }
 
-// addNodeOf adds a node with a share of a core.
-func (bd *bed) addNodeOf(name string, processors float64) *node {
+// addNodeOf adds a node with a number of processors, which may be a fraction.
+func (bd *testbed) addNodeOf(name string, processors float64) *node {
 	st, agents := bd.store.Client(name), bd.fleet.Agents()
 	if bd.wrapStore != nil {
 		st, agents = bd.wrapStore(st), bd.agents
@@ -163,7 +163,7 @@
 		DecodeWorker: func(item kv.Item) (planner.WorkerEntry, error) {
 			id := strings.TrimPrefix(item.Key, workersPrefix)
 			if string(item.Value) == unreadable {
-				return planner.WorkerEntry{}, errors.New("the entry cannot be read")
+				return planner.WorkerEntry{}, errors.New("the entry cannot be decoded")
 			}
 			return decodeEntry(id, string(item.Value)), nil
 		},
@@ -189,17 +189,17 @@
 	return nd
 }
 
-// decodeEntry reads a worker's entry: words, some of which have another after them.
+// decodeEntry decodes a worker's entry: words, some of which are followed by a value.
 func decodeEntry(id, value string) planner.WorkerEntry {
 	en := planner.WorkerEntry{Worker: cell.Worker{ID: life.Of(id, 0), Service: "svc"}}
-	capacity := int64(usualRoom)
+	capacity := int64(defaultCapacity)
 	words := strings.Fields(value)
 	for at, word := range words {
 		switch word {
 		case "of":
 			en.Service = words[at+1]
 		case "room":
-			capacity, _ = strconv.ParseInt(words[at+1], 10, 64) // tests write it well
+			capacity, _ = strconv.ParseInt(words[at+1], 10, 64) // always valid in tests
 		case "born":
 			born, _ := strconv.ParseInt(words[at+1], 10, 64)
 			en.ID = life.Of(id, born)
@@ -212,7 +212,7 @@
 }
 
 // leader returns the node that plans, or nil.
-func (bd *bed) leader() *node {
+func (bd *testbed) leader() *node {
 	for _, nd := range bd.nodes {
 		if nd.term.Leading() {
 			return nd
@@ -221,7 +221,7 @@
 	return nil
 }
 
-func (bd *bed) submit(nd *node, id string, tasks int) {
+func (bd *testbed) submit(nd *node, id string, tasks int) {
 	bd.t.Helper()
 	bd.submitJob(nd, &work.Job{
 		ID: id, Spec: id, Queue: bd.accepted,
@@ -229,7 +229,7 @@
 	})
 }
 
-func (bd *bed) submitJob(nd *node, jb *work.Job) {
+func (bd *testbed) submitJob(nd *node, jb *work.Job) {
 	bd.t.Helper()
 	ctx, cancel := context.WithTimeout(bd.t.Context(), 3*time.Second)
 	defer cancel()
@@ -238,8 +238,8 @@
 	}
 }
 
-// await waits until a job has a phase, and fails after a time.
-func (bd *bed) await(id string, want cell.Phase, within time.Duration) {
+// await waits until a job has a phase. It fails the test if that takes too long.
+func (bd *testbed) await(id string, want cell.Phase, within time.Duration) {
 	bd.t.Helper()
 	const step = 10 * time.Millisecond
 	var last any
@@ -256,8 +256,8 @@
 	bd.t.Fatalf("job %s is not %s after %v: %v", id, want, within, last)
 }
 
-// end stops the nodes and shows what should never have happened.
-func (bd *bed) end() {
+// end stops the nodes and reports invariants that were violated.
+func (bd *testbed) end() {
 	for _, nd := range bd.nodes {
 		nd.cancel()
 	}
--- a/internal/planner/unanswered_test.go
+++ b/internal/planner/unanswered_test.go
@@ -11,23 +11,23 @@
 	"tackbeam.example/tackbeam/internal/standin/memworkers"
 )
 
-// TestUnansweredStartsAreRepeated loses the answers of one order in eight, as workers do that
-// carry orders out late. Jobs with half a second to spare are in time all the same: what is
-// not answered is sent again to the same worker, which knows a run that it has. A run that is
-// shorter than the wait ends before the second try, which is refused then and proves nothing.
+// TestUnansweredStartsAreRepeated loses the answers to one start in eight, as with workers that carry orders out late.
+// Jobs with half a second to spare must still be in time: an unanswered start is sent again to the same worker, which
+// knows a run that it has. A run that is shorter than the wait ends before the second attempt, which is then refused.
+// That refusal proves nothing.
 func TestUnansweredStartsAreRepeated(t *testing.T) {
 	faults := map[string]memworkers.Fault{
 		"carried out, not answered": memworkers.Lost,
 		"carried out late":          memworkers.Late,
 		"never carried out":         memworkers.Silent,
 	}
-	runs := map[string]time.Duration{"of 0.6 s": 600 * time.Millisecond, "shorter than the wait": 20 * time.Millisecond}
+	runs := map[string]time.Duration{"of 0.6 s": 600 * time.Millisecond, "shorter than the timeout": 20 * time.Millisecond}
 	for what, fault := range faults {
 		for long, run := range runs {
 			t.Run(what+", runs "+long, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					const spare = 300 * time.Millisecond
-					bd := newBed(t, run, "w1", "w2", "w3")
+					bd := newTestbed(t, run, "w1", "w2", "w3")
 					defer bd.end()
 					nd := bd.addNode("n1")
 					bd.submit(nd, "first", 1)
@@ -56,12 +56,12 @@
 	}
 }
 
-// TestLostHoldsHideNoEnds loses one call in twelve of all kinds. Callers saw jobs of 0.6 s take
-// 2.3 s in the mean: nobody saw the ends on a worker for 1.7 s after each hold that was lost.
+// TestLostHoldsHideNoEnds guards against ends that are hidden by lost holds: with one call in twelve lost, jobs of 0.6
+// s took 2.3 s on average, because the ends on a worker were not received for 1.7 s after each lost hold.
 func TestLostHoldsHideNoEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const run, spare, jobs = 600 * time.Millisecond, 200 * time.Millisecond, 30
-		bd := newBed(t, run, "w1", "w2", "w3")
+		bd := newTestbed(t, run, "w1", "w2", "w3")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		count := 0
@@ -71,7 +71,7 @@
 			}
 			return memworkers.None
 		})
-		for n := range 8 { // until it is known that calls are lost
+		for n := range 8 { // until the planner has detected the lost calls
 			id := fmt.Sprintf("first%d", n)
 			bd.submit(nd, id, 6)
 			bd.await(id, cell.Succeeded, 6*time.Second)
@@ -83,9 +83,9 @@
 			bd.await(id, cell.Succeeded, 6*time.Second)
 		}
 		mean := time.Since(began) / jobs
-		t.Logf("a job takes %v in the mean", mean)
+		t.Logf("a job takes %v on average", mean)
 		if mean > run+spare {
-			t.Errorf("a job takes %v in the mean, more than %v", mean, run+spare)
+			t.Errorf("a job takes %v on average, more than %v", mean, run+spare)
 		}
 	})
 }
--- a/internal/planner/waits.go
+++ b/internal/planner/waits.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Which waits are logged.
+// Which waiting steps are logged.
 const (
-	// waitsEvery is how often, waitsLeast from which age on: most steps start within a
-	// second, gangs within a few.
-	waitsEvery = 2 * time.Second
-	waitsLeast = 4 * time.Second
-	// waitsMost is how many at a time, the longest ones.
-	waitsMost = 5
+	// waitLogInterval is the interval of the log lines, minLoggedWait the wait from which a step is logged. Most steps
+	// start within a second, gangs within a few.
+	waitLogInterval = 2 * time.Second
+	minLoggedWait   = 4 * time.Second
+	// maxLoggedWaits is the number of steps per interval, the longest waits first.
+	maxLoggedWaits = 5
 )
 
-// tellWaits logs what waits for long, and why. The caller holds the lock.
-func (ld *lead) tellWaits(now time.Duration) {
-	if now-ld.told < waitsEvery {
+// logWaits logs the steps that have waited for long, and why. The caller holds the lock.
+func (ld *leader) logWaits(now time.Duration) {
+	if now-ld.waitsLogged < waitLogInterval {
 		return
 	}
-	ld.told = now
-	for _, wt := range ld.cell.Waits(now, waitsLeast, waitsMost) {
-		ld.log.Info("Step waits.", "step", wt.Step.StepName(), "for", wt.For.String(), "tasks", wt.Tasks,
+	ld.waitsLogged = now
+	for _, wt := range ld.cell.Waits(now, minLoggedWait, maxLoggedWaits) {
+		ld.log.Info("Step is waiting.", "step", wt.Step.StepName(), "for", wt.For.String(), "tasks", wt.Tasks,
 			"placed", wt.Placed, "asking", wt.Asking, "asked", wt.Asked, "allowed", wt.Allowed, "room", wt.Room,
 			"kept_free", wt.Claimed, "tickets", wt.Tickets, "questions", wt.Questions, "unanswered", wt.Unanswered, "late", wt.Late,
 			"workspace", wt.Use.Workspace.Name, "at_limit", wt.AtLimit, "excess", wt.Excess,
 			"running", wt.Use.Running.String(), "limit", wt.Use.Workspace.Limit.String())
 	}
-	ld.measureLimits()
+	ld.updateLimitGauges()
 }
 
-// measureLimits tells how many workspaces are full to nine tenths of their limits, and how many are over them, as
-// those are whose limit was lowered below what runs. The caller holds the lock.
-func (ld *lead) measureLimits() {
+// updateLimitGauges counts the workspaces that use at least nine tenths of a limit, and those over a limit, which was
+// then lowered below their usage. The caller holds the lock.
+func (ld *leader) updateLimitGauges() {
 	const nearly = 0.9
 	near, over := 0, 0
 	for _, use := range ld.cell.Workspaces() {
@@ -41,6 +41,6 @@
 			near++
 		}
 	}
-	ld.measures.gauge("planner.workspaces_near_limit", near)
-	ld.measures.gauge("planner.workspaces_over_limit", over)
+	ld.metrics.gauge("planner.workspaces_near_limit", near)
+	ld.metrics.gauge("planner.workspaces_over_limit", over)
 }
--- a/internal/planner/roster_test.go
+++ b/internal/planner/workerlist_test.go
@@ -10,19 +10,19 @@
 	"tackbeam.example/tackbeam/internal/standin/memworkers"
 )
 
-// TestForeignEntries has entries in the list of workers that name none to use: nobody calls
-// their addresses, and the others go on.
+// TestForeignEntries adds entries to the list of workers that must not be used. Nothing may call their addresses, and
+// the other workers must go on.
 func TestForeignEntries(t *testing.T) {
-	for name, value := range map[string]string{"cannot be read": unreadable, "service not in use": "of another"} {
+	for name, value := range map[string]string{"cannot be decoded": unreadable, "service not in use": "of another"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bd := newBed(t, time.Second, "w1", "w2")
+				bd := newTestbed(t, time.Second, "w1", "w2")
 				defer bd.end()
 				bd.fleet.Add("stranger")
 				bd.store.Set(workersPrefix+"stranger", []byte(value))
 				bd.fleet.SetFault(func(worker, _ string) memworkers.Fault {
 					if worker == "stranger" {
-						t.Error("the stranger was called")
+						t.Error("a worker that must not be used was called")
 					}
 					return memworkers.None
 				})
@@ -34,10 +34,10 @@
 	}
 }
 
-// TestServiceComesIntoUse calls the workers of a service once the configuration names it.
+// TestServiceComesIntoUse checks that the workers of a service are used once the configuration names the service.
 func TestServiceComesIntoUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, time.Second)
+		bd := newTestbed(t, time.Second)
 		defer bd.end()
 		bd.serves.Store("")
 		bd.addWorker("w1")
@@ -50,11 +50,11 @@
 	})
 }
 
-// TestEntryTurnsUnreadable has a worker's entry overwritten while it runs tasks: they end there,
-// and it gets no new ones until it has written its entry again.
+// TestEntryTurnsUnreadable overwrites the entry of a worker that runs tasks. The runs must go on to their end, and the
+// worker gets no new ones until it has written its entry again.
 func TestEntryTurnsUnreadable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, 8*time.Second, "w1")
+		bd := newTestbed(t, 8*time.Second, "w1")
 		defer bd.end()
 		nd := bd.addNode("n1")
 		bd.submit(nd, "a", 1)
@@ -64,7 +64,7 @@
 		bd.submit(nd, "b", 1)
 		bd.await("a", cell.Succeeded, 10*time.Second) // longer than the worker's lease
 		if phase, err := nd.planner.JobPhase(t.Context(), "b", ""); phase != cell.Queued {
-			t.Errorf("the job handed in meanwhile is %q, %v", phase, err)
+			t.Errorf("the job submitted meanwhile is %q, %v", phase, err)
 		}
 		bd.store.Set(workersPrefix+"w1", nil)
 		bd.await("b", cell.Succeeded, 10*time.Second)
