--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -3,12 +3,12 @@
 
 import (
 	"context"
-	"tackbeam.example/policy/incarnation"
 	"time"
 
 	"github.com/pkg/errors"
 
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 )
 
 // Target is one incarnation of a worker, with its address.
--- a/internal/planner/incarnation.go
+++ b/internal/planner/incarnation.go
@@ -1,11 +1,12 @@
 package planner
 
 import (
-	"tackbeam.example/policy/incarnation"
 	"time"
 
 	"github.com/pkg/errors"
 
+	"tackbeam.example/policy/incarnation"
+
 	"tackbeam.example/tackbeam/internal/agent"
 )
 
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
-	"tackbeam.example/policy/incarnation"
 	"time"
 
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/joblog"
 	"tackbeam.example/tackbeam/internal/kv"
--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -2,13 +2,13 @@
 
 import (
 	"context"
-	"tackbeam.example/policy/incarnation"
 	"time"
 
 	"github.com/pkg/errors"
 
 	"tackbeam.example/policy/backoff"
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 	"tackbeam.example/tackbeam/internal/fault"
@@ -78,9 +78,7 @@
 }
 
 // canPlan reports whether tasks may be started now.
-func (ld *leader) canPlan() bool {
-	return ld.ctx.Err() == nil && ld.reign.LeaseHeld() && ld.listFresh()
-}
+func (ld *leader) canPlan() bool { return ld.ctx.Err() == nil && ld.reign.LeaseHeld() && ld.listFresh() }
 
 func errorText(err error) string {
 	if err == nil {
--- a/internal/planner/report.go
+++ b/internal/planner/report.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+
 	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"tackbeam.example/policy/incarnation"
 	"time"
 
 	"github.com/pkg/errors"
 
+	"tackbeam.example/policy/incarnation"
+
 	"tackbeam.example/tackbeam/internal/agent"
 	"tackbeam.example/tackbeam/internal/loop"
 )
--- a/internal/planner/testbed_test.go
+++ b/internal/planner/testbed_test.go
@@ -5,7 +5,6 @@
 	"strconv"
 	"strings"
 	"sync/atomic"
-	"tackbeam.example/policy/incarnation"
 	"testing"
 	"time"
 
@@ -16,6 +15,7 @@
 	"github.com/rcrowley/go-metrics"
 
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 
--- a/internal/planner/workerlist.go
+++ b/internal/planner/workerlist.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"slices"
+
 	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/kv"
--- a/policy/cell/advice.go
+++ b/policy/cell/advice.go
@@ -2,9 +2,9 @@
 
 import (
 	"slices"
-	"tackbeam.example/policy/incarnation"
 	"time"
 
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
--- a/policy/cell/advicerequest.go
+++ b/policy/cell/advicerequest.go
@@ -3,9 +3,9 @@
 import (
 	"iter"
 	"slices"
-	"tackbeam.example/policy/incarnation"
 	"time"
 
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
--- a/policy/cell/bed_test.go
+++ b/policy/cell/bed_test.go
@@ -5,11 +5,11 @@
 	"iter"
 	"math/rand/v2"
 	"slices"
-	"tackbeam.example/policy/incarnation"
 	"testing"
 	"time"
 
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
--- a/policy/cell/busyday_test.go
+++ b/policy/cell/busyday_test.go
@@ -8,10 +8,10 @@
 	"math"
 	"math/rand/v2"
 	"slices"
-	"tackbeam.example/policy/incarnation"
 	"time"
 
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
--- a/policy/cell/cell.go
+++ b/policy/cell/cell.go
@@ -8,10 +8,10 @@
 
 import (
 	"slices"
-	"tackbeam.example/policy/incarnation"
 	"time"
 
 	"tackbeam.example/policy/forecast"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/quota"
 )
 
--- a/policy/cell/limits_test.go
+++ b/policy/cell/limits_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
-	"tackbeam.example/policy/incarnation"
 	"testing"
 	"time"
 
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
--- a/policy/cell/placing_test.go
+++ b/policy/cell/placing_test.go
@@ -3,13 +3,13 @@
 import (
 	"maps"
 	"slices"
-	"tackbeam.example/policy/incarnation"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
--- a/policy/cell/recovery_test.go
+++ b/policy/cell/recovery_test.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"slices"
 	"strconv"
-	"tackbeam.example/policy/admission"
-	"tackbeam.example/policy/incarnation"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 
+	"tackbeam.example/policy/admission"
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
--- a/policy/cell/remains_test.go
+++ b/policy/cell/remains_test.go
@@ -1,13 +1,13 @@
 package cell_test
 
 import (
-	"tackbeam.example/policy/incarnation"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
--- a/policy/cell/report.go
+++ b/policy/cell/report.go
@@ -2,8 +2,9 @@
 
 import (
 	"slices"
-	"tackbeam.example/policy/incarnation"
 	"time"
+
+	"tackbeam.example/policy/incarnation"
 )
 
 // Report applies what a worker reported about its runs and their ends, in the answer to a call that was sent at
--- a/policy/cell/restart.go
+++ b/policy/cell/restart.go
@@ -2,8 +2,9 @@
 
 import (
 	"slices"
-	"tackbeam.example/policy/incarnation"
 	"time"
+
+	"tackbeam.example/policy/incarnation"
 )
 
 // A worker may restart under its ID. A start sent to its earlier incarnation may have been carried out in the
--- a/policy/cell/throttle.go
+++ b/policy/cell/throttle.go
@@ -1,9 +1,9 @@
 package cell
 
 import (
-	"tackbeam.example/policy/incarnation"
 	"time"
 
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
