--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -78,7 +78,9 @@
 }
 
 // canPlan reports whether tasks may be started now.
-func (ld *leader) canPlan() bool { return ld.ctx.Err() == nil && ld.reign.LeaseHeld() && ld.listFresh() }
+func (ld *leader) canPlan() bool {
+	return ld.ctx.Err() == nil && ld.reign.LeaseHeld() && ld.listFresh()
+}
 
 func errorText(err error) string {
 	if err == nil {
