--- a/internal/cli/cmd_nodes.go
+++ b/internal/cli/cmd_nodes.go
@@ -34,10 +34,10 @@
 	for _, nd := range list.Nodes {
 		gr.line(nd.Name, nd.Hall, nodeState(nd.State, nd.Stale), strconv.FormatUint(nd.MapEpoch, 10),
 			strconv.FormatUint(nd.TableRev, 10), strconv.Itoa(nd.Racks), strconv.Itoa(nd.Partitions),
-			strconv.Itoa(nd.Room.Workers), strconv.Itoa(nd.Room.FreeSlots),
+			strconv.Itoa(nd.Summary.Workers), strconv.Itoa(nd.Summary.FreeSlots),
 			fmt.Sprintf("%d+%d", nd.Waiting, nd.WaitingJobs), storeState(nd.StoreDown),
 			nd.Control.CPU.Round(time.Millisecond).String(), mebibytes(nd.Control.Resident),
-			nd.Control.Up.Round(time.Second).String(), nd.HTTP)
+			nd.Control.Uptime.Round(time.Second).String(), nd.HTTP)
 	}
 	gr.flush()
 	printUnreached(out, list.Unreached)
--- a/internal/cli/cmd_stats.go
+++ b/internal/cli/cmd_stats.go
@@ -46,12 +46,12 @@
 
 func printControl(out io.Writer, nd nodemsg.NodeInfo) {
 	ct := nd.Control
-	up := max(ct.Up.Seconds(), 1)
+	up := max(ct.Uptime.Seconds(), 1)
 	_, _ = fmt.Fprintf(out, "node %s, up %v, cpu %.2f%% of a core, memory %s\n",
-		nd.Name, ct.Up.Round(time.Second), 100*ct.CPU.Seconds()/up, mebibytes(ct.Resident))
+		nd.Name, ct.Uptime.Round(time.Second), 100*ct.CPU.Seconds()/up, mebibytes(ct.Resident))
 	_, _ = fmt.Fprintf(out, "sent to nodes %.0f B/s, to workers %.0f B/s; store %.2f reads/s, %.2f writes/s, %d failed, budget in use %.0f%%\n\n",
 		float64(ct.PeerSent)/up, float64(ct.WorkerSent)/up,
-		float64(ct.StoreReads)/up, float64(ct.StoreWrites)/up, ct.StoreFailed, 100*ct.StoreSpent)
+		float64(ct.StoreReads)/up, float64(ct.StoreWrites)/up, ct.StoreFailed, 100*ct.StoreBudgetUsed)
 }
 
 func printSeries(out io.Writer, list []meter.Series) {
--- a/internal/cli/watch.go
+++ b/internal/cli/watch.go
@@ -32,11 +32,11 @@
 
 // between returns what a node spent from one look to the next. A node that has
 // started anew is told since its start.
-func between(was, is nodemsg.Control) usage {
-	if is.Up < was.Up {
-		was = nodemsg.Control{}
+func between(was, is nodemsg.ControlUsage) usage {
+	if is.Uptime < was.Uptime {
+		was = nodemsg.ControlUsage{}
 	}
-	span := max((is.Up - was.Up).Seconds(), 1e-3)
+	span := max((is.Uptime - was.Uptime).Seconds(), 1e-3)
 	sent := float64(is.PeerSent-was.PeerSent) + float64(is.WorkerSent-was.WorkerSent)
 	return usage{
 		cpu: 100 * (is.CPU - was.CPU).Seconds() / span, memory: is.Resident, bytes: sent / span,
@@ -49,7 +49,7 @@
 // or, with a count, after so many times.
 func (cm *stats) watch() error {
 	cl := cm.env.client()
-	last := map[string]nodemsg.Control{}
+	last := map[string]nodemsg.ControlUsage{}
 	for n := 0; cm.Count == 0 || n < cm.Count; n++ {
 		list, err := client.JSON[api.Nodes](cl, client.Request{Method: "GET", Path: api.PathNodes})
 		if err != nil {
@@ -75,7 +75,7 @@
 }
 
 // printSpending prints a line for each node; what is over its limit has a mark.
-func printSpending(out io.Writer, list api.Nodes, last map[string]nodemsg.Control) {
+func printSpending(out io.Writer, list api.Nodes, last map[string]nodemsg.ControlUsage) {
 	gr := newGrid(out, "node", "state", "cpu %", "MiB", "sent B/s", "store r/s", "w/s", "budget %",
 		"room used %", "jobs wait", "lookups wait", "table", "map")
 	newest := uint64(0)
@@ -86,8 +86,8 @@
 		us := between(last[nd.Name], nd.Control)
 		gr.line(nd.Name, nd.State, marked("%.2f", us.cpu, limitCPU), marked("%.1f", float64(us.memory)/(1<<20), limitMemory>>20),
 			marked("%.0f", us.bytes, limitBytes), fmt.Sprintf("%.1f", us.reads), fmt.Sprintf("%.1f", us.writes),
-			fmt.Sprintf("%.0f", 100*nd.Control.StoreSpent),
-			fmt.Sprintf("%.0f", 100*nd.Room.Capacity.Sub(nd.Room.Free).DominantShare(nd.Room.Capacity)),
+			fmt.Sprintf("%.0f", 100*nd.Control.StoreBudgetUsed),
+			fmt.Sprintf("%.0f", 100*nd.Summary.Capacity.Sub(nd.Summary.Free).DominantShare(nd.Summary.Capacity)),
 			fmt.Sprint(nd.WaitingJobs), fmt.Sprint(nd.Waiting), freshness(nd, newest), fmt.Sprint(nd.MapEpoch))
 	}
 	gr.flush()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -88,7 +88,7 @@
 
 // FreeSlots returns the free slots of the workers that this node owns.
 func (dm *Daemon) FreeSlots() int {
-	room, _ := dm.owner.Room()
+	room, _ := dm.owner.Summary()
 	return room.FreeSlots
 }
 
@@ -139,14 +139,14 @@
 	const pause = 20 * time.Millisecond
 	until := dm.clock.Now().Add(dm.settings.Limits.Unready)
 	for {
-		busy := dm.front.InFlight() > 0 || dm.owner.Busy() > 0 || dm.mustHand()
+		busy := dm.front.InFlight() > 0 || dm.owner.PendingLookups() > 0 || dm.mustHand()
 		if !busy && !dm.clock.Now().Before(until) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return errors.Errorf("drain time is over with %d requests and %d lookups in flight",
-				dm.front.InFlight(), dm.owner.Busy())
+				dm.front.InFlight(), dm.owner.PendingLookups())
 		case <-dm.clock.After(pause):
 		}
 	}
--- a/internal/daemon/info.go
+++ b/internal/daemon/info.go
@@ -10,11 +10,11 @@
 )
 
 // fillBeat completes a heartbeat with what the services know.
-func (dm *Daemon) fillBeat(bt *nodemsg.Beat) {
+func (dm *Daemon) fillBeat(bt *nodemsg.Heartbeat) {
 	if dm.meter == nil {
 		return // the node is still being assembled
 	}
-	bt.Room, bt.Waiting = dm.owner.Room()
+	bt.Summary, bt.Waiting = dm.owner.Summary()
 	bt.Digest = dm.table.Snapshot().Digest()
 }
 
@@ -32,7 +32,7 @@
 	case dm.member.Draining():
 		info.State = stateLeaving
 	}
-	info.Room, info.Waiting = dm.owner.Room()
+	info.Summary, info.Waiting = dm.owner.Summary()
 	for _, rk := range mp.Racks {
 		if rk.Owner == nd.Name {
 			info.Racks++
@@ -49,13 +49,13 @@
 }
 
 // control returns what this node has spent on control.
-func (dm *Daemon) control() nodemsg.Control {
-	var ct nodemsg.Control
+func (dm *Daemon) control() nodemsg.ControlUsage {
+	var ct nodemsg.ControlUsage
 	cost := dm.meter.Cost(dm.clock.Now())
-	ct.CPU, ct.Resident, ct.Up = cost.CPU, cost.Resident, cost.Up
-	ct.StoreReads, ct.StoreWrites, ct.StoreFailed, ct.StoreSpent = dm.store.Calls()
-	ct.PeerSent, ct.PeerRead = dm.peer.Traffic()
-	ct.WorkerSent, ct.WorkerRead = dm.owner.Traffic()
+	ct.CPU, ct.Resident, ct.Uptime = cost.CPU, cost.Resident, cost.Up
+	ct.StoreReads, ct.StoreWrites, ct.StoreFailed, ct.StoreBudgetUsed = dm.store.Calls()
+	ct.PeerSent, ct.PeerReceived = dm.peer.Traffic()
+	ct.WorkerSent, ct.WorkerReceived = dm.owner.Traffic()
 	return ct
 }
 
--- a/internal/daemon/lookup_test.go
+++ b/internal/daemon/lookup_test.go
@@ -46,8 +46,8 @@
 		"overtaking":       {standinworker.Faults{LookupDelay: 20 * time.Millisecond}, true, ""},
 		"foreign answers":  {standinworker.Faults{Foreign: true}, true, owner.CounterLate},
 		"twice":            {standinworker.Faults{Twice: true}, true, owner.CounterLate},
-		"cut short":        {standinworker.Faults{CutShort: true}, false, owner.CounterShort},
-		"all of it":        {standinworker.Faults{CutShort: true, Twice: true, Foreign: true, LookupDelay: time.Millisecond}, false, owner.CounterShort},
+		"cut short":        {standinworker.Faults{CutShort: true}, false, owner.CounterTruncated},
+		"all of it":        {standinworker.Faults{CutShort: true, Twice: true, Foreign: true, LookupDelay: time.Millisecond}, false, owner.CounterTruncated},
 		"fails everything": {standinworker.Faults{FailAll: true}, false, "errors_" + string(fault.Endpoint)},
 	}
 	bd := newBed(t, 4, "n1", "n2")
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -67,7 +67,7 @@
 		Build: func(*kernel.Kernel) (any, error) {
 			var err error
 			rc, err = recorder.New(dm.settings.Record.Path, recorder.Header{
-				Node: dm.settings.Node, Limits: dm.limits(), AtOnce: home.AtOnce,
+				Node: dm.settings.Node, Limits: dm.limits(), AtOnce: home.MaxConcurrentTries,
 				Rules: homepolicy.DefaultRules(),
 			})
 			return rc, err
@@ -175,7 +175,7 @@
 				return nil, err
 			}
 			ow = owner.New(pt, owner.Options{
-				Name: dm.settings.Node, Limits: dm.limits(), Drain: dm.settings.Limits.Drain, Guard: dm.settings.Owner.Guard, Lease: dm.settings.Owner.Lease,
+				Name: dm.settings.Node, Limits: dm.limits(), DrainTimeout: dm.settings.Limits.Drain, LeaseGuard: dm.settings.Owner.Guard, MaxLease: dm.settings.Owner.Lease,
 			})
 			return ow, nil
 		},
@@ -184,8 +184,8 @@
 	}
 }
 
-func (dm *Daemon) ownerParts(kn *kernel.Kernel) (owner.Parts, error) {
-	pt := owner.Parts{Clock: dm.clock, Log: dm.log}
+func (dm *Daemon) ownerParts(kn *kernel.Kernel) (owner.Services, error) {
+	pt := owner.Services{Clock: dm.clock, Log: dm.log}
 	fd := kn.Finder()
 	kernel.Find(fd, nameMember, &pt.Member)
 	kernel.Find(fd, nameVMs, &pt.VMs)
@@ -205,8 +205,8 @@
 				return nil, err
 			}
 			hm = home.New(pt, home.Options{
-				WaitingJobs: dm.settings.Limits.WaitingJobs, KeepJobs: dm.settings.Limits.KeepJobs,
-				Ask: dm.settings.Limits.Ask,
+				MaxUnfinishedJobs: dm.settings.Limits.WaitingJobs, JobRetention: dm.settings.Limits.KeepJobs,
+				QueryAfter: dm.settings.Limits.Ask,
 			})
 			return hm, nil
 		},
@@ -215,15 +215,15 @@
 	}
 }
 
-func (dm *Daemon) homeParts(kn *kernel.Kernel) (home.Parts, error) {
-	pt := home.Parts{Clock: dm.clock, Log: dm.log}
+func (dm *Daemon) homeParts(kn *kernel.Kernel) (home.Services, error) {
+	pt := home.Services{Clock: dm.clock, Log: dm.log}
 	fd := kn.Finder()
 	var ow *owner.Owner
 	kernel.Find(fd, nameOwner, &ow)
 	var ls *vms.List
 	kernel.Find(fd, nameVMs, &ls)
 	pt.Local = home.Local{
-		VMs: ls.Len, Room: ow.Room, Hold: ow.Hold, Commit: ow.Commit, Release: ow.Release,
+		VMCount: ls.Len, Summary: ow.Summary, Hold: ow.Hold, Commit: ow.Commit, Release: ow.Release,
 		Order: ow.Order, Ack: ow.Ack,
 	}
 	kernel.Find(fd, nameMember, &pt.Member)
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -50,7 +50,7 @@
 	defer cancel()
 	an, err := fr.Router.Lookup(ctx, nodemsg.Lookup{
 		ID: rand.Uint64(), Workspace: ws.Name, Workload: wl.Name, Weight: ws.Weight,
-		Size: wl.Size, Budget: budget, Repeat: wl.Repeatable, Body: bytes.Clone(body),
+		Size: wl.Size, Budget: budget, Repeatable: wl.Repeatable, Body: bytes.Clone(body),
 	})
 	fr.Meter.Observe("latency", wl.Class, ws.Name, fr.Clock.Since(arrived))
 	if err != nil {
--- a/internal/home/forget.go
+++ b/internal/home/forget.go
@@ -26,7 +26,7 @@
 // since the last move. No time of day goes into it: a key that is forgotten early
 // because a clock is wrong would let a job run twice.
 func (hm *Home) growOlder() {
-	step := hm.opts.KeepJobs / keepSteps
+	step := hm.opts.JobRetention / keepSteps
 	now := hm.Clock.Now()
 	value := hm.Member.Map().Age
 	if hm.age.value != value || hm.age.since.IsZero() {
--- a/internal/home/handover.go
+++ b/internal/home/handover.go
@@ -14,15 +14,15 @@
 
 // hand gives a page of a partition's records to its new home, once no step on
 // its jobs is under way.
-func (hm *Home) hand(ctx context.Context, hp nodemsg.HandPartition) (nodemsg.Records, error) {
+func (hm *Home) hand(ctx context.Context, hp nodemsg.FetchPartition) (nodemsg.Records, error) {
 	if hp.Partition < 0 || hp.Partition >= ids.Partitions {
 		return nodemsg.Records{}, fault.New(fault.BadRequest, "no partition %d", hp.Partition)
 	}
 	for {
 		hm.mu.Lock()
-		if hm.journal.Name() != hp.Log {
+		if hm.journal.Name() != hp.Journal {
 			hm.mu.Unlock()
-			return nodemsg.Records{}, fault.New(fault.NotFound, "this node does not write journal %s", hp.Log)
+			return nodemsg.Records{}, fault.New(fault.NotFound, "this node does not write journal %s", hp.Journal)
 		}
 		if hm.Member.Map().Homes[hp.Partition].Epoch < hp.Epoch {
 			hm.mu.Unlock() // the map that moves the partition has not come yet
@@ -42,7 +42,7 @@
 
 // quiet returns the records of a frozen partition after a key, or false while a
 // step on one of its jobs is under way. The caller holds the lock.
-func (hm *Home) quiet(hp nodemsg.HandPartition) ([]job.Record, bool) {
+func (hm *Home) quiet(hp nodemsg.FetchPartition) ([]job.Record, bool) {
 	if hm.parts[hp.Partition].state == owned {
 		return nil, false
 	}
@@ -107,7 +107,7 @@
 	mp := hm.Member.Map()
 	for _, nd := range mp.Nodes {
 		if nd.JournalName() == log {
-			return hm.fetch(nd, nodemsg.HandPartition{Partition: part, Epoch: epoch, Log: log})
+			return hm.fetch(nd, nodemsg.FetchPartition{Partition: part, Epoch: epoch, Journal: log})
 		}
 	}
 	if records, ok := sealed[log]; ok {
@@ -123,7 +123,7 @@
 }
 
 // fetch asks a node for all pages of a partition's records.
-func (hm *Home) fetch(nd clustermap.Node, hp nodemsg.HandPartition) ([]nodemsg.Record, error) {
+func (hm *Home) fetch(nd clustermap.Node, hp nodemsg.FetchPartition) ([]nodemsg.Record, error) {
 	ctx, cancel := context.WithTimeout(hm.ctx, handTimeout)
 	defer cancel()
 	var all []nodemsg.Record
@@ -141,11 +141,11 @@
 }
 
 func (hm *Home) fetchPage(
-	ctx context.Context, nd clustermap.Node, hp nodemsg.HandPartition,
+	ctx context.Context, nd clustermap.Node, hp nodemsg.FetchPartition,
 ) (nodemsg.Records, error) {
 	if nd.Name == hm.Member.Node().Name {
 		return hm.hand(ctx, hp)
 	}
-	return peer.Call[nodemsg.HandPartition, nodemsg.Records](
-		ctx, hm.Peer, nd.Peer, nodemsg.KindHandPartition, hp)
+	return peer.Call[nodemsg.FetchPartition, nodemsg.Records](
+		ctx, hm.Peer, nd.Peer, nodemsg.KindFetchPartition, hp)
 }
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -36,32 +36,32 @@
 	forgetEvery   = 30 * time.Second
 )
 
-// AtOnce is the number of jobs that one home lets try for room together.
-const AtOnce = 64
+// MaxConcurrentTries is the number of jobs that one home lets try for room together.
+const MaxConcurrentTries = 64
 
 // Options of a home.
 type Options struct {
-	WaitingJobs int
-	KeepJobs    time.Duration
-	// Ask is how long a running job may be silent before its workers are asked for
+	MaxUnfinishedJobs int
+	JobRetention      time.Duration
+	// QueryAfter is how long a running job may be silent before its workers are asked for
 	// it. A repeatable one saves its work when asked.
-	Ask time.Duration
+	QueryAfter time.Duration
 }
 
 // Local is the owner of this node, which the home reaches without a message.
 type Local struct {
-	// VMs returns the number of workers that the platform lists.
-	VMs     func() int
-	Room    func() (ledger.Summary, int)
-	Hold    func(nodemsg.Hold) nodemsg.Held
-	Commit  func(context.Context, nodemsg.Commit) nodemsg.Fates
+	// VMCount returns the number of workers that the platform lists.
+	VMCount func() int
+	Summary func() (ledger.Summary, int)
+	Hold    func(nodemsg.Hold) nodemsg.HoldReply
+	Commit  func(context.Context, nodemsg.Commit) nodemsg.TaskStatuses
 	Release func(nodemsg.Release)
-	Order   func(context.Context, nodemsg.Order) nodemsg.Fates
+	Order   func(context.Context, nodemsg.Order) nodemsg.TaskStatuses
 	Ack     func(nodemsg.Ack)
 }
 
-// Parts are the services that a home works with.
-type Parts struct {
+// Services are the services that a home works with.
+type Services struct {
 	Clock    clockwork.Clock
 	Log      logr.Logger
 	Member   *member.Member
@@ -75,7 +75,7 @@
 
 // Home is this node's home service.
 type Home struct {
-	Parts
+	Services
 	opts    Options
 	started time.Time
 	ctx     context.Context
@@ -125,11 +125,11 @@
 }
 
 // New returns a home without partitions.
-func New(pt Parts, opts Options) *Home {
+func New(pt Services, opts Options) *Home {
 	pt.Log = pt.Log.WithName("home")
 	hm := &Home{
-		Parts: pt, opts: opts, started: pt.Clock.Now(),
-		machine: policy.New(AtOnce, policy.DefaultRules()),
+		Services: pt, opts: opts, started: pt.Clock.Now(),
+		machine: policy.New(MaxConcurrentTries, policy.DefaultRules()),
 		jobs:    map[string]*entry{},
 		keys:    map[string]string{},
 		pacer:   loop.NewPacer(),
@@ -155,10 +155,10 @@
 	peer.Handle(hm.Peer, nodemsg.KindJobCancel, func(ctx context.Context, _ string, qu nodemsg.JobQuery) (nodemsg.JobView, error) {
 		return hm.Cancel(ctx, qu)
 	})
-	peer.Handle(hm.Peer, nodemsg.KindTaskEnded, func(_ context.Context, _ string, en nodemsg.TaskEnded) (nodemsg.Noted, error) {
+	peer.Handle(hm.Peer, nodemsg.KindTaskEnded, func(_ context.Context, _ string, en nodemsg.TaskEnded) (nodemsg.TaskEndedReply, error) {
 		return hm.TaskEnded(en)
 	})
-	peer.Handle(hm.Peer, nodemsg.KindHandPartition, func(ctx context.Context, _ string, hp nodemsg.HandPartition) (nodemsg.Records, error) {
+	peer.Handle(hm.Peer, nodemsg.KindFetchPartition, func(ctx context.Context, _ string, hp nodemsg.FetchPartition) (nodemsg.Records, error) {
 		return hm.hand(ctx, hp)
 	})
 }
@@ -169,7 +169,7 @@
 		hm.pacer.Run(hm.ctx, hm.Clock, tickEvery, hm.tick)
 	})
 	hm.loop(capacityEvery, hm.measure)
-	hm.loop(min(forgetEvery, hm.opts.KeepJobs/(4*keepSteps)), hm.forgetOld)
+	hm.loop(min(forgetEvery, hm.opts.JobRetention/(4*keepSteps)), hm.forgetOld)
 	return nil
 }
 
@@ -223,7 +223,7 @@
 // measure tells the machine the room of the whole cluster. What no worker has
 // is told by the largest ever seen, since workers may be away for a while.
 func (hm *Home) measure() {
-	room, _ := hm.Local.Room()
+	room, _ := hm.Local.Summary()
 	total, free, largest, count := room.Capacity, room.Free, room.LargestCapacity, room.Workers
 	for _, vw := range hm.Member.Peers() {
 		rm := vw.Summary()
@@ -236,7 +236,7 @@
 	defer hm.mu.Unlock()
 	hm.largest = hm.largest.Max(largest)
 	hm.total = hm.total.Max(total)
-	hm.complete = hm.complete || count > 0 && count >= hm.Local.VMs()
+	hm.complete = hm.complete || count > 0 && count >= hm.Local.VMCount()
 	hm.step(policy.Event{Capacity: &policy.Capacity{Total: hm.total, Largest: hm.largest, Free: free}})
 }
 
--- a/internal/home/place.go
+++ b/internal/home/place.go
@@ -113,7 +113,7 @@
 // that are heard and stay.
 func (hm *Home) owners(have map[string][]nodemsg.Place) []ranking.Owner {
 	own := hm.Member.Node().Name
-	room, _ := hm.Local.Room()
+	room, _ := hm.Local.Summary()
 	list := []ranking.Owner{{Name: own, Summary: room, Placed: len(have[own]), Local: true}}
 	for _, vw := range hm.Member.Peers() {
 		if name := vw.Node().Name; vw.Reachable() && !vw.Node().Leaving {
@@ -127,7 +127,7 @@
 	rec := sk.rec
 	hd := nodemsg.Hold{
 		ID: holdID(rec), Tasks: tasks, Size: rec.Size, Expires: holdTime,
-		Priority: rec.Priority, Age: rec.Submitted.UnixNano(), Reserve: sk.reserve, Run: sk.run,
+		Priority: rec.Priority, SubmittedAt: rec.Submitted.UnixNano(), Reserve: sk.reserve, Run: sk.run,
 		Urgent: rec.Priority >= column.MaxPriority, Repeatable: rec.Repeatable,
 	}
 	if node == hm.Member.Node().Name {
@@ -136,7 +136,7 @@
 	ctx, cancel := context.WithTimeout(hm.ctx, holdTimeout)
 	defer cancel()
 	// A hold that is made without our knowledge expires.
-	held, err := peer.Call[nodemsg.Hold, nodemsg.Held](ctx, hm.Peer, hm.Member.Map().Nodes[node].Peer, nodemsg.KindHold, hd)
+	held, err := peer.Call[nodemsg.Hold, nodemsg.HoldReply](ctx, hm.Peer, hm.Member.Map().Nodes[node].Peer, nodemsg.KindHold, hd)
 	return held.Places, err
 }
 
@@ -255,55 +255,55 @@
 }
 
 // commit starts the tasks on their workers and returns their fates.
-func (hm *Home) commit(rec job.Record) []nodemsg.Fate {
+func (hm *Home) commit(rec job.Record) []nodemsg.TaskStatus {
 	groups := hm.byOwner(rec.Places)
-	return hm.scatter(groups, func(ctx context.Context, node string, group []nodemsg.Place) []nodemsg.Fate {
+	return hm.scatter(groups, func(ctx context.Context, node string, group []nodemsg.Place) []nodemsg.TaskStatus {
 		cm := nodemsg.Commit{
 			ID: holdID(rec), Size: rec.Size, Prepared: len(rec.Places) > 1,
 			Payload: rec.Payload, Places: group, Priority: rec.Priority, Repeatable: rec.Repeatable, Resume: rec.SavedWork,
 		}
 		if node == hm.Member.Node().Name {
-			return hm.Local.Commit(ctx, cm).Fates
+			return hm.Local.Commit(ctx, cm).Statuses
 		}
 		addr := hm.Member.Map().Nodes[node].Peer
-		got, err := peer.Call[nodemsg.Commit, nodemsg.Fates](ctx, hm.Peer, addr, nodemsg.KindCommit, cm)
+		got, err := peer.Call[nodemsg.Commit, nodemsg.TaskStatuses](ctx, hm.Peer, addr, nodemsg.KindCommit, cm)
 		return hm.fates(node, got, err)
 	})
 }
 
 // order sends an order about places to their owners and returns the fates.
-func (hm *Home) order(verb nodemsg.Verb, places []nodemsg.Place) []nodemsg.Fate {
-	return hm.scatter(hm.byOwner(places), func(ctx context.Context, node string, group []nodemsg.Place) []nodemsg.Fate {
+func (hm *Home) order(verb nodemsg.Verb, places []nodemsg.Place) []nodemsg.TaskStatus {
+	return hm.scatter(hm.byOwner(places), func(ctx context.Context, node string, group []nodemsg.Place) []nodemsg.TaskStatus {
 		od := nodemsg.Order{Verb: verb, Tasks: group}
 		if node == hm.Member.Node().Name {
-			return hm.Local.Order(ctx, od).Fates
+			return hm.Local.Order(ctx, od).Statuses
 		}
 		addr := hm.Member.Map().Nodes[node].Peer
-		got, err := peer.Call[nodemsg.Order, nodemsg.Fates](ctx, hm.Peer, addr, nodemsg.KindOrder, od)
+		got, err := peer.Call[nodemsg.Order, nodemsg.TaskStatuses](ctx, hm.Peer, addr, nodemsg.KindOrder, od)
 		return hm.fates(node, got, err)
 	})
 }
 
-func (hm *Home) fates(node string, got nodemsg.Fates, err error) []nodemsg.Fate {
+func (hm *Home) fates(node string, got nodemsg.TaskStatuses, err error) []nodemsg.TaskStatus {
 	if err != nil {
 		hm.Log.V(1).Info("Owner did not answer an order.", "node", node, "cause", err.Error())
 	}
-	return got.Fates
+	return got.Statuses
 }
 
 // scatter runs act for each owner's places side by side and gathers the fates.
 func (hm *Home) scatter(
 	groups map[string][]nodemsg.Place,
-	act func(context.Context, string, []nodemsg.Place) []nodemsg.Fate,
-) []nodemsg.Fate {
+	act func(context.Context, string, []nodemsg.Place) []nodemsg.TaskStatus,
+) []nodemsg.TaskStatus {
 	const patience = 6 * time.Second
 	ctx, cancel := context.WithTimeout(hm.ctx, patience)
 	defer cancel()
-	answers := make(chan []nodemsg.Fate, len(groups))
+	answers := make(chan []nodemsg.TaskStatus, len(groups))
 	for node, group := range groups {
 		go func() { answers <- act(ctx, node, group) }()
 	}
-	var all []nodemsg.Fate
+	var all []nodemsg.TaskStatus
 	for range groups {
 		all = append(all, <-answers...)
 	}
--- a/internal/home/see.go
+++ b/internal/home/see.go
@@ -46,14 +46,14 @@
 		step, places, number := hm.next(en)
 		switch step {
 		case attempt.Query:
-			hm.learn(en, number, hm.order(nodemsg.VerbFate, places))
+			hm.learn(en, number, hm.order(nodemsg.VerbFence, places))
 		case attempt.Start:
-			hm.learn(en, number, hm.order(nodemsg.VerbGo, places))
+			hm.learn(en, number, hm.order(nodemsg.VerbStartPrepared, places))
 		case attempt.Stop:
 			hm.learn(en, number, hm.order(nodemsg.VerbStop, places))
 		case attempt.Wait:
 			pause = firstAsk
-			kicked, more := hm.wait(en, hm.opts.Ask)
+			kicked, more := hm.wait(en, hm.opts.QueryAfter)
 			if !more {
 				return
 			}
@@ -98,7 +98,7 @@
 	en.busy++
 	places, number := en.in(attempt.Running), en.rec.Attempt
 	hm.mu.Unlock()
-	verb := nodemsg.VerbFate
+	verb := nodemsg.VerbFence
 	if en.rec.Repeatable {
 		verb = nodemsg.VerbCheckpoint
 	}
@@ -219,7 +219,7 @@
 
 // learn takes the fates of tasks of an attempt in. An answer to a former attempt
 // changes nothing.
-func (hm *Home) learn(en *entry, number int, fates []nodemsg.Fate) {
+func (hm *Home) learn(en *entry, number int, fates []nodemsg.TaskStatus) {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	if en.rec.Attempt != number || en.rec.State != job.Placed {
@@ -231,7 +231,7 @@
 		}
 		if _, _, index, ok := ids.TaskJob(ft.Task); ok {
 			en.noteSaved(index, ft.Saved)
-			hm.setStatus(en, index, job.StatusOf(ft.State, ft.Begun))
+			hm.setStatus(en, index, job.StatusOf(ft.State, ft.Started))
 		}
 	}
 }
@@ -260,10 +260,10 @@
 
 // TaskEnded takes an owner's report of an end. It is settled once the job's end
 // is kept, or where the task belongs to a former attempt or to no job.
-func (hm *Home) TaskEnded(end nodemsg.TaskEnded) (nodemsg.Noted, error) {
+func (hm *Home) TaskEnded(end nodemsg.TaskEnded) (nodemsg.TaskEndedReply, error) {
 	id, number, index, ok := ids.TaskJob(end.Task)
 	if !ok {
-		return nodemsg.Noted{Settled: true}, nil
+		return nodemsg.TaskEndedReply{Acked: true}, nil
 	}
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
@@ -271,16 +271,16 @@
 	if en == nil {
 		part, valid := ids.JobPartition(id)
 		if valid && hm.parts[part].state != owned {
-			return nodemsg.Noted{}, err
+			return nodemsg.TaskEndedReply{}, err
 		}
-		return nodemsg.Noted{Settled: true}, nil
+		return nodemsg.TaskEndedReply{Acked: true}, nil
 	}
 	if en.rec.State == job.Done {
-		return nodemsg.Noted{Settled: true}, nil
+		return nodemsg.TaskEndedReply{Acked: true}, nil
 	}
 	if en.rec.State == job.Placed && en.rec.Attempt == number {
 		en.noteSaved(index, end.Saved)
-		hm.setStatus(en, index, job.StatusOf(end.State, end.Begun))
+		hm.setStatus(en, index, job.StatusOf(end.State, end.Started))
 	}
-	return nodemsg.Noted{}, nil
+	return nodemsg.TaskEndedReply{}, nil
 }
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -111,7 +111,7 @@
 	if req.Budget < 0 {
 		return fault.New(fault.PastDeadline, "the deadline passed %v ago; not run", -req.Budget)
 	}
-	if hm.open >= hm.opts.WaitingJobs {
+	if hm.open >= hm.opts.MaxUnfinishedJobs {
 		return fault.New(fault.Full, "this node keeps %d unfinished jobs; not run", hm.open).After(time.Second)
 	}
 	if !hm.complete {
@@ -205,7 +205,7 @@
 	}
 	en, ok := hm.jobs[id]
 	if !ok {
-		return nil, fault.New(fault.NotFound, "job %s is not known; ended jobs are kept for %v", id, hm.opts.KeepJobs)
+		return nil, fault.New(fault.NotFound, "job %s is not known; ended jobs are kept for %v", id, hm.opts.JobRetention)
 	}
 	return en, nil
 }
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -131,7 +131,7 @@
 		return attempt.OK
 	case workermsg.Failed:
 		return attempt.Failed
-	case workermsg.Never:
+	case workermsg.NotStarted:
 		if begun {
 			return attempt.Lost // the task began, and the worker has forgotten its end
 		}
@@ -141,7 +141,7 @@
 			return attempt.NotStarted
 		}
 		return attempt.Stopped
-	case workermsg.Lapsed:
+	case workermsg.LeaseExpired:
 		if !begun {
 			return attempt.NotStarted
 		}
--- a/internal/job/model_test.go
+++ b/internal/job/model_test.go
@@ -109,7 +109,7 @@
 	case od.verb == "stop" && known && !state.Ended():
 		md.workers[pl] = workermsg.Stopped
 	case !known:
-		md.workers[pl] = workermsg.Never // fenced: a late start is refused
+		md.workers[pl] = workermsg.NotStarted // fenced: a late start is refused
 	}
 	od.reply, od.state, od.begun = true, md.workers[pl], md.begun[pl]
 	md.net = append(md.net, od)
@@ -152,7 +152,7 @@
 func (md *model) lapse(pl place) {
 	switch md.workers[pl] {
 	case workermsg.Running, workermsg.Prepared:
-		md.workers[pl] = workermsg.Lapsed
+		md.workers[pl] = workermsg.LeaseExpired
 	}
 }
 
@@ -253,7 +253,7 @@
 
 func ExampleStatusOf() {
 	fmt.Println(job.StatusOf(workermsg.Stopped, false) == attempt.NotStarted)
-	fmt.Println(job.StatusOf(workermsg.Never, true) == attempt.Lost)
+	fmt.Println(job.StatusOf(workermsg.NotStarted, true) == attempt.Lost)
 	// Output:
 	// true
 	// true
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -16,7 +16,7 @@
 // View is the state of another node as seen by this one.
 type View struct {
 	node      clustermap.Node
-	heartbeat nodemsg.Beat
+	heartbeat nodemsg.Heartbeat
 	reachable bool
 }
 
@@ -27,10 +27,10 @@
 func (vw View) Reachable() bool { return vw.reachable }
 
 // Summary returns the summary of the node's ledger.
-func (vw View) Summary() ledger.Summary { return vw.heartbeat.Room }
+func (vw View) Summary() ledger.Summary { return vw.heartbeat.Summary }
 
 // Heartbeat returns the node's last heartbeat.
-func (vw View) Heartbeat() nodemsg.Beat { return vw.heartbeat }
+func (vw View) Heartbeat() nodemsg.Heartbeat { return vw.heartbeat }
 
 // Peers returns the other nodes of the map, sorted by name.
 func (mb *Member) Peers() []View {
@@ -103,7 +103,7 @@
 	defer mb.mu.Unlock()
 	oldest := mb.clock.Now()
 	for _, ps := range mb.peers {
-		if !slices.Contains(ps.heartbeat.Hears, mb.node.Name) {
+		if !slices.Contains(ps.heartbeat.ReachableNodes, mb.node.Name) {
 			return at
 		}
 		if ps.lastHeard.Before(oldest) {
@@ -179,10 +179,10 @@
 	}
 }
 
-func (mb *Member) sendHeartbeat(ctx context.Context, nd clustermap.Node, own nodemsg.Beat, overdue bool) {
+func (mb *Member) sendHeartbeat(ctx context.Context, nd clustermap.Node, own nodemsg.Heartbeat, overdue bool) {
 	call, cancel := context.WithTimeout(ctx, mb.opts.SuspectAfter)
 	defer cancel()
-	got, err := peer.Call[nodemsg.Beat, nodemsg.Beat](call, mb.peer, nd.Peer, nodemsg.KindBeat, own)
+	got, err := peer.Call[nodemsg.Heartbeat, nodemsg.Heartbeat](call, mb.peer, nd.Peer, nodemsg.KindHeartbeat, own)
 	if err == nil {
 		mb.handleHeartbeat(got)
 		return
@@ -192,31 +192,31 @@
 	}
 }
 
-func (mb *Member) ownHeartbeat() nodemsg.Beat {
+func (mb *Member) ownHeartbeat() nodemsg.Heartbeat {
 	mb.mu.Lock()
-	bt := nodemsg.Beat{
+	bt := nodemsg.Heartbeat{
 		Node: mb.node.Name, Incarnation: mb.node.Incarnation,
 		MapEpoch: mb.current.Epoch, Draining: mb.draining,
 	}
 	for name, ps := range mb.peers {
 		if mb.isReachable(ps) {
-			bt.Hears = append(bt.Hears, name)
+			bt.ReachableNodes = append(bt.ReachableNodes, name)
 		}
 	}
 	mb.mu.Unlock()
-	sort.Strings(bt.Hears)
+	sort.Strings(bt.ReachableNodes)
 	bt.StoreDown = mb.store.Down()
 	mb.fillHeartbeat(&bt)
 	return bt
 }
 
-func (mb *Member) onHeartbeat(_ context.Context, _ string, bt nodemsg.Beat) (nodemsg.Beat, error) {
+func (mb *Member) onHeartbeat(_ context.Context, _ string, bt nodemsg.Heartbeat) (nodemsg.Heartbeat, error) {
 	mb.handleHeartbeat(bt)
 	return mb.ownHeartbeat(), nil
 }
 
 // handleHeartbeat records a heartbeat, and catches up with its sender if that has a newer map or another table.
-func (mb *Member) handleHeartbeat(bt nodemsg.Beat) {
+func (mb *Member) handleHeartbeat(bt nodemsg.Heartbeat) {
 	mb.mu.Lock()
 	nd, known := mb.current.Nodes[bt.Node]
 	ps, ok := mb.peers[bt.Node]
@@ -233,7 +233,7 @@
 	if !known {
 		return
 	}
-	var own nodemsg.Beat
+	var own nodemsg.Heartbeat
 	mb.fillHeartbeat(&own)
 	if own.Digest != bt.Digest {
 		mb.tableDiffers(nd.Peer)
@@ -316,7 +316,7 @@
 		if other == name || !mb.isReachable(ps) {
 			continue
 		}
-		for _, reached := range ps.heartbeat.Hears {
+		for _, reached := range ps.heartbeat.ReachableNodes {
 			if reached == name {
 				return true
 			}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -47,7 +47,7 @@
 // peerState is what this node knows about another node from its heartbeats.
 type peerState struct {
 	lastHeard time.Time
-	heartbeat nodemsg.Beat
+	heartbeat nodemsg.Heartbeat
 	// unreachable is set once the node was reported as unreachable.
 	unreachable bool
 }
@@ -61,7 +61,7 @@
 	peer  *peer.Peer
 
 	// fillHeartbeat completes this node's own heartbeat; set before Start.
-	fillHeartbeat func(*nodemsg.Beat)
+	fillHeartbeat func(*nodemsg.Heartbeat)
 	// tableDiffers is called when another node has a different table; set before Start.
 	tableDiffers func(addr string)
 
@@ -94,16 +94,16 @@
 		current:       clustermap.New(),
 		peers:         map[string]*peerState{},
 		live:          map[string]bool{},
-		fillHeartbeat: func(*nodemsg.Beat) {},
+		fillHeartbeat: func(*nodemsg.Heartbeat) {},
 		tableDiffers:  func(string) {},
 	}
 	mb.node.Incarnation = ids.Random(5)
-	peer.Handle(pr, nodemsg.KindBeat, mb.onHeartbeat)
+	peer.Handle(pr, nodemsg.KindHeartbeat, mb.onHeartbeat)
 	return mb
 }
 
 // SetHeartbeatFiller sets the function that completes this node's heartbeats. Call it before Start.
-func (mb *Member) SetHeartbeatFiller(fill func(*nodemsg.Beat)) { mb.fillHeartbeat = fill }
+func (mb *Member) SetHeartbeatFiller(fill func(*nodemsg.Heartbeat)) { mb.fillHeartbeat = fill }
 
 // OnTableDiffers sets the function called with the address of a node whose table differs. Call it before Start.
 func (mb *Member) OnTableDiffers(callback func(addr string)) { mb.tableDiffers = callback }
--- a/internal/nodemsg/nodemsg.go
+++ b/internal/nodemsg/nodemsg.go
@@ -16,7 +16,7 @@
 
 // The kinds of request. The numbers are part of the protocol.
 const (
-	KindBeat Kind = iota + 1
+	KindHeartbeat Kind = iota + 1
 	KindRowPush
 	KindRowsSince
 	KindLookup
@@ -32,24 +32,24 @@
 	KindTaskEnded
 	KindWorkers
 	KindDrain
-	KindHandPartition
+	KindFetchPartition
 	KindNodeInfo
 )
 
 // Empty is an answer or a request without content.
 type Empty struct{}
 
-// Beat is a node's heartbeat; the answer is the other node's.
-type Beat struct {
-	Node        string         `cbor:"1,keyasint"`
-	Incarnation string         `cbor:"2,keyasint"`
-	MapEpoch    uint64         `cbor:"3,keyasint"`
-	Digest      uint64         `cbor:"4,keyasint"`
-	Room        ledger.Summary `cbor:"5,keyasint"`
-	Waiting     int            `cbor:"6,keyasint"`
-	Hears       []string       `cbor:"7,keyasint,omitempty"`
-	StoreDown   bool           `cbor:"8,keyasint,omitempty"`
-	Draining    bool           `cbor:"9,keyasint,omitempty"`
+// Heartbeat is a node's heartbeat; the answer is the other node's.
+type Heartbeat struct {
+	Node           string         `cbor:"1,keyasint"`
+	Incarnation    string         `cbor:"2,keyasint"`
+	MapEpoch       uint64         `cbor:"3,keyasint"`
+	Digest         uint64         `cbor:"4,keyasint"`
+	Summary        ledger.Summary `cbor:"5,keyasint"`
+	Waiting        int            `cbor:"6,keyasint"`
+	ReachableNodes []string       `cbor:"7,keyasint,omitempty"`
+	StoreDown      bool           `cbor:"8,keyasint,omitempty"`
+	Draining       bool           `cbor:"9,keyasint,omitempty"`
 }
 
 // Row is one row of the table as nodes push it, with the store's version.
@@ -78,14 +78,14 @@
 // Lookup forwards a caller's lookup to the owner that is to serve it. Budget is
 // the time left.
 type Lookup struct {
-	ID        uint64        `cbor:"1,keyasint"`
-	Workspace string        `cbor:"2,keyasint"`
-	Workload  string        `cbor:"3,keyasint"`
-	Weight    float64       `cbor:"4,keyasint"`
-	Size      size.Size     `cbor:"5,keyasint"`
-	Budget    time.Duration `cbor:"6,keyasint"`
-	Repeat    bool          `cbor:"7,keyasint"`
-	Body      []byte        `cbor:"8,keyasint"`
+	ID         uint64        `cbor:"1,keyasint"`
+	Workspace  string        `cbor:"2,keyasint"`
+	Workload   string        `cbor:"3,keyasint"`
+	Weight     float64       `cbor:"4,keyasint"`
+	Size       size.Size     `cbor:"5,keyasint"`
+	Budget     time.Duration `cbor:"6,keyasint"`
+	Repeatable bool          `cbor:"7,keyasint"`
+	Body       []byte        `cbor:"8,keyasint"`
 }
 
 // Answer is the answer to a forwarded lookup. ID repeats the lookup's.
@@ -164,17 +164,17 @@
 	Size    size.Size     `cbor:"3,keyasint"`
 	Expires time.Duration `cbor:"4,keyasint"`
 	// What follows is as in the policy's hold.
-	Priority   int   `cbor:"5,keyasint"`
-	Age        int64 `cbor:"6,keyasint"`
-	Reserve    bool  `cbor:"7,keyasint,omitempty"`
-	Urgent     bool  `cbor:"8,keyasint,omitempty"`
-	Repeatable bool  `cbor:"9,keyasint,omitempty"`
+	Priority    int   `cbor:"5,keyasint"`
+	SubmittedAt int64 `cbor:"6,keyasint"`
+	Reserve     bool  `cbor:"7,keyasint,omitempty"`
+	Urgent      bool  `cbor:"8,keyasint,omitempty"`
+	Repeatable  bool  `cbor:"9,keyasint,omitempty"`
 	// Run is how long the tasks are expected to run; zero is not known.
 	Run time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
-// Held lists the places that a hold got.
-type Held struct {
+// HoldReply lists the places that a hold got.
+type HoldReply struct {
 	Places []Place `cbor:"1,keyasint,omitempty"`
 }
 
@@ -183,8 +183,8 @@
 	Task   string `cbor:"1,keyasint"`
 	Worker string `cbor:"2,keyasint"`
 	Rack   string `cbor:"3,keyasint"`
-	// Machine is the worker's incarnation; another one never had the task.
-	Machine string `cbor:"4,keyasint,omitempty"`
+	// Incarnation is the worker's incarnation; another one never had the task.
+	Incarnation string `cbor:"4,keyasint,omitempty"`
 }
 
 // Commit starts the tasks of a hold, or prepares them where all must start together.
@@ -211,9 +211,9 @@
 
 // The verbs. Fate asks how far a task has come and fences one that never arrived.
 const (
-	VerbGo Verb = iota + 1
+	VerbStartPrepared Verb = iota + 1
 	VerbStop
-	VerbFate
+	VerbFence
 	VerbCheckpoint
 )
 
@@ -223,21 +223,21 @@
 	Tasks []Place `cbor:"2,keyasint"`
 }
 
-// Fate is how far a task has come. Known is false where the worker did not
+// TaskStatus is how far a task has come. Known is false where the worker did not
 // answer; then State is what is known otherwise, or empty.
-type Fate struct {
-	Task  string          `cbor:"1,keyasint"`
-	Known bool            `cbor:"2,keyasint"`
-	State workermsg.State `cbor:"3,keyasint"`
-	Begun bool            `cbor:"4,keyasint"`
-	Why   string          `cbor:"5,keyasint,omitempty"`
+type TaskStatus struct {
+	Task    string          `cbor:"1,keyasint"`
+	Known   bool            `cbor:"2,keyasint"`
+	State   workermsg.State `cbor:"3,keyasint"`
+	Started bool            `cbor:"4,keyasint"`
+	Reason  string          `cbor:"5,keyasint,omitempty"`
 	// Saved is the work done at the task's last checkpoint.
 	Saved time.Duration `cbor:"6,keyasint,omitempty"`
 }
 
-// Fates answers a commit or an order, a fate for each task.
-type Fates struct {
-	Fates []Fate `cbor:"1,keyasint"`
+// TaskStatuses answers a commit or an order, a fate for each task.
+type TaskStatuses struct {
+	Statuses []TaskStatus `cbor:"1,keyasint"`
 }
 
 // Ack says that the ends of tasks are kept, so that they may be forgotten.
@@ -247,15 +247,15 @@
 
 // TaskEnded tells a home that a task has ended.
 type TaskEnded struct {
-	Task  string          `cbor:"1,keyasint"`
-	State workermsg.State `cbor:"2,keyasint"`
-	Begun bool            `cbor:"3,keyasint"`
-	Saved time.Duration   `cbor:"4,keyasint,omitempty"`
+	Task    string          `cbor:"1,keyasint"`
+	State   workermsg.State `cbor:"2,keyasint"`
+	Started bool            `cbor:"3,keyasint"`
+	Saved   time.Duration   `cbor:"4,keyasint,omitempty"`
 }
 
-// Noted answers TaskEnded. Settled means that the end is kept for good.
-type Noted struct {
-	Settled bool `cbor:"1,keyasint"`
+// TaskEndedReply answers TaskEnded. Settled means that the end is kept for good.
+type TaskEndedReply struct {
+	Acked bool `cbor:"1,keyasint"`
 }
 
 // WorkerView is what operators see of a worker.
@@ -283,11 +283,11 @@
 	Worker string `cbor:"1,keyasint,omitempty"`
 }
 
-// HandPartition asks the former home for the records of a partition.
-type HandPartition struct {
+// FetchPartition asks the former home for the records of a partition.
+type FetchPartition struct {
 	Partition int    `cbor:"1,keyasint"`
 	Epoch     uint64 `cbor:"2,keyasint"`
-	Log       string `cbor:"3,keyasint"`
+	Journal   string `cbor:"3,keyasint"`
 	// After is the key that the page begins after.
 	After string `cbor:"4,keyasint,omitempty"`
 }
@@ -318,26 +318,26 @@
 	StoreDown   bool           `cbor:"9,keyasint" json:"store_down"`
 	Racks       int            `cbor:"10,keyasint" json:"racks"`
 	Partitions  int            `cbor:"11,keyasint" json:"partitions"`
-	Room        ledger.Summary `cbor:"12,keyasint" json:"room"`
+	Summary     ledger.Summary `cbor:"12,keyasint" json:"room"`
 	WaitingJobs int            `cbor:"13,keyasint" json:"waiting_jobs"`
 	Waiting     int            `cbor:"14,keyasint" json:"waiting_lookups"`
-	Control     Control        `cbor:"15,keyasint" json:"control"`
+	Control     ControlUsage   `cbor:"15,keyasint" json:"control"`
 	HTTP        string         `cbor:"16,keyasint" json:"http"`
 }
 
-// Control is what a node has spent on control since it started.
-type Control struct {
-	CPU         time.Duration `cbor:"1,keyasint" json:"cpu"`
-	Resident    int64         `cbor:"2,keyasint" json:"resident_bytes"`
-	PeerSent    uint64        `cbor:"3,keyasint" json:"peer_bytes_sent"`
-	PeerRead    uint64        `cbor:"4,keyasint" json:"peer_bytes_received"`
-	WorkerSent  int64         `cbor:"5,keyasint" json:"worker_bytes_sent"`
-	WorkerRead  int64         `cbor:"6,keyasint" json:"worker_bytes_received"`
-	StoreReads  int64         `cbor:"7,keyasint" json:"store_reads"`
-	StoreWrites int64         `cbor:"8,keyasint" json:"store_writes"`
-	StoreFailed int64         `cbor:"9,keyasint" json:"store_failed"`
-	StoreSpent  float64       `cbor:"10,keyasint" json:"store_budget_in_use"`
-	Up          time.Duration `cbor:"11,keyasint" json:"up"`
+// ControlUsage is what a node has spent on control since it started.
+type ControlUsage struct {
+	CPU             time.Duration `cbor:"1,keyasint" json:"cpu"`
+	Resident        int64         `cbor:"2,keyasint" json:"resident_bytes"`
+	PeerSent        uint64        `cbor:"3,keyasint" json:"peer_bytes_sent"`
+	PeerReceived    uint64        `cbor:"4,keyasint" json:"peer_bytes_received"`
+	WorkerSent      int64         `cbor:"5,keyasint" json:"worker_bytes_sent"`
+	WorkerReceived  int64         `cbor:"6,keyasint" json:"worker_bytes_received"`
+	StoreReads      int64         `cbor:"7,keyasint" json:"store_reads"`
+	StoreWrites     int64         `cbor:"8,keyasint" json:"store_writes"`
+	StoreFailed     int64         `cbor:"9,keyasint" json:"store_failed"`
+	StoreBudgetUsed float64       `cbor:"10,keyasint" json:"store_budget_in_use"`
+	Uptime          time.Duration `cbor:"11,keyasint" json:"up"`
 }
 
 // Places turns the decisions of an owner into places with racks and machines.
@@ -345,7 +345,7 @@
 	places := make([]Place, 0, len(from))
 	for _, pl := range from {
 		rack, machine := where(pl.Worker)
-		places = append(places, Place{Task: pl.Task, Worker: pl.Worker, Rack: rack, Machine: machine})
+		places = append(places, Place{Task: pl.Task, Worker: pl.Worker, Rack: rack, Incarnation: machine})
 	}
 	return places
 }
--- a/internal/owner/deliver.go
+++ b/internal/owner/deliver.go
@@ -32,9 +32,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ow.ctx, tellTimeout)
 	defer cancel()
-	noted, err := peer.Call[nodemsg.TaskEnded, nodemsg.Noted](ctx, ow.Peer, nd.Peer, nodemsg.KindTaskEnded,
-		nodemsg.TaskEnded{Task: en.Task, State: en.State, Begun: en.Begun, Saved: en.Saved})
-	if err == nil && noted.Settled {
+	noted, err := peer.Call[nodemsg.TaskEnded, nodemsg.TaskEndedReply](ctx, ow.Peer, nd.Peer, nodemsg.KindTaskEnded,
+		nodemsg.TaskEnded{Task: en.Task, State: en.State, Started: en.Started, Saved: en.Saved})
+	if err == nil && noted.Acked {
 		ow.ack(en.Task)
 	}
 }
--- a/internal/owner/keeper.go
+++ b/internal/owner/keeper.go
@@ -44,7 +44,7 @@
 // keep starts a keeper. The caller holds the lock.
 func (ow *Owner) keep(vm vmsmsg.VM, rack string, epoch uint64) {
 	now := ow.Clock.Now()
-	kp := &keeper{vm: vm, rack: rack, epoch: epoch, since: now, leaseEnd: now.Add(ow.opts.Lease)}
+	kp := &keeper{vm: vm, rack: rack, epoch: epoch, since: now, leaseEnd: now.Add(ow.opts.MaxLease)}
 	kp.ctx, kp.cancel = context.WithCancel(ow.ctx)
 	ow.keepers[vm.Name] = kp
 	ow.wg.Go(func() {
@@ -78,30 +78,30 @@
 // whatever its former owner or link started there has surely ended.
 func (ow *Owner) waitOut(kp *keeper) bool {
 	ow.mu.Lock()
-	wait := kp.leaseEnd.Add(ow.opts.Guard).Sub(ow.Clock.Now())
+	wait := kp.leaseEnd.Add(ow.opts.LeaseGuard).Sub(ow.Clock.Now())
 	plain := kp.plain
 	ow.mu.Unlock()
 	if !plain || wait <= 0 {
 		return true
 	}
-	ow.Meter.Count(CounterWaited, 1)
+	ow.Meter.Count(CounterLeaseWaits, 1)
 	return loop.Pause(kp.ctx, ow.Clock, wait)
 }
 
-// CounterWaited counts the times that a worker without fencing or inventory was
+// CounterLeaseWaits counts the times that a worker without fencing or inventory was
 // left idle until its lease had surely run out.
-const CounterWaited = "workers_waited_out"
+const CounterLeaseWaits = "workers_waited_out"
 
 // mustWait reports whether a worker that has just been attached has to be let
 // go and waited out first.
 func (ow *Owner) mustWait(kp *keeper, link *worker.Link) bool {
-	if link.Can(workermsg.Fencing) && link.Can(workermsg.Inventory) {
+	if link.HasCapability(workermsg.Fencing) && link.HasCapability(workermsg.Inventory) {
 		return false
 	}
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	kp.plain = true
-	return ow.Clock.Now().Before(kp.leaseEnd.Add(ow.opts.Guard))
+	return ow.Clock.Now().Before(kp.leaseEnd.Add(ow.opts.LeaseGuard))
 }
 
 // attach takes the worker's lease and brings the ledger to what runs there.
@@ -118,16 +118,16 @@
 	link, err := worker.New(ctx, ow.Clock, worker.Options{
 		Name: kp.vm.Name, Addr: kp.vm.Addr, Owner: ow.opts.Name, Epoch: kp.epoch, Dial: ow.opts.Dial,
 	}, worker.Events{
-		Ended:    func(en workermsg.Ended) { <-ready; ow.onEnded(kp, en) },
-		Answered: func(an workermsg.Answer) { <-ready; ow.onAnswer(kp, an) },
-		Beat:     func(bt workermsg.Beat) { <-ready; ow.onBeat(kp, link, bt) },
-		Leaving:  func() { <-ready; ow.onLeaving(kp) },
-		Lost:     func(cause error) { <-ready; ow.onLost(kp, link, cause); close(lost) },
+		Ended:     func(en workermsg.Ended) { <-ready; ow.onEnded(kp, en) },
+		Answered:  func(an workermsg.Answer) { <-ready; ow.onAnswer(kp, an) },
+		Heartbeat: func(bt workermsg.Heartbeat) { <-ready; ow.onBeat(kp, link, bt) },
+		Leaving:   func() { <-ready; ow.onLeaving(kp) },
+		Lost:      func(cause error) { <-ready; ow.onLost(kp, link, cause); close(lost) },
 	})
 	if err != nil {
 		return nil, err
 	}
-	if lease := link.Hello().Lease; lease > ow.opts.Lease {
+	if lease := link.Hello().Lease; lease > ow.opts.MaxLease {
 		close(ready)
 		link.Close()
 		return nil, fault.New(fault.Conflict, "worker %s has a lease of %v, over setting owner.lease", kp.vm.Name, lease)
@@ -150,7 +150,7 @@
 	kp.link = link
 	kp.machine = he.Incarnation
 	kp.since = ow.Clock.Now()
-	kp.leaseEnd = link.BeatAt().Add(he.Lease)
+	kp.leaseEnd = link.LastHeartbeatAt().Add(he.Lease)
 	kp.leaving = he.Leaving
 	up := policy.WorkerUp{Worker: workerOf(kp.vm, he)}
 	running := map[string]bool{}
@@ -175,9 +175,9 @@
 	ow.Log.V(1).Info("Worker attached.", "worker", kp.vm.Name, "epoch", kp.epoch, "tasks", len(up.Running))
 }
 
-func (ow *Owner) onBeat(kp *keeper, link *worker.Link, bt workermsg.Beat) {
+func (ow *Owner) onBeat(kp *keeper, link *worker.Link, bt workermsg.Heartbeat) {
 	ow.mu.Lock()
-	kp.leaseEnd = link.BeatAt().Add(link.Hello().Lease)
+	kp.leaseEnd = link.LastHeartbeatAt().Add(link.Hello().Lease)
 	kp.used = size.Size{}
 	for _, us := range bt.Usage {
 		kp.used = kp.used.Add(us.Size)
@@ -194,7 +194,7 @@
 // taken out; theirs runs out only when neither the store nor any node was heard for
 // long. For the others it is enough that one member was not, and the store was not.
 func (ow *Owner) cutOff(kp *keeper) bool {
-	selfFence := ow.opts.Guard * 2 / 3 // the rest is for the drift of clocks
+	selfFence := ow.opts.LeaseGuard * 2 / 3 // the rest is for the drift of clocks
 	ow.mu.Lock()
 	plain := kp.plain
 	ow.mu.Unlock()
@@ -240,7 +240,7 @@
 	var silent []*worker.Link
 	ow.mu.Lock()
 	for _, kp := range ow.keepers {
-		if kp.link != nil && kp.link.Lapsed() {
+		if kp.link != nil && kp.link.LeaseExpired() {
 			silent = append(silent, kp.link)
 		}
 	}
@@ -277,7 +277,7 @@
 // seeOut waits for the lookups in flight on a worker that moves away.
 func (ow *Owner) seeOut(kp *keeper, link *worker.Link) {
 	const pause = 20 * time.Millisecond
-	deadline := ow.Clock.Now().Add(ow.opts.Drain)
+	deadline := ow.Clock.Now().Add(ow.opts.DrainTimeout)
 	for ow.Clock.Now().Before(deadline) && ow.ctx.Err() == nil && ow.inFlight(kp.vm.Name) {
 		ow.Clock.Sleep(pause)
 	}
@@ -302,8 +302,8 @@
 	return false
 }
 
-// Busy returns the number of lookups that this owner has not answered.
-func (ow *Owner) Busy() int {
+// PendingLookups returns the number of lookups that this owner has not answered.
+func (ow *Owner) PendingLookups() int {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	return len(ow.lookups)
--- a/internal/owner/lookup.go
+++ b/internal/owner/lookup.go
@@ -14,9 +14,9 @@
 
 // Counters of the lookups' answers that were dropped, and of retries.
 const (
-	CounterLate    = "answers_late_or_foreign"
-	CounterShort   = "answers_cut_short"
-	CounterRetried = "lookups_retried"
+	CounterLate      = "answers_late_or_foreign"
+	CounterTruncated = "answers_cut_short"
+	CounterRetried   = "lookups_retried"
 )
 
 // Limits of the retries of lookups.
@@ -62,7 +62,7 @@
 		if en.err == nil {
 			return nodemsg.Answer{ID: req.ID, Worker: en.worker, Body: en.body}, nil
 		}
-		may := en.over && (req.Repeat || !en.err.Begun)
+		may := en.over && (req.Repeatable || !en.err.Begun)
 		if !may || try == maxTries || !ow.Clock.Now().Before(deadline) || !ow.spendRetry(req.Workspace) {
 			return nodemsg.Answer{}, en.err
 		}
@@ -220,7 +220,7 @@
 	latency := ow.Clock.Since(lk.sent)
 	en := end{body: an.Body, worker: kp.vm.Name}
 	switch {
-	case an.Refusal != workermsg.Consent:
+	case an.Refusal != workermsg.Accepted:
 		latency = 0
 		en.over = true
 		en.err = fault.New(fault.Unavailable, "worker %s refused: %s", kp.vm.Name, an.Refusal)
@@ -228,7 +228,7 @@
 		en.over, en.failed = true, true
 		en.err = fault.New(fault.Endpoint, "worker %s failed: %s", kp.vm.Name, an.Failed).AfterStart()
 	case len(an.Body) != an.Length:
-		ow.Meter.Count(CounterShort, 1)
+		ow.Meter.Count(CounterTruncated, 1)
 		en.over, en.failed = true, true
 		en.err = fault.New(fault.Endpoint, "the answer of worker %s was cut short", kp.vm.Name).AfterStart()
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -37,21 +37,21 @@
 type Options struct {
 	Name   string
 	Limits policy.Limits
-	// Drain bounds how long a worker that moves away keeps its link for lookups
+	// DrainTimeout bounds how long a worker that moves away keeps its link for lookups
 	// in flight.
-	Drain time.Duration
+	DrainTimeout time.Duration
 	// Dial opens connections to workers; nil is worker.Dial.
 	Dial func(ctx context.Context, addr, path string) (*frames.Conn, error)
-	// Guard is what is added to a worker's lease before its tasks count as ended.
+	// LeaseGuard is what is added to a worker's lease before its tasks count as ended.
 	// It covers the drift of clocks over a lease and the time by which a former
 	// owner that is cut off has stopped to renew.
-	Guard time.Duration
-	// Lease is the longest lease that a worker may have.
-	Lease time.Duration
+	LeaseGuard time.Duration
+	// MaxLease is the longest lease that a worker may have.
+	MaxLease time.Duration
 }
 
-// Parts are the services that an owner works with.
-type Parts struct {
+// Services are the services that an owner works with.
+type Services struct {
 	Clock    clockwork.Clock
 	Log      logr.Logger
 	Member   *member.Member
@@ -63,7 +63,7 @@
 
 // Owner is this node's owner service.
 type Owner struct {
-	Parts
+	Services
 	opts    Options
 	started time.Time
 	ctx     context.Context
@@ -93,13 +93,13 @@
 }
 
 // New returns an owner without workers.
-func New(pt Parts, opts Options) *Owner {
+func New(pt Services, opts Options) *Owner {
 	if opts.Dial == nil {
 		opts.Dial = worker.Dial
 	}
 	pt.Log = pt.Log.WithName("owner")
 	ow := &Owner{
-		Parts: pt, opts: opts, started: pt.Clock.Now(),
+		Services: pt, opts: opts, started: pt.Clock.Now(),
 		machine: policy.New(opts.Limits),
 		keepers: map[string]*keeper{},
 		lookups: map[uint64]*lookup{},
@@ -116,17 +116,17 @@
 }
 
 func (ow *Owner) handle() {
-	peer.Handle(ow.Peer, nodemsg.KindHold, func(_ context.Context, _ string, hd nodemsg.Hold) (nodemsg.Held, error) {
+	peer.Handle(ow.Peer, nodemsg.KindHold, func(_ context.Context, _ string, hd nodemsg.Hold) (nodemsg.HoldReply, error) {
 		return ow.Hold(hd), nil
 	})
-	peer.Handle(ow.Peer, nodemsg.KindCommit, func(ctx context.Context, _ string, cm nodemsg.Commit) (nodemsg.Fates, error) {
+	peer.Handle(ow.Peer, nodemsg.KindCommit, func(ctx context.Context, _ string, cm nodemsg.Commit) (nodemsg.TaskStatuses, error) {
 		return ow.Commit(ctx, cm), nil
 	})
 	peer.Handle(ow.Peer, nodemsg.KindRelease, func(_ context.Context, _ string, rl nodemsg.Release) (nodemsg.Empty, error) {
 		ow.Release(rl)
 		return nodemsg.Empty{}, nil
 	})
-	peer.Handle(ow.Peer, nodemsg.KindOrder, func(ctx context.Context, _ string, od nodemsg.Order) (nodemsg.Fates, error) {
+	peer.Handle(ow.Peer, nodemsg.KindOrder, func(ctx context.Context, _ string, od nodemsg.Order) (nodemsg.TaskStatuses, error) {
 		return ow.Order(ctx, od), nil
 	})
 	peer.Handle(ow.Peer, nodemsg.KindAck, func(_ context.Context, _ string, ak nodemsg.Ack) (nodemsg.Empty, error) {
@@ -201,8 +201,8 @@
 	return ow.machine.NeedsTick()
 }
 
-// Room returns the digest of the ledger and the number of waiting lookups.
-func (ow *Owner) Room() (ledger.Summary, int) {
+// Summary returns the digest of the ledger and the number of waiting lookups.
+func (ow *Owner) Summary() (ledger.Summary, int) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	return ow.machine.Ledger().Summary(), ow.machine.Waiting()
@@ -288,11 +288,11 @@
 		switch {
 		case !mine || rack.Epoch != kp.epoch:
 			ow.letGo(kp)
-		case listed && vm.Addr != kp.vm.Addr && (kp.link == nil || kp.link.Lapsed()):
+		case listed && vm.Addr != kp.vm.Addr && (kp.link == nil || kp.link.LeaseExpired()):
 			ow.letGo(kp) // the name has a new machine; while the old one beats, the list is wrong
 		case listed && vm.Leaving:
 			ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: name}})
-		case !listed && kp.link == nil && ow.Clock.Since(kp.since) > ow.opts.Guard:
+		case !listed && kp.link == nil && ow.Clock.Since(kp.since) > ow.opts.LeaseGuard:
 			ow.letGo(kp)
 		}
 	}
--- a/internal/owner/task.go
+++ b/internal/owner/task.go
@@ -25,20 +25,20 @@
 }
 
 // Hold takes room for as many of the tasks as fit, until the hold expires.
-func (ow *Owner) Hold(hd nodemsg.Hold) nodemsg.Held {
+func (ow *Owner) Hold(hd nodemsg.Hold) nodemsg.HoldReply {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	acts := ow.step(policy.Event{Hold: &policy.Hold{
 		ID: hd.ID, Tasks: hd.Tasks, Size: hd.Size, Expires: ow.now() + hd.Expires,
-		Priority: hd.Priority, SubmittedAt: hd.Age, Reserve: hd.Reserve, Urgent: hd.Urgent,
+		Priority: hd.Priority, SubmittedAt: hd.SubmittedAt, Reserve: hd.Reserve, Urgent: hd.Urgent,
 		Repeatable: hd.Repeatable, Run: hd.Run,
 	}})
 	for _, act := range acts {
 		if act.Granted != nil {
-			return nodemsg.Held{Places: nodemsg.Places(act.Granted.Places, ow.where)}
+			return nodemsg.HoldReply{Places: nodemsg.Places(act.Granted.Places, ow.where)}
 		}
 	}
-	return nodemsg.Held{}
+	return nodemsg.HoldReply{}
 }
 
 // where returns the rack and the incarnation of a worker. The caller holds the lock.
@@ -52,7 +52,7 @@
 
 // replaced reports whether the worker of a place is another machine by now.
 func replaced(link *worker.Link, pl nodemsg.Place) bool {
-	return pl.Machine != "" && link.Hello().Incarnation != pl.Machine
+	return pl.Incarnation != "" && link.Hello().Incarnation != pl.Incarnation
 }
 
 // saveTime bounds the wait for a task's checkpoint before it gives way: the urgent
@@ -84,7 +84,7 @@
 }
 
 // Commit turns a hold into tasks on their workers and tells how far each came.
-func (ow *Owner) Commit(ctx context.Context, cm nodemsg.Commit) nodemsg.Fates {
+func (ow *Owner) Commit(ctx context.Context, cm nodemsg.Commit) nodemsg.TaskStatuses {
 	ow.mu.Lock()
 	acts := ow.step(policy.Event{Commit: &policy.Commit{ID: cm.ID, Tasks: nodemsg.TasksOf(cm.Places)}})
 	settled := false
@@ -100,21 +100,21 @@
 	if !settled {
 		return ow.neverAll(cm.Places)
 	}
-	fates := ow.each(cm.Places, func(pl nodemsg.Place) nodemsg.Fate { return ow.start(ctx, cm, pl) })
-	return nodemsg.Fates{Fates: fates}
+	fates := ow.each(cm.Places, func(pl nodemsg.Place) nodemsg.TaskStatus { return ow.start(ctx, cm, pl) })
+	return nodemsg.TaskStatuses{Statuses: fates}
 }
 
 // neverAll answers a commit whose hold has gone. A repeated commit finds its
 // tasks on the workers, so each is asked for; one that never came is fenced.
-func (ow *Owner) neverAll(places []nodemsg.Place) nodemsg.Fates {
+func (ow *Owner) neverAll(places []nodemsg.Place) nodemsg.TaskStatuses {
 	ctx, cancel := context.WithTimeout(ow.ctx, settleTime)
 	defer cancel()
-	return ow.Order(ctx, nodemsg.Order{Verb: nodemsg.VerbFate, Tasks: places})
+	return ow.Order(ctx, nodemsg.Order{Verb: nodemsg.VerbFence, Tasks: places})
 }
 
 // each runs act for all places side by side.
-func (ow *Owner) each(places []nodemsg.Place, act func(nodemsg.Place) nodemsg.Fate) []nodemsg.Fate {
-	fates := make([]nodemsg.Fate, len(places))
+func (ow *Owner) each(places []nodemsg.Place, act func(nodemsg.Place) nodemsg.TaskStatus) []nodemsg.TaskStatus {
+	fates := make([]nodemsg.TaskStatus, len(places))
 	var wg sync.WaitGroup
 	for i, pl := range places {
 		wg.Go(func() {
@@ -126,7 +126,7 @@
 }
 
 // start sends one task to its worker. Where no reply comes, it asks for the fate.
-func (ow *Owner) start(ctx context.Context, cm nodemsg.Commit, pl nodemsg.Place) nodemsg.Fate {
+func (ow *Owner) start(ctx context.Context, cm nodemsg.Commit, pl nodemsg.Place) nodemsg.TaskStatus {
 	defer ow.replied(pl.Task)
 	link := ow.linkOf(pl.Worker)
 	if link == nil || replaced(link, pl) {
@@ -153,7 +153,7 @@
 }
 
 // seek looks for the fate of a task whose order got no reply.
-func (ow *Owner) seek(pl nodemsg.Place) nodemsg.Fate {
+func (ow *Owner) seek(pl nodemsg.Place) nodemsg.TaskStatus {
 	const pause = 100 * time.Millisecond
 	ctx, cancel := context.WithTimeout(ow.ctx, settleTime)
 	defer cancel()
@@ -166,7 +166,7 @@
 		case <-ow.Clock.After(pause):
 		}
 	}
-	return nodemsg.Fate{Task: pl.Task, Why: "the worker does not reply"}
+	return nodemsg.TaskStatus{Task: pl.Task, Reason: "the worker does not reply"}
 }
 
 func (ow *Owner) linkOf(name string) *worker.Link {
@@ -179,9 +179,9 @@
 }
 
 // never answers for a task that has surely not begun, and gives its room back.
-func (ow *Owner) never(pl nodemsg.Place, why string) nodemsg.Fate {
+func (ow *Owner) never(pl nodemsg.Place, why string) nodemsg.TaskStatus {
 	ow.forget(pl.Task)
-	return nodemsg.Fate{Task: pl.Task, Known: true, State: workermsg.Never, Why: why}
+	return nodemsg.TaskStatus{Task: pl.Task, Known: true, State: workermsg.NotStarted, Reason: why}
 }
 
 func (ow *Owner) forget(id string) {
@@ -192,79 +192,79 @@
 }
 
 // fate turns a worker's reply into a fate, and the ledger with it.
-func (ow *Owner) fate(pl nodemsg.Place, rp workermsg.Reply) nodemsg.Fate {
-	ft := nodemsg.Fate{Task: pl.Task, Known: true, State: rp.State, Begun: rp.Begun, Why: string(rp.Refusal), Saved: rp.Saved}
+func (ow *Owner) fate(pl nodemsg.Place, rp workermsg.Reply) nodemsg.TaskStatus {
+	ft := nodemsg.TaskStatus{Task: pl.Task, Known: true, State: rp.State, Started: rp.Started, Reason: string(rp.Refusal), Saved: rp.Saved}
 	if rp.Refusal == workermsg.StaleEpoch && rp.State == "" {
-		return nodemsg.Fate{Task: pl.Task, Why: string(rp.Refusal)} // only the new owner knows
+		return nodemsg.TaskStatus{Task: pl.Task, Reason: string(rp.Refusal)} // only the new owner knows
 	}
 	if !rp.State.Ended() {
 		return ft
 	}
-	if !rp.Begun {
+	if !rp.Started {
 		ow.forget(pl.Task)
 		return ft
 	}
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	ow.endTask(workermsg.Ended{Task: pl.Task, State: rp.State, Begun: true, Saved: rp.Saved}, pl.Worker)
+	ow.endTask(workermsg.Ended{Task: pl.Task, State: rp.State, Started: true, Saved: rp.Saved}, pl.Worker)
 	return ft
 }
 
 var verbs = map[nodemsg.Verb]worker.Verb{
-	nodemsg.VerbGo:         worker.Go,
-	nodemsg.VerbStop:       worker.Stop,
-	nodemsg.VerbFate:       worker.Fence,
-	nodemsg.VerbCheckpoint: worker.Checkpoint,
+	nodemsg.VerbStartPrepared: worker.StartPrepared,
+	nodemsg.VerbStop:          worker.Stop,
+	nodemsg.VerbFence:         worker.Fence,
+	nodemsg.VerbCheckpoint:    worker.Checkpoint,
 }
 
 // Order carries out an order for tasks of this owner's workers.
-func (ow *Owner) Order(ctx context.Context, od nodemsg.Order) nodemsg.Fates {
+func (ow *Owner) Order(ctx context.Context, od nodemsg.Order) nodemsg.TaskStatuses {
 	verb, ok := verbs[od.Verb]
 	if !ok {
-		return nodemsg.Fates{}
+		return nodemsg.TaskStatuses{}
 	}
-	return nodemsg.Fates{Fates: ow.each(od.Tasks, func(pl nodemsg.Place) nodemsg.Fate {
+	return nodemsg.TaskStatuses{Statuses: ow.each(od.Tasks, func(pl nodemsg.Place) nodemsg.TaskStatus {
 		return ow.order(ctx, verb, pl)
 	})}
 }
 
 // order gives one order. A worker that cannot be reached is answered for once its
 // lease, and that of any former owner, has surely run out.
-func (ow *Owner) order(ctx context.Context, verb worker.Verb, pl nodemsg.Place) nodemsg.Fate {
+func (ow *Owner) order(ctx context.Context, verb worker.Verb, pl nodemsg.Place) nodemsg.TaskStatus {
 	link := ow.linkOf(pl.Worker)
 	if link == nil || replaced(link, pl) {
 		return ow.unreachable(pl)
 	}
 	rp, err := link.Order(ctx, verb, pl.Task)
 	if err != nil {
-		return nodemsg.Fate{Task: pl.Task, Why: err.Error()}
+		return nodemsg.TaskStatus{Task: pl.Task, Reason: err.Error()}
 	}
 	return ow.fate(pl, rp)
 }
 
 // unreachable answers for a task on a worker without a link.
-func (ow *Owner) unreachable(pl nodemsg.Place) nodemsg.Fate {
+func (ow *Owner) unreachable(pl nodemsg.Place) nodemsg.TaskStatus {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	ft := nodemsg.Fate{Task: pl.Task, Why: "worker " + pl.Worker + " cannot be reached"}
+	ft := nodemsg.TaskStatus{Task: pl.Task, Reason: "worker " + pl.Worker + " cannot be reached"}
 	rack, mine := ow.racks[pl.Rack]
 	if !mine {
-		ft.Why = "rack " + pl.Rack + " has another owner"
+		ft.Reason = "rack " + pl.Rack + " has another owner"
 		return ft
 	}
-	leaseEnd := ow.since[pl.Rack].Add(ow.opts.Lease)
+	leaseEnd := ow.since[pl.Rack].Add(ow.opts.MaxLease)
 	if kp, ok := ow.keepers[pl.Worker]; ok && kp.link != nil {
-		leaseEnd = kp.since.Add(ow.opts.Lease) // a new machine; the former one's lease is not known better
+		leaseEnd = kp.since.Add(ow.opts.MaxLease) // a new machine; the former one's lease is not known better
 	} else if ok {
 		leaseEnd = kp.leaseEnd
 	} else if at, ok := ow.gone[pl.Worker]; ok && at.epoch == rack.Epoch {
 		leaseEnd = at.leaseEnd
 	}
-	if ow.Clock.Now().Before(leaseEnd.Add(ow.opts.Guard)) {
+	if ow.Clock.Now().Before(leaseEnd.Add(ow.opts.LeaseGuard)) {
 		return ft
 	}
-	ft.Known, ft.State, ft.Begun = true, workermsg.Lapsed, true
-	ft.Why = "the lease of worker " + pl.Worker + " has run out"
+	ft.Known, ft.State, ft.Started = true, workermsg.LeaseExpired, true
+	ft.Reason = "the lease of worker " + pl.Worker + " has run out"
 	delete(ow.tasks, pl.Task)
 	ow.step(policy.Event{Ended: &policy.Ended{Task: pl.Task}})
 	return ft
@@ -273,8 +273,8 @@
 // noteTask takes a task of a worker's inventory in. The caller holds the lock.
 func (ow *Owner) noteTask(kp *keeper, tr workermsg.TaskReport) {
 	if tr.State.Ended() {
-		if tr.State != workermsg.Never {
-			ow.endTask(workermsg.Ended{Task: tr.Task, State: tr.State, Begun: tr.Begun, Saved: tr.Saved}, kp.vm.Name)
+		if tr.State != workermsg.NotStarted {
+			ow.endTask(workermsg.Ended{Task: tr.Task, State: tr.State, Started: tr.Started, Saved: tr.Saved}, kp.vm.Name)
 		}
 		return
 	}
--- a/internal/owner/view.go
+++ b/internal/owner/view.go
@@ -11,11 +11,11 @@
 
 // The states of a worker as operators see them.
 const (
-	StateReady   = "ready"
-	StateLeaving = "leaving"
-	StateLost    = "unreachable"
-	// StateResting workers have failed everything of late, and rest for a while.
-	StateResting = "resting"
+	StateReady       = "ready"
+	StateLeaving     = "leaving"
+	StateUnreachable = "unreachable"
+	// StateQuarantined workers have failed everything of late, and rest for a while.
+	StateQuarantined = "resting"
 )
 
 // Workers returns the workers of this owner, by name.
@@ -26,7 +26,7 @@
 	for name, kp := range ow.keepers {
 		vw := &nodemsg.WorkerView{
 			Name: name, Hall: kp.vm.Hall, Rack: kp.vm.Rack, Owner: ow.opts.Name,
-			State: StateLost, Reported: kp.used,
+			State: StateUnreachable, Reported: kp.used,
 		}
 		if kp.link != nil {
 			vw.State = StateReady
@@ -45,7 +45,7 @@
 		case ac.Leaving:
 			vw.State = StateLeaving
 		case ac.Quarantined:
-			vw.State = StateResting
+			vw.State = StateQuarantined
 		}
 	}
 	for _, tk := range ow.tasks {
@@ -76,7 +76,7 @@
 	if kp.link == nil {
 		return fault.New(fault.Unavailable, "worker %s cannot be reached", name)
 	}
-	return kp.link.Leave()
+	return kp.link.Drain()
 }
 
 // Traffic returns the bytes to and from workers on the control connections.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -36,8 +36,8 @@
 	movePause = 10 * time.Millisecond
 )
 
-// CounterHops counts the lookups that another node served.
-const CounterHops = "lookups_forwarded"
+// CounterForwarded counts the lookups that another node served.
+const CounterForwarded = "lookups_forwarded"
 
 // Local is what this node does itself.
 type Local struct {
@@ -137,7 +137,7 @@
 	if tg.addr == "" {
 		return rt.local.Lookup(ctx, req)
 	}
-	rt.meter.Count(CounterHops, 1)
+	rt.meter.Count(CounterForwarded, 1)
 	call, cancel := context.WithCancel(ctx)
 	defer cancel()
 	rt.sent(tg.name, req.ID, cancel)
--- a/internal/standin/standinworker/control.go
+++ b/internal/standin/standinworker/control.go
@@ -12,7 +12,7 @@
 // serveControl reads an owner's orders until the connection ends.
 func (wk *Worker) serveControl(cn *frames.Conn) {
 	for {
-		var msg workermsg.To
+		var msg workermsg.OwnerMessage
 		if err := cn.Receive(&msg); err != nil {
 			return
 		}
@@ -22,7 +22,7 @@
 
 // order carries out one message. Orders on a connection that a newer owner has
 // replaced are refused by their epoch or dropped.
-func (wk *Worker) order(cn *frames.Conn, msg workermsg.To) {
+func (wk *Worker) order(cn *frames.Conn, msg workermsg.OwnerMessage) {
 	switch {
 	case msg.Attach != nil:
 		wk.attach(cn, msg.Attach)
@@ -32,12 +32,12 @@
 		wk.renew(cn, msg.Renew)
 	case msg.Ack != nil:
 		wk.ack(msg.Ack.Task)
-	case msg.Leave != nil:
+	case msg.Drain != nil:
 		wk.Leave()
 	case msg.Start != nil:
 		wk.reply(cn, msg.Start.Seq, wk.start(cn, msg.Start))
-	case msg.Go != nil:
-		wk.reply(cn, msg.Go.Seq, wk.onTask(cn, msg.Go, wk.release))
+	case msg.StartPrepared != nil:
+		wk.reply(cn, msg.StartPrepared.Seq, wk.onTask(cn, msg.StartPrepared, wk.release))
 	case msg.Stop != nil:
 		wk.reply(cn, msg.Stop.Seq, wk.onTask(cn, msg.Stop, wk.stop))
 	case msg.Fence != nil:
@@ -54,7 +54,7 @@
 
 func (wk *Worker) reply(cn *frames.Conn, seq uint64, rp workermsg.Reply) {
 	rp.Seq = seq
-	wk.send(cn, workermsg.From{Reply: &rp})
+	wk.send(cn, workermsg.WorkerMessage{Reply: &rp})
 }
 
 func (wk *Worker) attach(cn *frames.Conn, at *workermsg.Attach) {
@@ -62,7 +62,7 @@
 	if at.Epoch < wk.epoch && wk.can(workermsg.Fencing) {
 		epoch := wk.epoch
 		wk.mu.Unlock()
-		wk.send(cn, workermsg.From{Refused: &workermsg.Refused{Epoch: epoch}})
+		wk.send(cn, workermsg.WorkerMessage{Refused: &workermsg.Refused{Epoch: epoch}})
 		return
 	}
 	wk.epoch = at.Epoch
@@ -73,7 +73,7 @@
 	}
 	hello := wk.hello()
 	wk.mu.Unlock()
-	wk.send(cn, workermsg.From{Hello: hello})
+	wk.send(cn, workermsg.WorkerMessage{Hello: hello})
 }
 
 // can reports whether this worker has a capability.
@@ -93,7 +93,7 @@
 	}
 	for id, tk := range wk.tasks {
 		he.Tasks = append(he.Tasks, workermsg.TaskReport{
-			Task: id, State: tk.state, Size: tk.size, Begun: tk.begun,
+			Task: id, State: tk.state, Size: tk.size, Started: tk.begun,
 			Priority: tk.priority, Repeatable: tk.repeatable, Saved: tk.saved,
 		})
 	}
@@ -127,10 +127,10 @@
 func (wk *Worker) ack(id string) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
-	if tk, ok := wk.tasks[id]; ok && tk.state.Ended() && tk.state != workermsg.Never {
+	if tk, ok := wk.tasks[id]; ok && tk.state.Ended() && tk.state != workermsg.NotStarted {
 		delete(wk.tasks, id)
 		// A start that comes again late must still be refused.
-		wk.remember(id, &task{state: workermsg.Never, begun: tk.begun})
+		wk.remember(id, &task{state: workermsg.NotStarted, begun: tk.begun})
 	}
 }
 
@@ -146,20 +146,20 @@
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	if !wk.current(cn, st.Epoch) {
-		return workermsg.Reply{Refusal: workermsg.StaleEpoch, State: workermsg.Never}
+		return workermsg.Reply{Refusal: workermsg.StaleEpoch, State: workermsg.NotStarted}
 	}
 	if tk, ok := wk.tasks[st.Task]; ok {
-		if tk.state == workermsg.Never {
-			return workermsg.Reply{Refusal: workermsg.IsFenced, State: tk.state, Begun: tk.begun}
+		if tk.state == workermsg.NotStarted {
+			return workermsg.Reply{Refusal: workermsg.TaskFenced, State: tk.state, Started: tk.begun}
 		}
-		return workermsg.Reply{State: tk.state, Begun: tk.begun}
+		return workermsg.Reply{State: tk.state, Started: tk.begun}
 	}
 	beat, ok := wk.beats[st.Nonce]
 	if wk.can(workermsg.Fencing) && (!ok || time.Since(beat) > wk.opts.StartWindow) {
-		return workermsg.Reply{Refusal: workermsg.StaleStart, State: workermsg.Never}
+		return workermsg.Reply{Refusal: workermsg.StaleStart, State: workermsg.NotStarted}
 	}
 	if wk.leaving {
-		return workermsg.Reply{Refusal: workermsg.IsLeaving, State: workermsg.Never}
+		return workermsg.Reply{Refusal: workermsg.WorkerLeaving, State: workermsg.NotStarted}
 	}
 	tk := &task{
 		state: workermsg.Prepared, size: st.Size, priority: st.Priority, repeatable: st.Repeatable,
@@ -173,7 +173,7 @@
 	if !st.Prepared {
 		wk.begin(st.Task, tk)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun}
+	return workermsg.Reply{State: tk.state, Started: tk.begun}
 }
 
 // occupy adds to what is committed and records where that is over the worker's size.
@@ -226,8 +226,8 @@
 	tk.state = end
 	wk.remember(id, tk)
 	if cn := wk.control; cn != nil {
-		ended := &workermsg.Ended{Task: id, State: end, Begun: tk.begun, Saved: tk.saved}
-		go wk.send(cn, workermsg.From{Ended: ended})
+		ended := &workermsg.Ended{Task: id, State: end, Started: tk.begun, Saved: tk.saved}
+		go wk.send(cn, workermsg.WorkerMessage{Ended: ended})
 	}
 }
 
@@ -255,12 +255,12 @@
 
 func (wk *Worker) release(id string, tk *task) workermsg.Reply {
 	if tk == nil {
-		return workermsg.Reply{Refusal: workermsg.NoSuchTask, State: workermsg.Never}
+		return workermsg.Reply{Refusal: workermsg.UnknownTask, State: workermsg.NotStarted}
 	}
 	if tk.state == workermsg.Prepared {
 		wk.begin(id, tk)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun}
+	return workermsg.Reply{State: tk.state, Started: tk.begun}
 }
 
 func (wk *Worker) stop(id string, tk *task) workermsg.Reply {
@@ -270,17 +270,17 @@
 	if !tk.state.Ended() {
 		wk.finish(id, tk, workermsg.Stopped)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun, Saved: tk.saved}
+	return workermsg.Reply{State: tk.state, Started: tk.begun, Saved: tk.saved}
 }
 
 // fence answers how far a task has come, and makes one that never arrived
 // unable to begin.
 func (wk *Worker) fence(id string, tk *task) workermsg.Reply {
 	if tk == nil {
-		tk = &task{state: workermsg.Never}
+		tk = &task{state: workermsg.NotStarted}
 		wk.remember(id, tk)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun, Saved: tk.saved}
+	return workermsg.Reply{State: tk.state, Started: tk.begun, Saved: tk.saved}
 }
 
 // checkpoint saves the work that a running task has done.
@@ -291,7 +291,7 @@
 	if tk.state == workermsg.Running {
 		tk.saved = tk.resume + time.Since(tk.began)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun, Saved: tk.saved}
+	return workermsg.Reply{State: tk.state, Started: tk.begun, Saved: tk.saved}
 }
 
 // wholePercent is the part of its processors that a task has unless throttled.
@@ -300,7 +300,7 @@
 // throttle makes what is left of a running task take longer, or as long as before.
 func (wk *Worker) throttle(tk *task, percent int) workermsg.Reply {
 	if tk == nil {
-		return workermsg.Reply{Refusal: workermsg.NoSuchTask, State: workermsg.Never}
+		return workermsg.Reply{Refusal: workermsg.UnknownTask, State: workermsg.NotStarted}
 	}
 	percent = max(1, min(percent, wholePercent))
 	if tk.state == workermsg.Running && tk.timer.Stop() {
@@ -309,5 +309,5 @@
 		tk.ends = time.Now().Add(left)
 		tk.timer.Reset(left)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun}
+	return workermsg.Reply{State: tk.state, Started: tk.begun}
 }
--- a/internal/standin/standinworker/lookup.go
+++ b/internal/standin/standinworker/lookup.go
@@ -21,7 +21,7 @@
 // serveLookups answers lookups, each in its own time, until the connection ends.
 func (wk *Worker) serveLookups(cn *frames.Conn) {
 	for {
-		var msg workermsg.To
+		var msg workermsg.OwnerMessage
 		if err := cn.Receive(&msg); err != nil {
 			return
 		}
@@ -42,8 +42,8 @@
 
 func (wk *Worker) lookup(cn *frames.Conn, lk *workermsg.Lookup) {
 	refusal, wait, fail := wk.admitLookup(lk)
-	if refusal != workermsg.Consent {
-		wk.send(cn, workermsg.From{Answer: &workermsg.Answer{ID: lk.ID, Refusal: refusal}})
+	if refusal != workermsg.Accepted {
+		wk.send(cn, workermsg.WorkerMessage{Answer: &workermsg.Answer{ID: lk.ID, Refusal: refusal}})
 		return
 	}
 	time.AfterFunc(wait, func() {
@@ -61,10 +61,10 @@
 		return workermsg.StaleEpoch, 0, false
 	}
 	if fences && lk.Session != wk.session {
-		return workermsg.OldSession, 0, false
+		return workermsg.StaleSession, 0, false
 	}
 	if wk.leaving {
-		return workermsg.IsLeaving, 0, false
+		return workermsg.WorkerLeaving, 0, false
 	}
 	name := lookupName(lk.ID)
 	mark := string(lk.Body[:min(len(lk.Body), maxMark)])
@@ -76,7 +76,7 @@
 	if wk.answered%2 == 0 {
 		wait += wk.faults.LookupDelay
 	}
-	return workermsg.Consent, wait, wk.faults.FailAll
+	return workermsg.Accepted, wait, wk.faults.FailAll
 }
 
 // endLookup gives the slot back.
@@ -109,15 +109,15 @@
 	}
 	if ft.Foreign {
 		foreign := Reply([]byte(ids.Random(4)))
-		wk.send(cn, workermsg.From{Answer: &workermsg.Answer{ID: lk.ID + 1, Length: len(foreign), Body: foreign}})
+		wk.send(cn, workermsg.WorkerMessage{Answer: &workermsg.Answer{ID: lk.ID + 1, Length: len(foreign), Body: foreign}})
 	}
-	sent := wk.send(cn, workermsg.From{Answer: &an})
+	sent := wk.send(cn, workermsg.WorkerMessage{Answer: &an})
 	if ft.Twice {
-		wk.send(cn, workermsg.From{Answer: &an})
+		wk.send(cn, workermsg.WorkerMessage{Answer: &an})
 	}
 	if (!sent || session != lk.Session) && owner != nil {
-		wk.send(owner, workermsg.From{Ended: &workermsg.Ended{
-			Task: lookupName(lk.ID), State: workermsg.OK, Begun: true,
+		wk.send(owner, workermsg.WorkerMessage{Ended: &workermsg.Ended{
+			Task: lookupName(lk.ID), State: workermsg.OK, Started: true,
 		}})
 	}
 }
--- a/internal/standin/standinworker/standinworker.go
+++ b/internal/standin/standinworker/standinworker.go
@@ -163,7 +163,7 @@
 	cn := wk.control
 	wk.mu.Unlock()
 	if cn != nil {
-		wk.send(cn, workermsg.From{Leaving: &workermsg.Leaving{}})
+		wk.send(cn, workermsg.WorkerMessage{Leaving: &workermsg.Leaving{}})
 	}
 }
 
@@ -257,7 +257,7 @@
 
 // send writes to a connection unless the worker is muted, and reports whether it
 // did. A failed write ends the connection, and its reader notices.
-func (wk *Worker) send(cn *frames.Conn, msg workermsg.From) bool {
+func (wk *Worker) send(cn *frames.Conn, msg workermsg.WorkerMessage) bool {
 	wk.mu.Lock()
 	mute := wk.faults.Mute
 	wk.mu.Unlock()
@@ -293,7 +293,7 @@
 	usage := wk.usage()
 	wk.mu.Unlock()
 	if cn != nil {
-		wk.send(cn, workermsg.From{Beat: &workermsg.Beat{Nonce: nonce, Usage: usage}})
+		wk.send(cn, workermsg.WorkerMessage{Heartbeat: &workermsg.Heartbeat{Nonce: nonce, Usage: usage}})
 	}
 }
 
@@ -333,7 +333,7 @@
 	}
 	for id, tk := range wk.tasks {
 		if !tk.state.Ended() {
-			wk.finish(id, tk, workermsg.Lapsed)
+			wk.finish(id, tk, workermsg.LeaseExpired)
 		}
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -29,8 +29,8 @@
 	Ended func(workermsg.Ended)
 	// Answered reports the answer to a lookup, however late.
 	Answered func(workermsg.Answer)
-	// Beat reports a heartbeat that was answered.
-	Beat func(workermsg.Beat)
+	// Heartbeat reports a heartbeat that was answered.
+	Heartbeat func(workermsg.Heartbeat)
 	// Leaving reports that the worker takes nothing new.
 	Leaving func()
 	// Lost reports, once, that the link has ended.
@@ -93,10 +93,10 @@
 
 func (ln *Link) attach() error {
 	at := workermsg.Attach{Owner: ln.opts.Owner, Epoch: ln.opts.Epoch}
-	if err := ln.control.Send(workermsg.To{Attach: &at}); err != nil {
+	if err := ln.control.Send(workermsg.OwnerMessage{Attach: &at}); err != nil {
 		return err
 	}
-	var msg workermsg.From
+	var msg workermsg.WorkerMessage
 	if err := ln.control.Receive(&msg); err != nil {
 		return err
 	}
@@ -121,8 +121,8 @@
 // Epoch returns the epoch that the lease was taken with.
 func (ln *Link) Epoch() uint64 { return ln.opts.Epoch }
 
-// Can reports whether the worker has a capability.
-func (ln *Link) Can(cp workermsg.Capability) bool {
+// HasCapability reports whether the worker has a capability.
+func (ln *Link) HasCapability(cp workermsg.Capability) bool {
 	for _, has := range ln.hello.Capabilities {
 		if has == cp {
 			return true
@@ -131,9 +131,9 @@
 	return false
 }
 
-// BeatAt returns when the last heartbeat came that was answered. The worker's
+// LastHeartbeatAt returns when the last heartbeat came that was answered. The worker's
 // lease ends no later than its length after that moment.
-func (ln *Link) BeatAt() time.Time {
+func (ln *Link) LastHeartbeatAt() time.Time {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.beatAt
@@ -144,7 +144,7 @@
 
 func (ln *Link) readControl() {
 	for {
-		var msg workermsg.From
+		var msg workermsg.WorkerMessage
 		if err := ln.control.Receive(&msg); err != nil {
 			ln.end(err)
 			return
@@ -153,10 +153,10 @@
 	}
 }
 
-func (ln *Link) onControl(msg workermsg.From) {
+func (ln *Link) onControl(msg workermsg.WorkerMessage) {
 	switch {
-	case msg.Beat != nil:
-		ln.renew(*msg.Beat)
+	case msg.Heartbeat != nil:
+		ln.renew(*msg.Heartbeat)
 	case msg.Reply != nil:
 		ln.settle(*msg.Reply)
 	case msg.Ended != nil:
@@ -168,8 +168,8 @@
 
 // renew answers a heartbeat. An owner whose lease of this epoch has run out on
 // its own clock was paused, and gives up instead.
-func (ln *Link) renew(bt workermsg.Beat) {
-	if ln.Lapsed() {
+func (ln *Link) renew(bt workermsg.Heartbeat) {
+	if ln.LeaseExpired() {
 		ln.end(errors.New("lease ran out while the owner or the worker was paused"))
 		return
 	}
@@ -178,16 +178,16 @@
 	ln.beatAt = ln.clock.Now()
 	ln.mu.Unlock()
 	rn := workermsg.Renew{Epoch: ln.opts.Epoch, Nonce: bt.Nonce}
-	if err := ln.control.Send(workermsg.To{Renew: &rn}); err != nil {
+	if err := ln.control.Send(workermsg.OwnerMessage{Renew: &rn}); err != nil {
 		ln.end(err)
 		return
 	}
-	ln.events.Beat(bt)
+	ln.events.Heartbeat(bt)
 }
 
-// Lapsed reports whether the worker's lease may have run out, by this owner's
+// LeaseExpired reports whether the worker's lease may have run out, by this owner's
 // own clock. It is asked right before anything is sent that needs the lease.
-func (ln *Link) Lapsed() bool {
+func (ln *Link) LeaseExpired() bool {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.clock.Since(ln.beatAt) > ln.hello.Lease
@@ -205,7 +205,7 @@
 
 func (ln *Link) readLookups() {
 	for {
-		var msg workermsg.From
+		var msg workermsg.WorkerMessage
 		if err := ln.lookups.Receive(&msg); err != nil {
 			ln.end(err)
 			return
@@ -238,63 +238,63 @@
 
 // Detach gives the lease back and ends the link.
 func (ln *Link) Detach() {
-	_ = ln.control.Send(workermsg.To{Detach: &workermsg.Detach{Epoch: ln.opts.Epoch}}) // a lost one only delays
+	_ = ln.control.Send(workermsg.OwnerMessage{Detach: &workermsg.Detach{Epoch: ln.opts.Epoch}}) // a lost one only delays
 	ln.Close()
 }
 
 // Start begins a task or, prepared, makes it ready to begin.
 func (ln *Link) Start(ctx context.Context, st workermsg.Start) (workermsg.Reply, error) {
-	if ln.Lapsed() {
+	if ln.LeaseExpired() {
 		return workermsg.Reply{}, fault.New(fault.Unavailable, "the lease of worker %s may have run out", ln.opts.Name)
 	}
-	return ln.ask(ctx, func(seq uint64) workermsg.To {
+	return ln.ask(ctx, func(seq uint64) workermsg.OwnerMessage {
 		st.Seq, st.Epoch = seq, ln.opts.Epoch
 		ln.mu.Lock()
 		st.Nonce = ln.nonce
 		ln.mu.Unlock()
-		return workermsg.To{Start: &st}
+		return workermsg.OwnerMessage{Start: &st}
 	})
 }
 
 // Verb is an order about one task.
-type Verb func(*workermsg.TaskOrder) workermsg.To
+type Verb func(*workermsg.TaskOrder) workermsg.OwnerMessage
 
 // The orders about one task.
 var (
-	Go         Verb = func(to *workermsg.TaskOrder) workermsg.To { return workermsg.To{Go: to} }
-	Stop       Verb = func(to *workermsg.TaskOrder) workermsg.To { return workermsg.To{Stop: to} }
-	Fence      Verb = func(to *workermsg.TaskOrder) workermsg.To { return workermsg.To{Fence: to} }
-	Checkpoint Verb = func(to *workermsg.TaskOrder) workermsg.To { return workermsg.To{Checkpoint: to} }
+	StartPrepared Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{StartPrepared: to} }
+	Stop          Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{Stop: to} }
+	Fence         Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{Fence: to} }
+	Checkpoint    Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{Checkpoint: to} }
 )
 
 // Order gives an order about a task and waits for the reply.
 func (ln *Link) Order(ctx context.Context, vb Verb, task string) (workermsg.Reply, error) {
-	return ln.ask(ctx, func(seq uint64) workermsg.To {
+	return ln.ask(ctx, func(seq uint64) workermsg.OwnerMessage {
 		return vb(&workermsg.TaskOrder{Seq: seq, Epoch: ln.opts.Epoch, Task: task})
 	})
 }
 
 // Throttle slows a task to a percentage of its processors.
 func (ln *Link) Throttle(ctx context.Context, task string, percent int) (workermsg.Reply, error) {
-	return ln.ask(ctx, func(seq uint64) workermsg.To {
-		return workermsg.To{Throttle: &workermsg.Throttle{
+	return ln.ask(ctx, func(seq uint64) workermsg.OwnerMessage {
+		return workermsg.OwnerMessage{Throttle: &workermsg.Throttle{
 			Seq: seq, Epoch: ln.opts.Epoch, Task: task, Percent: percent,
 		}}
 	})
 }
 
-// Leave tells the worker to drain.
-func (ln *Link) Leave() error {
-	return ln.control.Send(workermsg.To{Leave: &workermsg.LeaveOrder{Epoch: ln.opts.Epoch}})
+// Drain tells the worker to drain.
+func (ln *Link) Drain() error {
+	return ln.control.Send(workermsg.OwnerMessage{Drain: &workermsg.DrainOrder{Epoch: ln.opts.Epoch}})
 }
 
 // Ack lets the worker forget an ended task.
 func (ln *Link) Ack(task string) error {
-	return ln.control.Send(workermsg.To{Ack: &workermsg.Ack{Task: task}})
+	return ln.control.Send(workermsg.OwnerMessage{Ack: &workermsg.Ack{Task: task}})
 }
 
 // ask sends an order and waits for its reply.
-func (ln *Link) ask(ctx context.Context, build func(seq uint64) workermsg.To) (workermsg.Reply, error) {
+func (ln *Link) ask(ctx context.Context, build func(seq uint64) workermsg.OwnerMessage) (workermsg.Reply, error) {
 	seq := ln.seq.Add(1)
 	wait := make(chan workermsg.Reply, 1)
 	ln.mu.Lock()
@@ -337,11 +337,11 @@
 	ln.mu.Lock()
 	lost := ln.lost
 	ln.mu.Unlock()
-	if lost || ln.Lapsed() {
+	if lost || ln.LeaseExpired() {
 		return fault.New(fault.Unavailable, "worker %s is not attached", ln.opts.Name)
 	}
 	lk.Epoch, lk.Session = ln.opts.Epoch, ln.hello.Session
-	if err := ln.lookups.Send(workermsg.To{Lookup: &lk}); err != nil {
+	if err := ln.lookups.Send(workermsg.OwnerMessage{Lookup: &lk}); err != nil {
 		ln.end(err)
 		return ln.unknown(err)
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -23,7 +23,7 @@
 		Name: "w1", Addr: wk.Addr(), Owner: "n1", Epoch: epoch, Dial: worker.Dial,
 	}, worker.Events{
 		Ended: func(en workermsg.Ended) { ends <- en }, Answered: func(workermsg.Answer) {},
-		Beat: func(workermsg.Beat) {}, Leaving: func() {}, Lost: func(error) {},
+		Heartbeat: func(workermsg.Heartbeat) {}, Leaving: func() {}, Lost: func(error) {},
 	})
 	if err == nil {
 		t.Cleanup(ln.Close)
@@ -68,14 +68,14 @@
 	rp, err = ln.Order(ctx, worker.Stop, "j.1.0")
 	is.NoErr(err)
 	is.Equal(rp.State, workermsg.Stopped)
-	is.True(rp.Begun)
+	is.True(rp.Started)
 	is.Equal((<-ends).State, workermsg.Stopped) // the end is reported as well
 	rp, err = ln.Order(ctx, worker.Fence, "j.9.0")
 	is.NoErr(err)
-	is.Equal(rp.State, workermsg.Never)
+	is.Equal(rp.State, workermsg.NotStarted)
 	rp, err = ln.Start(ctx, workermsg.Start{Task: "j.9.0"})
 	is.NoErr(err)
-	is.Equal(rp.Refusal, workermsg.IsFenced) // a fenced task cannot begin later
+	is.Equal(rp.Refusal, workermsg.TaskFenced) // a fenced task cannot begin later
 }
 
 // TestEpochs lets a newer owner in and keeps the older ones out.
--- a/internal/workermsg/workermsg.go
+++ b/internal/workermsg/workermsg.go
@@ -18,31 +18,31 @@
 	LookupPath  = "/v1/lookups"
 )
 
-// To is one message from an owner to a worker; exactly one pointer is set.
-type To struct {
-	Attach     *Attach     `cbor:"1,keyasint,omitempty"`
-	Renew      *Renew      `cbor:"2,keyasint,omitempty"`
-	Start      *Start      `cbor:"3,keyasint,omitempty"`
-	Go         *TaskOrder  `cbor:"4,keyasint,omitempty"`
-	Stop       *TaskOrder  `cbor:"5,keyasint,omitempty"`
-	Checkpoint *TaskOrder  `cbor:"6,keyasint,omitempty"`
-	Throttle   *Throttle   `cbor:"7,keyasint,omitempty"`
-	Fence      *TaskOrder  `cbor:"8,keyasint,omitempty"`
-	Ack        *Ack        `cbor:"9,keyasint,omitempty"`
-	Lookup     *Lookup     `cbor:"10,keyasint,omitempty"`
-	Detach     *Detach     `cbor:"11,keyasint,omitempty"`
-	Leave      *LeaveOrder `cbor:"12,keyasint,omitempty"`
-}
-
-// From is one message from a worker to an owner; exactly one pointer is set.
-type From struct {
-	Hello   *Hello   `cbor:"1,keyasint,omitempty"`
-	Refused *Refused `cbor:"2,keyasint,omitempty"`
-	Beat    *Beat    `cbor:"3,keyasint,omitempty"`
-	Reply   *Reply   `cbor:"4,keyasint,omitempty"`
-	Ended   *Ended   `cbor:"5,keyasint,omitempty"`
-	Answer  *Answer  `cbor:"6,keyasint,omitempty"`
-	Leaving *Leaving `cbor:"7,keyasint,omitempty"`
+// OwnerMessage is one message from an owner to a worker; exactly one pointer is set.
+type OwnerMessage struct {
+	Attach        *Attach     `cbor:"1,keyasint,omitempty"`
+	Renew         *Renew      `cbor:"2,keyasint,omitempty"`
+	Start         *Start      `cbor:"3,keyasint,omitempty"`
+	StartPrepared *TaskOrder  `cbor:"4,keyasint,omitempty"`
+	Stop          *TaskOrder  `cbor:"5,keyasint,omitempty"`
+	Checkpoint    *TaskOrder  `cbor:"6,keyasint,omitempty"`
+	Throttle      *Throttle   `cbor:"7,keyasint,omitempty"`
+	Fence         *TaskOrder  `cbor:"8,keyasint,omitempty"`
+	Ack           *Ack        `cbor:"9,keyasint,omitempty"`
+	Lookup        *Lookup     `cbor:"10,keyasint,omitempty"`
+	Detach        *Detach     `cbor:"11,keyasint,omitempty"`
+	Drain         *DrainOrder `cbor:"12,keyasint,omitempty"`
+}
+
+// WorkerMessage is one message from a worker to an owner; exactly one pointer is set.
+type WorkerMessage struct {
+	Hello     *Hello     `cbor:"1,keyasint,omitempty"`
+	Refused   *Refused   `cbor:"2,keyasint,omitempty"`
+	Heartbeat *Heartbeat `cbor:"3,keyasint,omitempty"`
+	Reply     *Reply     `cbor:"4,keyasint,omitempty"`
+	Ended     *Ended     `cbor:"5,keyasint,omitempty"`
+	Answer    *Answer    `cbor:"6,keyasint,omitempty"`
+	Leaving   *Leaving   `cbor:"7,keyasint,omitempty"`
 }
 
 // Attach takes the worker's lease for an owner. The worker refuses an epoch
@@ -57,8 +57,8 @@
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
-// LeaveOrder tells the worker to drain: it refuses whatever is new.
-type LeaveOrder struct {
+// DrainOrder tells the worker to drain: it refuses whatever is new.
+type DrainOrder struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
@@ -156,33 +156,33 @@
 
 // The states of a task on a worker.
 const (
-	Never    State = "never"
-	Prepared State = "prepared"
-	Running  State = "running"
-	OK       State = "ok"
-	Failed   State = "failed"
-	Stopped  State = "stopped"
-	Lapsed   State = "lapsed"
+	NotStarted   State = "never"
+	Prepared     State = "prepared"
+	Running      State = "running"
+	OK           State = "ok"
+	Failed       State = "failed"
+	Stopped      State = "stopped"
+	LeaseExpired State = "lapsed"
 )
 
 // Ended reports whether the state is final.
 func (st State) Ended() bool {
 	switch st {
-	case OK, Failed, Stopped, Lapsed, Never:
+	case OK, Failed, Stopped, LeaseExpired, NotStarted:
 		return true
 	}
 	return false
 }
 
-// Began reports whether a task in the state has begun to run.
-func (st State) Began() bool { return st != Never && st != Prepared }
+// Started reports whether a task in the state has begun to run.
+func (st State) Started() bool { return st != NotStarted && st != Prepared }
 
 // TaskReport is one task in a worker's inventory.
 type TaskReport struct {
-	Task  string    `cbor:"1,keyasint"`
-	State State     `cbor:"2,keyasint"`
-	Size  size.Size `cbor:"3,keyasint"`
-	Begun bool      `cbor:"4,keyasint,omitempty"`
+	Task    string    `cbor:"1,keyasint"`
+	State   State     `cbor:"2,keyasint"`
+	Size    size.Size `cbor:"3,keyasint"`
+	Started bool      `cbor:"4,keyasint,omitempty"`
 	// Priority and Repeatable are what the start said.
 	Priority   int  `cbor:"5,keyasint,omitempty"`
 	Repeatable bool `cbor:"6,keyasint,omitempty"`
@@ -196,8 +196,8 @@
 	Size size.Size `cbor:"2,keyasint"`
 }
 
-// Beat is a worker's heartbeat. The owner answers it with Renew.
-type Beat struct {
+// Heartbeat is a worker's heartbeat. The owner answers it with Renew.
+type Heartbeat struct {
 	Nonce uint64  `cbor:"1,keyasint"`
 	Usage []Usage `cbor:"2,keyasint,omitempty"`
 }
@@ -207,14 +207,14 @@
 
 // The refusals of a worker. The empty one is consent.
 const (
-	Consent    Refusal = ""
-	StaleEpoch Refusal = "stale epoch"
-	StaleStart Refusal = "stale start"
-	NoRoom     Refusal = "no room"
-	IsLeaving  Refusal = "leaving"
-	IsFenced   Refusal = "fenced"
-	OldSession Refusal = "old session"
-	NoSuchTask Refusal = "no such task"
+	Accepted      Refusal = ""
+	StaleEpoch    Refusal = "stale epoch"
+	StaleStart    Refusal = "stale start"
+	NoCapacity    Refusal = "no room"
+	WorkerLeaving Refusal = "leaving"
+	TaskFenced    Refusal = "fenced"
+	StaleSession  Refusal = "old session"
+	UnknownTask   Refusal = "no such task"
 )
 
 // Reply answers the order of the same sequence number.
@@ -222,16 +222,16 @@
 	Seq     uint64  `cbor:"1,keyasint"`
 	Refusal Refusal `cbor:"2,keyasint,omitempty"`
 	State   State   `cbor:"3,keyasint,omitempty"`
-	Begun   bool    `cbor:"4,keyasint,omitempty"`
+	Started bool    `cbor:"4,keyasint,omitempty"`
 	// Saved is the work done at the task's last checkpoint.
 	Saved time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
 // Ended reports the end of a task, or of a lookup that a former owner sent.
 type Ended struct {
-	Task  string `cbor:"1,keyasint"`
-	State State  `cbor:"2,keyasint"`
-	Begun bool   `cbor:"3,keyasint,omitempty"`
+	Task    string `cbor:"1,keyasint"`
+	State   State  `cbor:"2,keyasint"`
+	Started bool   `cbor:"3,keyasint,omitempty"`
 	// Saved is the work done at the task's last checkpoint.
 	Saved time.Duration `cbor:"4,keyasint,omitempty"`
 }
--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -84,12 +84,12 @@
 	sm := sample{Nodes: nodes, Workers: workers}
 	for name, ct := range after {
 		was := before[name]
-		span := (ct.Up - was.Up).Seconds() * float64(nodes)
+		span := (ct.Uptime - was.Uptime).Seconds() * float64(nodes)
 		sm.CPU += 100 * (ct.CPU - was.CPU).Seconds() / span
 		sm.Memory += float64(ct.Resident) / (1 << 20) / float64(nodes)
 		sm.PeerSent += float64(ct.PeerSent-was.PeerSent) / span
 		sm.WorkerSent += float64(ct.WorkerSent-was.WorkerSent) / span
-		sm.WorkerRead += float64(ct.WorkerRead-was.WorkerRead) / span
+		sm.WorkerRead += float64(ct.WorkerReceived-was.WorkerReceived) / span
 	}
 	sm.Reads = float64(callsAfter.Reads-calls.Reads) / idle.Seconds()
 	sm.Writes = float64(callsAfter.Writes-calls.Writes) / idle.Seconds()
@@ -98,8 +98,8 @@
 }
 
 // control returns what each node has spent on control so far.
-func (cl *cluster) control() map[string]nodemsg.Control {
-	all := map[string]nodemsg.Control{}
+func (cl *cluster) control() map[string]nodemsg.ControlUsage {
+	all := map[string]nodemsg.ControlUsage{}
 	list, err := client.JSON[api.Nodes](cl.api(), client.Request{Method: "GET", Path: api.PathNodes})
 	if err != nil || len(list.Unreached) > 0 {
 		cl.t.Fatalf("nodes: %v, no answer from %v", err, list.Unreached)
@@ -165,8 +165,8 @@
 	link, err := worker.New(context.Background(), clockwork.NewRealClock(), worker.Options{
 		Name: "w0001", Addr: solo, Owner: "test", Epoch: 1, Dial: worker.Dial,
 	}, worker.Events{
-		Answered: func(an workermsg.Answer) { answers[an.ID%uint64(clients)] <- an },
-		Beat:     func(workermsg.Beat) {}, Ended: func(workermsg.Ended) {}, Leaving: func() {}, Lost: func(error) {},
+		Answered:  func(an workermsg.Answer) { answers[an.ID%uint64(clients)] <- an },
+		Heartbeat: func(workermsg.Heartbeat) {}, Ended: func(workermsg.Ended) {}, Leaving: func() {}, Lost: func(error) {},
 	})
 	if err != nil {
 		cl.t.Fatal(err)
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -44,7 +44,7 @@
 		time.Sleep(10 * time.Second)
 		for name, ct := range cl.control() {
 			was := before[name]
-			span := (ct.Up - was.Up).Seconds() * float64(sm.Nodes)
+			span := (ct.Uptime - was.Uptime).Seconds() * float64(sm.Nodes)
 			sm.CPU += 100 * (ct.CPU - was.CPU).Seconds() / span
 			sm.Memory += float64(ct.Resident) / (1 << 20) / float64(sm.Nodes)
 			sm.PeerSent += float64(ct.PeerSent-was.PeerSent) / span
