--- a/internal/home/settle.go
+++ b/internal/home/end.go
@@ -10,31 +10,31 @@
 	"tackbeam.example/tackbeam/internal/peer"
 )
 
-// late ends a job that passed its deadline while it waited. The caller holds the
-// lock, and the machine has dropped the job.
-func (hm *Home) late(id string) {
+// expire ends a job whose deadline passed while it waited. The caller holds the lock, and the state machine has removed
+// the job.
+func (hm *Home) expire(id string) {
 	if en, ok := hm.jobs[id]; ok && !en.frozen {
-		hm.settleWaiting(en, "the deadline passed before there was room")
+		hm.endWaiting(en, "the deadline passed before resources were available")
 	}
 }
 
-// settleWaiting ends a job that waits. It was not run, unless an attempt before
-// this wait began. The caller holds the lock.
-func (hm *Home) settleWaiting(en *entry, reason string) {
+// endWaiting ends a waiting job. Its answer is "not run", unless an earlier attempt had started. The caller holds the
+// lock.
+func (hm *Home) endWaiting(en *entry, reason string) {
 	if en.rec.StartedAttempts > 0 {
-		hm.settle(en, job.Unknown, "", reason+", and an earlier attempt had begun")
+		hm.end(en, job.Unknown, "", reason+", and an earlier attempt had started")
 		return
 	}
-	hm.settle(en, job.NotRun, "", reason)
+	hm.end(en, job.NotRun, "", reason)
 }
 
-// settle puts a job's end in line for the journal; the end is said and the
-// workers may forget it only once it is kept. The caller holds the lock.
-func (hm *Home) settle(en *entry, an job.Answer, result, reason string) {
-	if en.settling || en.rec.State == job.Done {
+// end writes a job's end to the journal. Only once it is written is the end reported and may the workers forget the
+// tasks. The caller holds the lock.
+func (hm *Home) end(en *entry, an job.Answer, result, reason string) {
+	if en.ending || en.rec.State == job.Done {
 		return
 	}
-	en.settling = true
+	en.ending = true
 	en.busy++
 	hm.unreserve(en)
 	rec := en.rec
@@ -45,7 +45,7 @@
 	rec.Version++
 	raw, err := rec.Encode()
 	if err != nil {
-		hm.Log.Error(err, "End of job cannot be encoded.", "job", rec.ID)
+		hm.Log.Error(err, "Record of job's end could not be encoded.", "job", rec.ID)
 		return
 	}
 	pending := hm.journal.Append(raw)
@@ -54,19 +54,19 @@
 		hm.mu.Lock()
 		defer hm.mu.Unlock()
 		en.busy--
-		en.settling = false
+		en.ending = false
 		if pending.Err() != nil {
-			hm.Log.V(1).Info("End of job was not kept.", "job", rec.ID, "cause", pending.Err().Error())
-			return // another home sees the job through
+			hm.Log.V(1).Info("Record of job's end was not written to the journal.", "job", rec.ID, "cause", pending.Err().Error())
+			return // another home runs the job to its end
 		}
-		hm.ended(en, rec)
+		hm.endRecorded(en, rec)
 	}()
 }
 
-// ended makes a kept end known. The caller holds the lock.
-func (hm *Home) ended(en *entry, rec job.Record) {
+// endRecorded reports an end that the journal has. The caller holds the lock.
+func (hm *Home) endRecorded(en *entry, rec job.Record) {
 	if hm.jobs[rec.ID] == en {
-		hm.open--
+		hm.unfinished--
 	}
 	en.rec = rec
 	if !en.frozen {
@@ -82,11 +82,11 @@
 	}
 }
 
-// ackAll lets the workers forget ended tasks. A lost message only costs memory
-// there until the owner asks again.
+// ackAll lets the workers forget ended tasks. If a message is lost, the workers only keep the tasks until the owner
+// reports the end again.
 func (hm *Home) ackAll(places []nodemsg.Place) {
-	const patience = 2 * time.Second
-	ctx, cancel := context.WithTimeout(hm.ctx, patience)
+	const timeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(hm.ctx, timeout)
 	defer cancel()
 	for node, group := range hm.byOwner(places) {
 		ak := nodemsg.Ack{Tasks: nodemsg.TasksOf(group)}
@@ -97,12 +97,12 @@
 		nd := hm.Member.Map().Nodes[node]
 		_, err := peer.Call[nodemsg.Ack, nodemsg.Empty](ctx, hm.Peer, nd.Peer, nodemsg.KindAck, ak)
 		if err != nil {
-			hm.Log.V(1).Info("Ends were not acknowledged yet.", "node", node, "cause", err.Error())
+			hm.Log.V(1).Info("Ends of tasks could not be acknowledged.", "node", node, "cause", err.Error())
 		}
 	}
 }
 
-// byOwner groups places by the node that owns their rack now.
+// byOwner groups places by the node that currently owns their rack.
 func (hm *Home) byOwner(places []nodemsg.Place) map[string][]nodemsg.Place {
 	mp := hm.Member.Map()
 	groups := map[string][]nodemsg.Place{}
--- a/internal/home/forget.go
+++ b/internal/home/forget.go
@@ -10,55 +10,54 @@
 	"tackbeam.example/tackbeam/internal/nodemsg"
 )
 
-// keepSteps is the number of steps of the map's age that an ended job is kept
-// for. The step under way when it ended does not count.
-const keepSteps = 24
+// retentionSteps is the number of steps of the cluster map's age for which an ended job is retained. The step in
+// progress when the job ended does not count.
+const retentionSteps = 24
 
-// age is how long the present age of the map has been seen by this node.
-type age struct {
+// mapAge is the current age of the cluster map and the time since which this node has seen it.
+type mapAge struct {
 	value uint64
 	since time.Time
-	// wait is the length of a step, and a part by chance so that one node is first.
+	// wait is the length of a step plus a random part, so that usually one node advances the age before the others try.
 	wait time.Duration
 }
 
-// growOlder moves the map's age on once this node has measured a step of time
-// since the last move. No time of day goes into it: a key that is forgotten early
-// because a clock is wrong would let a job run twice.
-func (hm *Home) growOlder() {
-	step := hm.opts.JobRetention / keepSteps
+// advanceAge advances the map's age once this node has measured one step of time since the last advance. It does not
+// use the time of day: a wrong clock would remove an idempotency key too early, and the job could run twice.
+func (hm *Home) advanceAge() {
+	step := hm.opts.JobRetention / retentionSteps
 	now := hm.Clock.Now()
 	value := hm.Member.Map().Age
 	if hm.age.value != value || hm.age.since.IsZero() {
-		hm.age = age{value: value, since: now, wait: step + rand.N(step/4+1)}
+		hm.age = mapAge{value: value, since: now, wait: step + rand.N(step/4+1)}
 		return
 	}
 	if now.Sub(hm.age.since) < hm.age.wait {
 		return
 	}
-	ctx, cancel := context.WithTimeout(hm.ctx, handTimeout)
+	ctx, cancel := context.WithTimeout(hm.ctx, handoverTimeout)
 	defer cancel()
 	err := hm.Member.Change(ctx, func(mp *clustermap.Map) (*clustermap.Map, bool) { return mp.AdvanceAge(value) })
 	if err != nil {
-		hm.Log.V(1).Info("Age of the map did not move.", "cause", err.Error())
+		hm.Log.V(1).Info("Age of the cluster map was not advanced.", "cause", err.Error())
 	}
 }
 
-// forgetOld drops ended jobs, and their keys, that have been kept long enough.
-func (hm *Home) forgetOld() {
-	hm.growOlder()
+// removeExpired removes ended jobs, and their idempotency keys, after the retention period.
+func (hm *Home) removeExpired() {
+	hm.advanceAge()
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	now := hm.Member.Map().Age
-	var gone []nodemsg.Record
+	var removals []nodemsg.Record
 	for id, en := range hm.jobs {
-		if en.rec.State != job.Done || en.frozen || now <= en.rec.EndedMapAge+keepSteps {
+		if en.rec.State != job.Done || en.frozen || now <= en.rec.EndedMapAge+retentionSteps {
 			continue
 		}
-		gone = append(gone, nodemsg.Record{Key: id, Version: en.rec.Version + 1})
+		removals = append(removals, nodemsg.Record{Key: id, Version: en.rec.Version + 1})
 		hm.remove(en)
 	}
-	if len(gone) > 0 {
-		hm.journal.Append(gone...)
+	if len(removals) > 0 {
+		hm.journal.Append(removals...)
 	}
 }
--- a/internal/home/handover.go
+++ b/internal/home/handover.go
@@ -12,9 +12,8 @@
 	"tackbeam.example/tackbeam/internal/peer"
 )
 
-// hand gives a page of a partition's records to its new home, once no step on
-// its jobs is under way.
-func (hm *Home) hand(ctx context.Context, hp nodemsg.FetchPartition) (nodemsg.Records, error) {
+// servePartition returns a page of a partition's records to its new home, once no operation on its jobs is in progress.
+func (hm *Home) servePartition(ctx context.Context, hp nodemsg.FetchPartition) (nodemsg.Records, error) {
 	if hp.Partition < 0 || hp.Partition >= ids.Partitions {
 		return nodemsg.Records{}, fault.New(fault.BadRequest, "no partition %d", hp.Partition)
 	}
@@ -25,8 +24,8 @@
 			return nodemsg.Records{}, fault.New(fault.NotFound, "this node does not write journal %s", hp.Journal)
 		}
 		if hm.Member.Map().Homes[hp.Partition].Epoch < hp.Epoch {
-			hm.mu.Unlock() // the map that moves the partition has not come yet
-		} else if list, ok := hm.quiet(hp); ok {
+			hm.mu.Unlock() // this node has not received the map that moves the partition
+		} else if list, ok := hm.frozenRecords(hp); ok {
 			hm.mu.Unlock()
 			return page(list)
 		} else {
@@ -34,20 +33,20 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nodemsg.Records{}, fault.New(fault.Unavailable, "work on partition %d is still under way", hp.Partition)
-		case <-hm.Clock.After(freezeWait):
+			return nodemsg.Records{}, fault.New(fault.Unavailable, "operations on jobs of partition %d are still in progress", hp.Partition)
+		case <-hm.Clock.After(freezePollInterval):
 		}
 	}
 }
 
-// quiet returns the records of a frozen partition after a key, or false while a
-// step on one of its jobs is under way. The caller holds the lock.
-func (hm *Home) quiet(hp nodemsg.FetchPartition) ([]job.Record, bool) {
+// frozenRecords returns the records of a frozen partition with keys after hp.After, or false while an operation on one
+// of its jobs is in progress. The caller holds the lock.
+func (hm *Home) frozenRecords(hp nodemsg.FetchPartition) ([]job.Record, bool) {
 	if hm.parts[hp.Partition].state == owned {
 		return nil, false
 	}
 	var list []job.Record
-	for _, en := range hm.inPart(hp.Partition) {
+	for _, en := range hm.jobsOf(hp.Partition) {
 		if en.busy > 0 || !en.frozen {
 			return nil, false
 		}
@@ -76,14 +75,13 @@
 	return res, nil
 }
 
-// gather returns the newest record of each job of the partition, from all the
-// journals that may hold some.
-func (hm *Home) gather(
+// collectRecords returns the latest record of each job of the partition, from all journals that may hold one.
+func (hm *Home) collectRecords(
 	part int, epoch uint64, former []string, sealed map[string][]nodemsg.Record,
 ) (map[string]nodemsg.Record, error) {
-	best := map[string]nodemsg.Record{}
+	latest := map[string]nodemsg.Record{}
 	for _, log := range former {
-		records, err := hm.recordsOf(part, epoch, log, sealed)
+		records, err := hm.readJournal(part, epoch, log, sealed)
 		if err != nil {
 			return nil, err
 		}
@@ -91,17 +89,17 @@
 			if p, ok := ids.JobPartition(rec.Key); !ok || p != part {
 				continue
 			}
-			if old, ok := best[rec.Key]; !ok || rec.Version > old.Version {
-				best[rec.Key] = rec
+			if old, ok := latest[rec.Key]; !ok || rec.Version > old.Version {
+				latest[rec.Key] = rec
 			}
 		}
 	}
-	return best, nil
+	return latest, nil
 }
 
-// recordsOf reads one journal: from the node that writes it if it is a member
-// still, otherwise from the store, sealed first.
-func (hm *Home) recordsOf(
+// readJournal reads one journal: from the node that writes it while that node is a member, otherwise from the store,
+// after the journal has been sealed.
+func (hm *Home) readJournal(
 	part int, epoch uint64, log string, sealed map[string][]nodemsg.Record,
 ) ([]nodemsg.Record, error) {
 	mp := hm.Member.Map()
@@ -113,7 +111,7 @@
 	if records, ok := sealed[log]; ok {
 		return records, nil
 	}
-	ctx, cancel := context.WithTimeout(hm.ctx, handTimeout)
+	ctx, cancel := context.WithTimeout(hm.ctx, handoverTimeout)
 	defer cancel()
 	records, err := journal.Seal(ctx, hm.Store, log)
 	if err == nil {
@@ -122,9 +120,9 @@
 	return records, err
 }
 
-// fetch asks a node for all pages of a partition's records.
+// fetch requests all pages of a partition's records from a node.
 func (hm *Home) fetch(nd clustermap.Node, hp nodemsg.FetchPartition) ([]nodemsg.Record, error) {
-	ctx, cancel := context.WithTimeout(hm.ctx, handTimeout)
+	ctx, cancel := context.WithTimeout(hm.ctx, handoverTimeout)
 	defer cancel()
 	var all []nodemsg.Record
 	for {
@@ -144,7 +142,7 @@
 	ctx context.Context, nd clustermap.Node, hp nodemsg.FetchPartition,
 ) (nodemsg.Records, error) {
 	if nd.Name == hm.Member.Node().Name {
-		return hm.hand(ctx, hp)
+		return hm.servePartition(ctx, hp)
 	}
 	return peer.Call[nodemsg.FetchPartition, nodemsg.Records](
 		ctx, hm.Peer, nd.Peer, nodemsg.KindFetchPartition, hp)
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -1,6 +1,5 @@
-// Package home accepts jobs and sees them through, for the workspaces that the
-// cluster map makes this node home of. Everything that must outlive the node is
-// in its journal before it is acted on or said.
+// Package home accepts jobs and runs them to their end, for the workspaces whose home is this node according to the
+// cluster map. Everything that must survive the node is in its journal before the node acts on it or reports it.
 package home
 
 import (
@@ -29,28 +28,28 @@
 	"tackbeam.example/tackbeam/internal/wake"
 )
 
-// Periods of the home's loops.
+// Intervals of the home's loops.
 const (
-	tickEvery     = 25 * time.Millisecond
-	capacityEvery = 500 * time.Millisecond
-	forgetEvery   = 30 * time.Second
+	tickInterval      = 25 * time.Millisecond
+	capacityInterval  = 500 * time.Millisecond
+	retentionInterval = 30 * time.Second
 )
 
-// MaxConcurrentTries is the number of jobs that one home lets try for room together.
+// MaxConcurrentTries is the number of jobs of one home that may request resources at the same time.
 const MaxConcurrentTries = 64
 
-// Options of a home.
+// Options configures a home.
 type Options struct {
 	MaxUnfinishedJobs int
 	JobRetention      time.Duration
-	// QueryAfter is how long a running job may be silent before its workers are asked for
-	// it. A repeatable one saves its work when asked.
+	// QueryAfter is how long a running job may go without a report before its workers are queried. A repeatable job
+	// saves a checkpoint when it is queried.
 	QueryAfter time.Duration
 }
 
-// Local is the owner of this node, which the home reaches without a message.
+// Local contains the functions of this node's owner, which the home calls without a message.
 type Local struct {
-	// VMCount returns the number of workers that the platform lists.
+	// VMCount returns the number of workers in the platform's list of VMs.
 	VMCount func() int
 	Summary func() (ledger.Summary, int)
 	Hold    func(nodemsg.Hold) nodemsg.HoldReply
@@ -60,7 +59,7 @@
 	Ack     func(nodemsg.Ack)
 }
 
-// Services are the services that a home works with.
+// Services contains the services that a home uses.
 type Services struct {
 	Clock    clockwork.Clock
 	Log      logr.Logger
@@ -81,46 +80,46 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
-	pacer   *loop.Pacer // of the ticks
+	pacer   *loop.Pacer // for tick
 
-	mu      sync.Mutex
-	machine *policy.Machine
-	jobs    map[string]*entry
-	keys    map[string]string
-	parts   [ids.Partitions]partition
-	age     age // of the loop that forgets
-	journal *journal.Journal
-	open    int
-	largest size.Size
-	total   size.Size
-	// complete is set once every listed worker was seen, so that what none of
-	// them can carry is known.
-	complete bool
+	mu         sync.Mutex
+	machine    *policy.Machine
+	jobs       map[string]*entry
+	keys       map[string]string
+	parts      [ids.Partitions]partition
+	age        mapAge // for removeExpired
+	journal    *journal.Journal
+	unfinished int
+	largest    size.Size
+	total      size.Size
+	// capacityComplete is set once every listed worker has been seen, so that a request that fits none of them can be
+	// refused.
+	capacityComplete bool
 }
 
-// entry is one job in memory. The home's lock guards it.
+// entry is one job in memory, guarded by the home's lock.
 type entry struct {
 	rec      job.Record
 	statuses []attempt.Status
 	// saved is the work that each task's checkpoints have saved.
 	saved []time.Duration
-	// kept is set once the job's acceptance is in the journal.
-	kept bool
-	// frozen is set once the job's partition moves away; nothing is done to it then.
+	// persisted is set once the journal has the accepted job.
+	persisted bool
+	// frozen is set once the job's partition moves to another home; this node then stops working on the job.
 	frozen bool
-	// busy counts the steps under way that a move must wait for.
+	// busy counts the operations in progress, which a handover must wait for.
 	busy int
-	// placing is set while the job tries for room.
+	// placing is set while the job requests resources.
 	placing bool
-	// settling is set once the job's end is on its way to the journal.
-	settling bool
-	kick     wake.Signal
-	changed  chan struct{}
-	accept   *journal.Pending
-	toAck    []nodemsg.Place
-	// reserved are the places that a job which reserves has so far.
+	// ending is set while the job's end is being written to the journal.
+	ending        bool
+	kick          wake.Signal
+	changed       chan struct{}
+	pendingAccept *journal.Pending
+	toAck         []nodemsg.Place
+	// reserved contains the places reserved so far, if the job reserves resources.
 	reserved []nodemsg.Place
-	// reserving is set while the job's holds stand between tries.
+	// reserving is set while the job's holds are kept between tries.
 	reserving bool
 }
 
@@ -159,17 +158,17 @@
 		return hm.TaskEnded(en)
 	})
 	peer.Handle(hm.Peer, nodemsg.KindFetchPartition, func(ctx context.Context, _ string, hp nodemsg.FetchPartition) (nodemsg.Records, error) {
-		return hm.hand(ctx, hp)
+		return hm.servePartition(ctx, hp)
 	})
 }
 
-// Start begins the loops.
+// Start starts the loops.
 func (hm *Home) Start(context.Context) error {
 	hm.wg.Go(func() {
-		hm.pacer.Run(hm.ctx, hm.Clock, tickEvery, hm.tick)
+		hm.pacer.Run(hm.ctx, hm.Clock, tickInterval, hm.tick)
 	})
-	hm.loop(capacityEvery, hm.measure)
-	hm.loop(min(forgetEvery, hm.opts.JobRetention/(4*keepSteps)), hm.forgetOld)
+	hm.loop(capacityInterval, hm.updateCapacity)
+	hm.loop(min(retentionInterval, hm.opts.JobRetention/(4*retentionSteps)), hm.removeExpired)
 	return nil
 }
 
@@ -179,7 +178,7 @@
 	})
 }
 
-// Stop ends the loops and the journal.
+// Stop stops the loops and the journal.
 func (hm *Home) Stop(context.Context) error {
 	hm.cancel()
 	hm.wg.Wait()
@@ -190,11 +189,10 @@
 	return nil
 }
 
-// now is the time since the home started, which the machine counts in.
+// now returns the time since the home started, which is the time base of the state machine.
 func (hm *Home) now() time.Duration { return hm.Clock.Since(hm.started) }
 
-// step feeds one event to the machine and carries its decisions out. The caller
-// holds the lock.
+// step passes one event to the state machine and executes its decisions. The caller holds the lock.
 func (hm *Home) step(ev policy.Event) {
 	ev.At = hm.now()
 	acts := hm.machine.Step(ev)
@@ -207,12 +205,12 @@
 		case act.Try != nil:
 			hm.startTry(act.Try)
 		case act.Expired != nil:
-			hm.late(act.Expired.Job)
+			hm.expire(act.Expired.Job)
 		}
 	}
 }
 
-// tick lets time pass, and reports whether jobs still wait.
+// tick advances the time of the state machine, and reports whether jobs are still waiting.
 func (hm *Home) tick() bool {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
@@ -220,27 +218,27 @@
 	return hm.machine.Waiting() > 0
 }
 
-// measure tells the machine the room of the whole cluster. What no worker has
-// is told by the largest ever seen, since workers may be away for a while.
-func (hm *Home) measure() {
-	room, _ := hm.Local.Summary()
-	total, free, largest, count := room.Capacity, room.Free, room.LargestCapacity, room.Workers
+// updateCapacity passes the capacity of the whole cluster to the state machine. The capacity used to refuse infeasible
+// jobs is the largest ever seen, because workers may be unavailable for a while.
+func (hm *Home) updateCapacity() {
+	summary, _ := hm.Local.Summary()
+	total, free, largest, count := summary.Capacity, summary.Free, summary.LargestCapacity, summary.Workers
 	for _, vw := range hm.Member.Peers() {
-		rm := vw.Summary()
-		total = total.Add(rm.Capacity)
-		free = free.Add(rm.Free)
-		largest = largest.Max(rm.LargestCapacity)
-		count += rm.Workers
+		sm := vw.Summary()
+		total = total.Add(sm.Capacity)
+		free = free.Add(sm.Free)
+		largest = largest.Max(sm.LargestCapacity)
+		count += sm.Workers
 	}
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	hm.largest = hm.largest.Max(largest)
 	hm.total = hm.total.Max(total)
-	hm.complete = hm.complete || count > 0 && count >= hm.Local.VMCount()
+	hm.capacityComplete = hm.capacityComplete || count > 0 && count >= hm.Local.VMCount()
 	hm.step(policy.Event{Capacity: &policy.Capacity{Total: hm.total, Largest: hm.largest, Free: free}})
 }
 
-// onTable brings the workspaces' limits into force.
+// onTable applies the limits of the workspaces.
 func (hm *Home) onTable(sn *table.Snapshot) {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
@@ -252,14 +250,14 @@
 	}
 }
 
-// Waiting returns the number of jobs that wait for room.
+// Waiting returns the number of jobs that wait for resources.
 func (hm *Home) Waiting() int {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	return hm.machine.Waiting()
 }
 
-// notify wakes those who wait for the job to change.
+// notify wakes all callers that wait for a change of the job.
 func (en *entry) notify() {
 	close(en.changed)
 	en.changed = make(chan struct{})
--- a/internal/home/partition.go
+++ b/internal/home/partition.go
@@ -14,35 +14,35 @@
 	"tackbeam.example/tackbeam/internal/store"
 )
 
-// partState is how far this node has come with a partition.
+// partState is the state of a partition on this node.
 type partState int
 
 const (
-	// foreign partitions have another home; records of theirs may wait here
-	// until that home has taken them over.
-	foreign partState = iota
-	adopting
+	// notOwned partitions have another home. This node may still have records of them until that home has taken them
+	// over.
+	notOwned partState = iota
+	takingOver
 	owned
 )
 
-// partition is a share of the workspaces.
+// partition is the state of one partition. Each workspace belongs to one partition.
 type partition struct {
 	state partState
 	epoch uint64
 }
 
-// Sizes and times of handovers.
+// Page size and times of handovers.
 const (
-	pageBytes    = 256 << 10
-	adoptPause   = 100 * time.Millisecond
-	handTimeout  = 5 * time.Second
-	freezeWait   = 10 * time.Millisecond
-	confirmDelay = 50 * time.Millisecond
-	// confirmTry stands for some failed tries in the backoff of a confirmation.
-	confirmTry = 3
+	pageBytes          = 256 << 10
+	takeOverRetryPause = 100 * time.Millisecond
+	handoverTimeout    = 5 * time.Second
+	freezePollInterval = 10 * time.Millisecond
+	confirmDelay       = 50 * time.Millisecond
+	// confirmBackoffTries is the number of failed tries for which the pause between confirmations is computed.
+	confirmBackoffTries = 3
 )
 
-// onMap takes partitions over and gives them up as the cluster map says.
+// onMap takes over and gives up partitions according to a new cluster map.
 func (hm *Home) onMap(mp *clustermap.Map) {
 	nd := hm.Member.Node()
 	hm.mu.Lock()
@@ -57,25 +57,25 @@
 		mine := assigned.Node == nd.Name && mp.Has(nd)
 		switch {
 		case mine && pt.epoch != assigned.Epoch:
-			if pt.state != foreign {
+			if pt.state != notOwned {
 				hm.freeze(i)
 			}
-			pt.state, pt.epoch = adopting, assigned.Epoch
+			pt.state, pt.epoch = takingOver, assigned.Epoch
 			fresh = append(fresh, i)
-		case !mine && pt.state != foreign:
+		case !mine && pt.state != notOwned:
 			hm.freeze(i)
-			pt.state, pt.epoch = foreign, 0
+			pt.state, pt.epoch = notOwned, 0
 		case !mine:
-			hm.dropTaken(i, assigned.Former, nd.JournalName())
+			hm.removeTakenOver(i, assigned.Former, nd.JournalName())
 		}
 	}
 	if len(fresh) > 0 {
-		go hm.adoptAll(fresh, mp)
+		go hm.takeOverAll(fresh, mp)
 	}
 }
 
-// rejoin begins a new journal after others took this node out. What the old one
-// holds is theirs. The caller holds the lock.
+// rejoin starts a new journal after other nodes removed this node from the cluster map. The records in the old journal
+// belong to the new homes. The caller holds the lock.
 func (hm *Home) rejoin(nd clustermap.Node) {
 	old := hm.journal
 	go old.Stop()
@@ -89,9 +89,9 @@
 	}
 }
 
-// freeze stops all work on a partition's jobs. The caller holds the lock.
+// freeze stops all operations on a partition's jobs. The caller holds the lock.
 func (hm *Home) freeze(part int) {
-	for _, en := range hm.inPart(part) {
+	for _, en := range hm.jobsOf(part) {
 		if en.frozen {
 			continue
 		}
@@ -105,8 +105,8 @@
 	}
 }
 
-// inPart returns the partition's jobs, by id.
-func (hm *Home) inPart(part int) []*entry {
+// jobsOf returns the partition's jobs, sorted by id.
+func (hm *Home) jobsOf(part int) []*entry {
 	var list []*entry
 	for id, en := range hm.jobs {
 		if p, ok := ids.JobPartition(id); ok && p == part {
@@ -117,32 +117,32 @@
 	return list
 }
 
-// dropTaken forgets records that the partition's new home has confirmed. The
-// caller holds the lock.
-func (hm *Home) dropTaken(part int, former []string, log string) {
+// removeTakenOver removes the records of a partition whose new home has confirmed the takeover. The caller holds the
+// lock.
+func (hm *Home) removeTakenOver(part int, former []string, log string) {
 	for _, name := range former {
 		if name == log {
 			return
 		}
 	}
-	var gone []nodemsg.Record
-	for _, en := range hm.inPart(part) {
-		gone = append(gone, nodemsg.Record{Key: en.rec.ID, Version: en.rec.Version + 1})
+	var removals []nodemsg.Record
+	for _, en := range hm.jobsOf(part) {
+		removals = append(removals, nodemsg.Record{Key: en.rec.ID, Version: en.rec.Version + 1})
 		hm.remove(en)
 	}
-	if len(gone) > 0 {
-		hm.journal.Append(gone...)
+	if len(removals) > 0 {
+		hm.journal.Append(removals...)
 	}
 }
 
-// adoptAll takes partitions over: it gathers their records, keeps them in this
-// node's journal, sees their jobs through, and confirms.
-func (hm *Home) adoptAll(parts []int, mp *clustermap.Map) {
+// takeOverAll takes over partitions: it collects their records, writes them to this node's journal, resumes their jobs,
+// and confirms the takeover.
+func (hm *Home) takeOverAll(parts []int, mp *clustermap.Map) {
 	sealed := map[string][]nodemsg.Record{}
 	done := map[int]uint64{}
 	for _, part := range parts {
 		epoch := mp.Homes[part].Epoch
-		if !hm.adopt(part, epoch, mp.Homes[part].Former, sealed) {
+		if !hm.takeOver(part, epoch, mp.Homes[part].Former, sealed) {
 			continue
 		}
 		if len(mp.Homes[part].Former) > 0 {
@@ -154,38 +154,38 @@
 	}
 }
 
-// adopt takes one partition over; it reports false where the partition moved on.
-func (hm *Home) adopt(part int, epoch uint64, former []string, sealed map[string][]nodemsg.Record) bool {
+// takeOver takes over one partition. It returns false if the partition was assigned again in the meantime.
+func (hm *Home) takeOver(part int, epoch uint64, former []string, sealed map[string][]nodemsg.Record) bool {
 	for try := 0; hm.ctx.Err() == nil; try++ {
-		if !hm.still(part, epoch) {
+		if !hm.stillTakingOver(part, epoch) {
 			return false
 		}
-		records, err := hm.gather(part, epoch, former, sealed)
+		records, err := hm.collectRecords(part, epoch, former, sealed)
 		if err == nil {
-			err = hm.keepAdopted(part, epoch, records)
+			err = hm.persistTakenOver(part, epoch, records)
 		}
 		if err == nil {
 			return true
 		}
-		hm.Log.V(1).Info("Partition cannot be taken over yet.", "partition", part, "cause", err.Error())
-		hm.Clock.Sleep(adoptPause)
+		hm.Log.V(1).Info("Partition could not be taken over, will retry.", "partition", part, "cause", err.Error())
+		hm.Clock.Sleep(takeOverRetryPause)
 	}
 	return false
 }
 
-func (hm *Home) still(part int, epoch uint64) bool {
+func (hm *Home) stillTakingOver(part int, epoch uint64) bool {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
-	return hm.parts[part].state == adopting && hm.parts[part].epoch == epoch
+	return hm.parts[part].state == takingOver && hm.parts[part].epoch == epoch
 }
 
-// keepAdopted puts records into this node's journal and then opens the partition.
-func (hm *Home) keepAdopted(part int, epoch uint64, records map[string]nodemsg.Record) error {
+// persistTakenOver writes the records to this node's journal and then activates the partition.
+func (hm *Home) persistTakenOver(part int, epoch uint64, records map[string]nodemsg.Record) error {
 	list := make([]job.Record, 0, len(records))
 	var batch []nodemsg.Record
 	var pending []*journal.Pending
 	size := 0
-	jr := hm.journalOf()
+	jr := hm.currentJournal()
 	for _, raw := range records {
 		rec, err := job.Decode(raw)
 		if err != nil {
@@ -211,18 +211,18 @@
 			return hm.ctx.Err()
 		}
 	}
-	hm.openPartition(part, epoch, list)
+	hm.activatePartition(part, epoch, list)
 	return nil
 }
 
-// openPartition makes this node act as the partition's home.
-func (hm *Home) openPartition(part int, epoch uint64, list []job.Record) {
+// activatePartition makes this node act as the partition's home.
+func (hm *Home) activatePartition(part int, epoch uint64, list []job.Record) {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
-	if hm.parts[part].state != adopting || hm.parts[part].epoch != epoch {
+	if hm.parts[part].state != takingOver || hm.parts[part].epoch != epoch {
 		return
 	}
-	hm.dropStale(part, list)
+	hm.removeStale(part, list)
 	hm.parts[part].state = owned
 	sort.Slice(list, func(i, j int) bool { return list[i].Submitted.Before(list[j].Submitted) })
 	for _, rec := range list {
@@ -230,51 +230,50 @@
 	}
 }
 
-// dropStale forgets the copies that this node has from an earlier time as the
-// partition's home. Those that were not handed back have ended elsewhere, and
-// must not come back to life from this node's journal. The caller holds the lock.
-func (hm *Home) dropStale(part int, list []job.Record) {
+// removeStale removes the copies that this node has from an earlier time as the partition's home. Jobs that were not
+// handed back have ended elsewhere, and must not be resumed from this node's journal. The caller holds the lock.
+func (hm *Home) removeStale(part int, list []job.Record) {
 	handed := map[string]bool{}
 	for _, rec := range list {
 		handed[rec.ID] = true
 	}
-	var gone []nodemsg.Record
-	for _, en := range hm.inPart(part) {
+	var removals []nodemsg.Record
+	for _, en := range hm.jobsOf(part) {
 		hm.remove(en)
 		if !handed[en.rec.ID] {
-			gone = append(gone, nodemsg.Record{Key: en.rec.ID, Version: en.rec.Version + 1})
+			removals = append(removals, nodemsg.Record{Key: en.rec.ID, Version: en.rec.Version + 1})
 		}
 	}
-	if len(gone) > 0 {
-		hm.journal.Append(gone...)
+	if len(removals) > 0 {
+		hm.journal.Append(removals...)
 	}
 }
 
-// resume goes on with a job that was taken over. The caller holds the lock.
+// resume continues a job that was taken over. The caller holds the lock.
 func (hm *Home) resume(rec job.Record) {
 	en := newEntry(rec)
-	en.kept = true
+	en.persisted = true
 	hm.insert(en)
 	switch rec.State {
 	case job.Waiting:
 		hm.step(policy.Event{Submit: hm.submitEvent(en, 0)})
 	case job.Placed:
-		en.begin()
+		en.beginAttempt()
 		hm.step(policy.Event{Resume: &policy.Resume{
 			Submit: *hm.submitEvent(en, 0), Running: len(rec.Places),
 		}})
-		hm.see(en, false)
+		hm.runPlaced(en, false)
 	}
 }
 
-// confirm forgets the former journals of partitions that were taken over, and
-// erases those that nobody needs any more.
+// confirm removes the former journals of the taken-over partitions from the cluster map, and erases journals that are
+// no longer needed.
 func (hm *Home) confirm(done map[int]uint64) {
 	hm.Clock.Sleep(confirmDelay)
 	nd := hm.Member.Node()
 	for hm.ctx.Err() == nil {
 		var before *clustermap.Map
-		ctx, cancel := context.WithTimeout(hm.ctx, handTimeout)
+		ctx, cancel := context.WithTimeout(hm.ctx, handoverTimeout)
 		err := hm.Member.Change(ctx, func(mp *clustermap.Map) (*clustermap.Map, bool) {
 			before = mp
 			return mp.ConfirmTakeover(nd.Name, done)
@@ -284,12 +283,12 @@
 			hm.eraseUnused(before)
 			return
 		}
-		hm.Log.V(1).Info("Takeover is not confirmed yet.", "cause", err.Error())
-		hm.Clock.Sleep(store.Backoff(confirmTry))
+		hm.Log.V(1).Info("Takeover could not be confirmed, will retry.", "cause", err.Error())
+		hm.Clock.Sleep(store.Backoff(confirmBackoffTries))
 	}
 }
 
-// eraseUnused erases the journals that were needed before and are not now.
+// eraseUnused erases the journals that were needed by the previous map and are not needed by the current one.
 func (hm *Home) eraseUnused(before *clustermap.Map) {
 	needed := hm.Member.Map().JournalNames()
 	for log := range before.JournalNames() {
@@ -298,7 +297,7 @@
 		}
 		ctx, cancel := context.WithTimeout(hm.ctx, time.Minute)
 		if err := journal.Erase(ctx, hm.Store, log); err != nil {
-			hm.Log.V(1).Info("Journal is not erased.", "journal", log, "cause", err.Error())
+			hm.Log.V(1).Info("Journal could not be erased.", "journal", log, "cause", err.Error())
 		}
 		cancel()
 	}
--- a/internal/home/place.go
+++ b/internal/home/place.go
@@ -17,20 +17,19 @@
 	"tackbeam.example/tackbeam/internal/peer"
 )
 
-// Times of one try for room.
+// Times of one try to place a job.
 const (
-	holdTime    = 8 * time.Second
-	holdTimeout = 2 * time.Second
-	intentTime  = 6 * time.Second
-	// reservePause is the pause between the tries of a job that reserves; its
-	// holds are renewed by each.
-	reservePause = 100 * time.Millisecond
+	holdDuration  = 8 * time.Second
+	holdTimeout   = 2 * time.Second
+	intentTimeout = 6 * time.Second
+	// reserveRetryPause is the pause between the tries of a job that reserves resources. Each try renews the holds.
+	reserveRetryPause = 100 * time.Millisecond
 )
 
-// startPause is the pause before a job is placed again.
-var startPause = backoff.Backoff{Initial: 25 * time.Millisecond, Max: time.Second}
+// startBackoff computes the pause before a job is placed again.
+var startBackoff = backoff.Backoff{Initial: 25 * time.Millisecond, Max: time.Second}
 
-// startTry lets a job try for room. The caller holds the lock.
+// startTry starts requesting resources for a job. The caller holds the lock.
 func (hm *Home) startTry(tr *policy.Try) {
 	en, ok := hm.jobs[tr.Job]
 	if !ok || en.frozen {
@@ -39,95 +38,94 @@
 	en.placing = true
 	en.busy++
 	if !en.reserving {
-		en.rec.Attempt++ // a reservation goes on under its own number
+		en.rec.Attempt++ // a reservation keeps its attempt number
 	}
 	rec, reserved := en.rec, en.reserved
-	sk := seek{rec: rec, reserve: en.reserving || tr.Reserve, run: tr.Run, reserved: reserved}
+	pm := placement{rec: rec, reserve: en.reserving || tr.Reserve, run: tr.Run, reserved: reserved}
 	go func() {
-		places, whole := hm.hold(sk)
+		places, complete := hm.hold(pm)
 		hm.mu.Lock()
 		defer hm.mu.Unlock()
 		en.placing = false
 		en.busy--
 		en.reserved, en.reserving = nil, false
-		if !whole {
-			en.reserved, en.reserving = places, sk.reserve
+		if !complete {
+			en.reserved, en.reserving = places, pm.reserve
 			places = nil
 		}
-		hm.held(en, rec, places)
+		hm.holdDone(en, rec, places)
 	}()
 }
 
-// seek is one try for room of a job.
-type seek struct {
+// placement is one try to get resources for a job.
+type placement struct {
 	rec     job.Record
 	reserve bool
-	// run is how long the tasks are expected to run; zero is not known.
+	// run is the expected run time of the tasks; zero if unknown.
 	run      time.Duration
 	reserved []nodemsg.Place
 }
 
-// hold asks the owners for room until all tasks have a place, and reports
-// whether they do. A job that does not reserve gives a part of its places back;
-// one that does keeps them, and asks for the rest at the next try.
-func (hm *Home) hold(sk seek) ([]nodemsg.Place, bool) {
-	rec, reserve := sk.rec, sk.reserve
-	have := hm.byOwner(sk.reserved)
-	left := without(rec.TaskIDs(rec.Attempt), sk.reserved)
+// hold requests resources from the owners until all tasks have a place, and reports whether they do. A job that does
+// not reserve releases an incomplete set of places; a job that reserves keeps it and requests the rest at the next try.
+func (hm *Home) hold(pm placement) ([]nodemsg.Place, bool) {
+	rec, reserve := pm.rec, pm.reserve
+	reservedOn := hm.byOwner(pm.reserved)
+	remaining := without(rec.TaskIDs(rec.Attempt), pm.reserved)
 	var places []nodemsg.Place
-	want := ranking.Request{Size: rec.Size, Tasks: rec.Tasks, Reserve: reserve}
-	for _, ask := range ranking.Order(hm.owners(have), want) {
-		tasks := left[:min(len(left), ask.Tasks)]
-		mine := have[ask.Owner]
-		if len(tasks)+len(mine) == 0 {
+	request := ranking.Request{Size: rec.Size, Tasks: rec.Tasks, Reserve: reserve}
+	for _, query := range ranking.Order(hm.owners(reservedOn), request) {
+		tasks := remaining[:min(len(remaining), query.Tasks)]
+		kept := reservedOn[query.Owner]
+		if len(tasks)+len(kept) == 0 {
 			continue
 		}
-		got, err := hm.holdOn(ask.Owner, sk, append(nodemsg.TasksOf(mine), tasks...))
+		granted, err := hm.holdOn(query.Owner, pm, append(nodemsg.TasksOf(kept), tasks...))
 		if err != nil {
-			places = append(places, mine...) // as far as is known
+			places = append(places, kept...) // last known places
 			continue
 		}
-		places = append(places, got...)
-		left = without(append(left, nodemsg.TasksOf(mine)...), got)
+		places = append(places, granted...)
+		remaining = without(append(remaining, nodemsg.TasksOf(kept)...), granted)
 	}
-	// Two owners may have given a task a place, where an answer of one was lost.
+	// Two owners may have granted a place to the same task if the response of one was lost.
 	places = lo.UniqBy(places, func(pl nodemsg.Place) string { return pl.Task })
-	whole := len(places) == rec.Tasks
+	complete := len(places) == rec.Tasks
 	switch {
-	case whole && reserve: // owners without a place of it may keep room free for it
+	case complete && reserve: // owners without a place may have reserved resources for it
 		nodes := lo.Keys(hm.Member.Map().Nodes)
 		hm.releaseOn(rec, lo.Without(nodes, lo.Keys(hm.byOwner(places))...))
-	case !whole && !reserve:
+	case !complete && !reserve:
 		hm.releaseAll(rec, places)
 		return nil, false
 	}
-	return places, whole
+	return places, complete
 }
 
-// without returns the tasks that have no place, each once.
+// without returns the tasks that have no place, without duplicates.
 func without(tasks []string, places []nodemsg.Place) []string {
 	return lo.Without(lo.Uniq(tasks), nodemsg.TasksOf(places)...)
 }
 
-// owners lists the owners of workers that a job may ask: this node, and the others
-// that are heard and stay.
-func (hm *Home) owners(have map[string][]nodemsg.Place) []ranking.Owner {
+// owners lists the owners that a job may request resources from: this node, and the other reachable nodes that are not
+// leaving.
+func (hm *Home) owners(reservedOn map[string][]nodemsg.Place) []ranking.Owner {
 	own := hm.Member.Node().Name
-	room, _ := hm.Local.Summary()
-	list := []ranking.Owner{{Name: own, Summary: room, Placed: len(have[own]), Local: true}}
+	summary, _ := hm.Local.Summary()
+	list := []ranking.Owner{{Name: own, Summary: summary, Placed: len(reservedOn[own]), Local: true}}
 	for _, vw := range hm.Member.Peers() {
 		if name := vw.Node().Name; vw.Reachable() && !vw.Node().Leaving {
-			list = append(list, ranking.Owner{Name: name, Summary: vw.Summary(), Placed: len(have[name])})
+			list = append(list, ranking.Owner{Name: name, Summary: vw.Summary(), Placed: len(reservedOn[name])})
 		}
 	}
 	return list
 }
 
-func (hm *Home) holdOn(node string, sk seek, tasks []string) ([]nodemsg.Place, error) {
-	rec := sk.rec
+func (hm *Home) holdOn(node string, pm placement, tasks []string) ([]nodemsg.Place, error) {
+	rec := pm.rec
 	hd := nodemsg.Hold{
-		ID: holdID(rec), Tasks: tasks, Size: rec.Size, Expires: holdTime,
-		Priority: rec.Priority, SubmittedAt: rec.Submitted.UnixNano(), Reserve: sk.reserve, Run: sk.run,
+		ID: holdID(rec), Tasks: tasks, Size: rec.Size, Expires: holdDuration,
+		Priority: rec.Priority, SubmittedAt: rec.Submitted.UnixNano(), Reserve: pm.reserve, Run: pm.run,
 		Urgent: rec.Priority >= column.MaxPriority, Repeatable: rec.Repeatable,
 	}
 	if node == hm.Member.Node().Name {
@@ -135,19 +133,19 @@
 	}
 	ctx, cancel := context.WithTimeout(hm.ctx, holdTimeout)
 	defer cancel()
-	// A hold that is made without our knowledge expires.
+	// A hold whose response is lost expires.
 	held, err := peer.Call[nodemsg.Hold, nodemsg.HoldReply](ctx, hm.Peer, hm.Member.Map().Nodes[node].Peer, nodemsg.KindHold, hd)
 	return held.Places, err
 }
 
 func holdID(rec job.Record) string { return ids.Task(rec.ID, rec.Attempt, 0) }
 
-// releaseAll gives holds back. A lost message only means that they expire.
+// releaseAll releases holds. If a message is lost, the hold expires.
 func (hm *Home) releaseAll(rec job.Record, places []nodemsg.Place) {
 	hm.releaseOn(rec, lo.Keys(hm.byOwner(places)))
 }
 
-// releaseOn gives a job's holds on some owners back.
+// releaseOn releases a job's holds on some owners.
 func (hm *Home) releaseOn(rec job.Record, nodes []string) {
 	for _, node := range nodes {
 		rl := nodemsg.Release{ID: holdID(rec)}
@@ -161,15 +159,15 @@
 			defer cancel()
 			_, err := peer.Call[nodemsg.Release, nodemsg.Empty](ctx, hm.Peer, addr, nodemsg.KindRelease, rl)
 			if err != nil {
-				hm.Log.V(1).Info("Hold was not released and will expire.", "node", node, "cause", err.Error())
+				hm.Log.V(1).Info("Hold could not be released and will expire.", "node", node, "cause", err.Error())
 			}
 		}()
 	}
 }
 
-// held goes on after a try: with room, the intent to start is kept before any
-// start message leaves. The caller holds the lock.
-func (hm *Home) held(en *entry, rec job.Record, places []nodemsg.Place) {
+// holdDone continues after a try. If all tasks have places, the intent to start them is recorded before any start
+// message is sent. The caller holds the lock.
+func (hm *Home) holdDone(en *entry, rec job.Record, places []nodemsg.Place) {
 	switch {
 	case en.frozen:
 		hm.unreserve(en)
@@ -178,19 +176,19 @@
 		hm.step(policy.Event{Remove: &policy.Remove{Job: rec.ID}})
 		hm.unreserve(en)
 		go hm.releaseAll(rec, places)
-		hm.settleWaiting(en, "cancelled")
+		hm.endWaiting(en, "cancelled")
 	case places == nil:
-		again := policy.RetryAt(hm.now(), rec.Attempt)
+		retryAt := policy.RetryAt(hm.now(), rec.Attempt)
 		if en.reserving {
-			again = hm.now() + reservePause
+			retryAt = hm.now() + reserveRetryPause
 		}
-		hm.step(policy.Event{NotPlaced: &policy.NotPlaced{Job: rec.ID, RetryAt: again}})
+		hm.step(policy.Event{NotPlaced: &policy.NotPlaced{Job: rec.ID, RetryAt: retryAt}})
 	default:
-		hm.intend(en, places)
+		hm.recordIntent(en, places)
 	}
 }
 
-// unreserve gives back what a job has reserved. The caller holds the lock.
+// unreserve releases the resources that a job has reserved. The caller holds the lock.
 func (hm *Home) unreserve(en *entry) {
 	if en.reserving {
 		go hm.releaseOn(en.rec, lo.Keys(hm.Member.Map().Nodes))
@@ -198,15 +196,14 @@
 	en.reserved, en.reserving = nil, false
 }
 
-// intend keeps the intent to start the tasks at their places. The caller holds
-// the lock.
-func (hm *Home) intend(en *entry, places []nodemsg.Place) {
+// recordIntent writes the intent to start the tasks at their places to the journal. The caller holds the lock.
+func (hm *Home) recordIntent(en *entry, places []nodemsg.Place) {
 	rec := en.rec
 	rec.State, rec.Places = job.Placed, places
 	rec.Version++
 	raw, err := rec.Encode()
 	if err != nil {
-		hm.Log.Error(err, "Intent of job cannot be encoded.", "job", rec.ID)
+		hm.Log.Error(err, "Placement record of job could not be encoded.", "job", rec.ID)
 		return
 	}
 	en.placing = true
@@ -214,50 +211,50 @@
 	jr := hm.journal
 	pending := jr.Append(raw)
 	go func() {
-		ctx, cancel := context.WithTimeout(hm.ctx, intentTime)
+		ctx, cancel := context.WithTimeout(hm.ctx, intentTimeout)
 		defer cancel()
 		err := jr.Wait(ctx, pending)
 		hm.mu.Lock()
 		defer hm.mu.Unlock()
 		en.placing = false
 		en.busy--
-		hm.intended(en, rec, err)
+		hm.intentRecorded(en, rec, err)
 	}()
 }
 
-// intended starts the job once its intent is kept. Where it is not, or may not
-// be, nothing was sent, and a later attempt has a number of its own.
-func (hm *Home) intended(en *entry, rec job.Record, err error) {
+// intentRecorded starts the job once the journal has its intent. If the journal does not have it, or may not have it,
+// no start was sent, and a later attempt gets a number of its own.
+func (hm *Home) intentRecorded(en *entry, rec job.Record, err error) {
 	if err != nil || en.frozen || en.rec.Cancelled {
 		if err != nil && fault.From(err).Begun {
-			en.rec.Version = rec.Version // the next write must come after this one
+			en.rec.Version = rec.Version // the write may have been applied; the next one needs a higher version
 		}
 		if err == nil {
 			en.rec.Version = rec.Version
 		}
 		go hm.releaseAll(rec, rec.Places)
 		if en.frozen || en.rec.Cancelled {
-			hm.held(en, rec, nil)
+			hm.holdDone(en, rec, nil)
 			return
 		}
-		again := hm.now() + startPause.Jittered(rec.Attempt) // there was room, but no store
-		hm.step(policy.Event{NotPlaced: &policy.NotPlaced{Job: rec.ID, RetryAt: again}})
+		retryAt := hm.now() + startBackoff.Jittered(rec.Attempt) // resources were available, but not the store
+		hm.step(policy.Event{NotPlaced: &policy.NotPlaced{Job: rec.ID, RetryAt: retryAt}})
 		return
 	}
 	rec.Cancelled = en.rec.Cancelled
 	rec.PlacedAt = hm.Clock.Now()
 	en.rec = rec
-	en.begin()
+	en.beginAttempt()
 	hm.Meter.Observe("wait", rec.Class, rec.Workspace, rec.PlacedAt.Sub(rec.Submitted))
 	hm.step(policy.Event{Placed: &policy.Placed{Job: rec.ID}})
 	en.notify()
-	hm.see(en, true)
+	hm.runPlaced(en, true)
 }
 
-// commit starts the tasks on their workers and returns their fates.
+// commit starts the tasks on their workers and returns their statuses.
 func (hm *Home) commit(rec job.Record) []nodemsg.TaskStatus {
 	groups := hm.byOwner(rec.Places)
-	return hm.scatter(groups, func(ctx context.Context, node string, group []nodemsg.Place) []nodemsg.TaskStatus {
+	return hm.forEachOwner(groups, func(ctx context.Context, node string, group []nodemsg.Place) []nodemsg.TaskStatus {
 		cm := nodemsg.Commit{
 			ID: holdID(rec), Size: rec.Size, Prepared: len(rec.Places) > 1,
 			Payload: rec.Payload, Places: group, Priority: rec.Priority, Repeatable: rec.Repeatable, Resume: rec.SavedWork,
@@ -266,46 +263,46 @@
 			return hm.Local.Commit(ctx, cm).Statuses
 		}
 		addr := hm.Member.Map().Nodes[node].Peer
-		got, err := peer.Call[nodemsg.Commit, nodemsg.TaskStatuses](ctx, hm.Peer, addr, nodemsg.KindCommit, cm)
-		return hm.fates(node, got, err)
+		reply, err := peer.Call[nodemsg.Commit, nodemsg.TaskStatuses](ctx, hm.Peer, addr, nodemsg.KindCommit, cm)
+		return hm.statuses(node, reply, err)
 	})
 }
 
-// order sends an order about places to their owners and returns the fates.
+// order sends an order for tasks to their owners and returns the tasks' statuses.
 func (hm *Home) order(verb nodemsg.Verb, places []nodemsg.Place) []nodemsg.TaskStatus {
-	return hm.scatter(hm.byOwner(places), func(ctx context.Context, node string, group []nodemsg.Place) []nodemsg.TaskStatus {
+	return hm.forEachOwner(hm.byOwner(places), func(ctx context.Context, node string, group []nodemsg.Place) []nodemsg.TaskStatus {
 		od := nodemsg.Order{Verb: verb, Tasks: group}
 		if node == hm.Member.Node().Name {
 			return hm.Local.Order(ctx, od).Statuses
 		}
 		addr := hm.Member.Map().Nodes[node].Peer
-		got, err := peer.Call[nodemsg.Order, nodemsg.TaskStatuses](ctx, hm.Peer, addr, nodemsg.KindOrder, od)
-		return hm.fates(node, got, err)
+		reply, err := peer.Call[nodemsg.Order, nodemsg.TaskStatuses](ctx, hm.Peer, addr, nodemsg.KindOrder, od)
+		return hm.statuses(node, reply, err)
 	})
 }
 
-func (hm *Home) fates(node string, got nodemsg.TaskStatuses, err error) []nodemsg.TaskStatus {
+func (hm *Home) statuses(node string, reply nodemsg.TaskStatuses, err error) []nodemsg.TaskStatus {
 	if err != nil {
-		hm.Log.V(1).Info("Owner did not answer an order.", "node", node, "cause", err.Error())
+		hm.Log.V(1).Info("Owner did not answer an order for tasks.", "node", node, "cause", err.Error())
 	}
-	return got.Statuses
+	return reply.Statuses
 }
 
-// scatter runs act for each owner's places side by side and gathers the fates.
-func (hm *Home) scatter(
+// forEachOwner calls act concurrently for each owner's places and collects the statuses.
+func (hm *Home) forEachOwner(
 	groups map[string][]nodemsg.Place,
 	act func(context.Context, string, []nodemsg.Place) []nodemsg.TaskStatus,
 ) []nodemsg.TaskStatus {
-	const patience = 6 * time.Second
-	ctx, cancel := context.WithTimeout(hm.ctx, patience)
+	const timeout = 6 * time.Second
+	ctx, cancel := context.WithTimeout(hm.ctx, timeout)
 	defer cancel()
-	answers := make(chan []nodemsg.TaskStatus, len(groups))
+	results := make(chan []nodemsg.TaskStatus, len(groups))
 	for node, group := range groups {
-		go func() { answers <- act(ctx, node, group) }()
+		go func() { results <- act(ctx, node, group) }()
 	}
 	var all []nodemsg.TaskStatus
 	for range groups {
-		all = append(all, <-answers...)
+		all = append(all, <-results...)
 	}
 	return all
 }
--- a/internal/home/see.go
+++ b/internal/home/run.go
@@ -12,68 +12,68 @@
 	"tackbeam.example/tackbeam/internal/nodemsg"
 )
 
-// Limits on attempts that began and failed, and the pauses of asking.
+// Limit on failed attempts that had started, and pauses between queries.
 const (
-	maxFailures = 3
-	firstAsk    = 50 * time.Millisecond
-	maxAsk      = 2 * time.Second
+	maxFailures   = 3
+	minQueryPause = 50 * time.Millisecond
+	maxQueryPause = 2 * time.Second
 )
 
-// see starts the goroutine that sees a placed job through to its end. Fresh
-// says that the start messages are still to be sent. The caller holds the lock.
-func (hm *Home) see(en *entry, fresh bool) {
+// runPlaced starts the goroutine that runs a placed job to its end. If fresh is set, the start messages are still to be
+// sent. The caller holds the lock.
+func (hm *Home) runPlaced(en *entry, fresh bool) {
 	en.busy++
 	rec := en.rec
 	go func() {
 		if fresh {
-			hm.learn(en, rec.Attempt, hm.commit(rec))
+			hm.applyStatuses(en, rec.Attempt, hm.commit(rec))
 		}
-		hm.release(en)
-		hm.seeLoop(en)
+		hm.endStep(en)
+		hm.runLoop(en)
 	}()
 }
 
-func (hm *Home) release(en *entry) {
+func (hm *Home) endStep(en *entry) {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	en.busy--
 }
 
-// seeLoop takes one step of the attempt after another.
-func (hm *Home) seeLoop(en *entry) {
-	pause := firstAsk
+// runLoop executes the actions of an attempt one after the other.
+func (hm *Home) runLoop(en *entry) {
+	pause := minQueryPause
 	for {
 		step, places, number := hm.next(en)
 		switch step {
 		case attempt.Query:
-			hm.learn(en, number, hm.order(nodemsg.VerbFence, places))
+			hm.applyStatuses(en, number, hm.order(nodemsg.VerbFence, places))
 		case attempt.Start:
-			hm.learn(en, number, hm.order(nodemsg.VerbStartPrepared, places))
+			hm.applyStatuses(en, number, hm.order(nodemsg.VerbStartPrepared, places))
 		case attempt.Stop:
-			hm.learn(en, number, hm.order(nodemsg.VerbStop, places))
+			hm.applyStatuses(en, number, hm.order(nodemsg.VerbStop, places))
 		case attempt.Wait:
-			pause = firstAsk
+			pause = minQueryPause
 			kicked, more := hm.wait(en, hm.opts.QueryAfter)
 			if !more {
 				return
 			}
-			if !kicked { // a worker that has died reports nothing
-				hm.askRunning(en)
+			if !kicked { // a failed worker sends no report
+				hm.queryRunning(en)
 			}
 			continue
 		default:
 			return
 		}
-		hm.release(en)
+		hm.endStep(en)
 		if _, more := hm.wait(en, pause); !more {
 			return
 		}
-		pause = min(2*pause, maxAsk)
+		pause = min(2*pause, maxQueryPause)
 	}
 }
 
-// wait waits for a change of the job, at most for a pause. It reports whether the
-// job changed, and false for more where the home has stopped.
+// wait waits for a change of the job, at most for the given pause. It reports whether the job changed; more is false if
+// the home was stopped.
 func (hm *Home) wait(en *entry, pause time.Duration) (kicked, more bool) {
 	timer := hm.Clock.NewTimer(pause)
 	defer timer.Stop()
@@ -87,28 +87,27 @@
 	}
 }
 
-// askRunning asks for the fates of tasks that have run for long without a word.
-// Those of a repeatable job save their work when asked.
-func (hm *Home) askRunning(en *entry) {
+// queryRunning queries the statuses of tasks that have run for a long time without a report. Tasks of a repeatable job
+// save a checkpoint when they are queried.
+func (hm *Home) queryRunning(en *entry) {
 	hm.mu.Lock()
 	if en.frozen || en.rec.State != job.Placed {
 		hm.mu.Unlock()
 		return
 	}
 	en.busy++
-	places, number := en.in(attempt.Running), en.rec.Attempt
+	places, number := en.placesIn(attempt.Running), en.rec.Attempt
 	hm.mu.Unlock()
 	verb := nodemsg.VerbFence
 	if en.rec.Repeatable {
 		verb = nodemsg.VerbCheckpoint
 	}
-	hm.learn(en, number, hm.order(verb, places))
-	hm.release(en)
+	hm.applyStatuses(en, number, hm.order(verb, places))
+	hm.endStep(en)
 }
 
-// next decides the next step of a job's attempt and carries the ones out that
-// end it. For the others it returns the places concerned, and the job counts as
-// busy until release.
+// next determines the next action of a job's attempt and executes the actions that end it. For the others it returns
+// the places concerned, and the job counts as busy until endStep.
 func (hm *Home) next(en *entry) (attempt.Action, []nodemsg.Place, int) {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
@@ -119,27 +118,27 @@
 	switch step {
 	case attempt.Query:
 		en.busy++
-		return step, en.in(attempt.Unknown), en.rec.Attempt
+		return step, en.placesIn(attempt.Unknown), en.rec.Attempt
 	case attempt.Start:
 		en.busy++
-		return step, en.in(attempt.Prepared), en.rec.Attempt
+		return step, en.placesIn(attempt.Prepared), en.rec.Attempt
 	case attempt.Stop:
 		en.busy++
-		return step, append(en.in(attempt.Prepared), en.in(attempt.Running)...), en.rec.Attempt
+		return step, append(en.placesIn(attempt.Prepared), en.placesIn(attempt.Running)...), en.rec.Attempt
 	case attempt.Retry:
 		hm.retry(en)
 	case attempt.NotRun:
-		hm.settle(en, job.NotRun, "", "cancelled")
+		hm.end(en, job.NotRun, "", "cancelled")
 	case attempt.Ran:
-		hm.settle(en, job.Ran, result(en.statuses), "")
+		hm.end(en, job.Ran, result(en.statuses), "")
 	case attempt.Indeterminate:
-		hm.settle(en, job.Unknown, "", "a worker was lost while the job ran")
+		hm.end(en, job.Unknown, "", "a worker was lost while the job ran")
 	}
 	return step, nil, en.rec.Attempt
 }
 
-// in returns the places of the tasks in a status.
-func (en *entry) in(st attempt.Status) []nodemsg.Place {
+// placesIn returns the places of the tasks with a status.
+func (en *entry) placesIn(st attempt.Status) []nodemsg.Place {
 	var places []nodemsg.Place
 	for i, have := range en.statuses {
 		if have == st {
@@ -149,6 +148,7 @@
 	return places
 }
 
+// result returns the worst result of the tasks of an ended attempt.
 func result(statuses []attempt.Status) string {
 	worst := job.ResultOK
 	for _, st := range statuses {
@@ -162,14 +162,12 @@
 	return worst
 }
 
-// failed reports whether a task failed or was lost, rather than stopped to make
-// room for urgent work.
+// failed reports whether a task failed or was lost, as opposed to being stopped to free resources for urgent work.
 func failed(statuses []attempt.Status) bool {
 	return slices.Contains(statuses, attempt.Failed) || slices.Contains(statuses, attempt.Lost)
 }
 
-// retry lets a job try for room again, unless too many attempts failed. The
-// caller holds the lock.
+// retry places a job again, unless too many attempts have failed. The caller holds the lock.
 func (hm *Home) retry(en *entry) {
 	if attempt.AnyStarted(en.statuses) {
 		en.rec.StartedAttempts++
@@ -178,33 +176,33 @@
 		en.rec.Failures++
 	}
 	if en.rec.Failures >= maxFailures {
-		hm.settle(en, job.Ran, job.ResultFailed, "every attempt failed")
+		hm.end(en, job.Ran, job.ResultFailed, "every attempt failed")
 		return
 	}
-	en.rec.SavedWork = en.common()
+	en.rec.SavedWork = en.commonSavedWork()
 	en.toAck = append(en.toAck, en.rec.Places...)
 	en.rec.State = job.Waiting
 	en.rec.Places, en.statuses, en.saved = nil, nil, nil
 	hm.step(policy.Event{Remove: &policy.Remove{Job: en.rec.ID}})
-	hm.step(policy.Event{Submit: hm.submitEvent(en, hm.now()+startPause.Jittered(en.rec.Attempt))})
+	hm.step(policy.Event{Submit: hm.submitEvent(en, hm.now()+startBackoff.Jittered(en.rec.Attempt))})
 	en.notify()
 }
 
-// begin makes the entry ready for an attempt, whose tasks go on from what was saved.
-func (en *entry) begin() {
+// beginAttempt prepares the entry for an attempt, whose tasks continue from the saved work.
+func (en *entry) beginAttempt() {
 	en.statuses = make([]attempt.Status, len(en.rec.Places))
 	en.saved = slices.Repeat([]time.Duration{en.rec.SavedWork}, len(en.rec.Places))
 }
 
-// noteSaved notes the work that a task's last checkpoint saved.
-func (en *entry) noteSaved(index int, saved time.Duration) {
+// recordSaved records the work that a task's last checkpoint saved.
+func (en *entry) recordSaved(index int, saved time.Duration) {
 	if index >= 0 && index < len(en.saved) {
 		en.saved[index] = max(en.saved[index], saved)
 	}
 }
 
-// common is the work that every task which has to run again has saved.
-func (en *entry) common() time.Duration {
+// commonSavedWork returns the work that every task which has to run again has saved.
+func (en *entry) commonSavedWork() time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for i, st := range en.statuses {
 		if st != attempt.OK {
@@ -217,36 +215,34 @@
 	return least
 }
 
-// learn takes the fates of tasks of an attempt in. An answer to a former attempt
-// changes nothing.
-func (hm *Home) learn(en *entry, number int, fates []nodemsg.TaskStatus) {
+// applyStatuses records the statuses of tasks of an attempt. Statuses of an earlier attempt are ignored.
+func (hm *Home) applyStatuses(en *entry, number int, statuses []nodemsg.TaskStatus) {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	if en.rec.Attempt != number || en.rec.State != job.Placed {
 		return
 	}
-	for _, ft := range fates {
-		if !ft.Known {
+	for _, ts := range statuses {
+		if !ts.Known {
 			continue
 		}
-		if _, _, index, ok := ids.TaskJob(ft.Task); ok {
-			en.noteSaved(index, ft.Saved)
-			hm.setStatus(en, index, job.StatusOf(ft.State, ft.Started))
+		if _, _, index, ok := ids.TaskJob(ts.Task); ok {
+			en.recordSaved(index, ts.Saved)
+			hm.setStatus(en, index, job.StatusOf(ts.State, ts.Started))
 		}
 	}
 }
 
-// setStatus notes what is known of one task. What is final stays. The caller
-// holds the lock.
+// setStatus records the status of one task. A final status is not changed. The caller holds the lock.
 func (hm *Home) setStatus(en *entry, index int, st attempt.Status) {
 	if index < 0 || index >= len(en.statuses) || en.statuses[index] >= attempt.NotStarted || st == attempt.Unknown {
 		return
 	}
 	if st == attempt.Prepared && en.statuses[index] == attempt.Running {
-		return // an older answer
+		return // an older response
 	}
 	if st == attempt.NotStarted && en.statuses[index] == attempt.Running {
-		st = attempt.Lost // it began, whatever a worker remembers
+		st = attempt.Lost // it was started, even if the worker has no record of it
 	}
 	if st == en.statuses[index] {
 		return
@@ -258,8 +254,8 @@
 	en.kick.Give()
 }
 
-// TaskEnded takes an owner's report of an end. It is settled once the job's end
-// is kept, or where the task belongs to a former attempt or to no job.
+// TaskEnded processes an owner's report of the end of a task. The report is acknowledged once the job's end is in the
+// journal, or if there is no such job. Until then, ends of an earlier attempt's tasks are not acknowledged.
 func (hm *Home) TaskEnded(end nodemsg.TaskEnded) (nodemsg.TaskEndedReply, error) {
 	id, number, index, ok := ids.TaskJob(end.Task)
 	if !ok {
@@ -279,7 +275,7 @@
 		return nodemsg.TaskEndedReply{Acked: true}, nil
 	}
 	if en.rec.State == job.Placed && en.rec.Attempt == number {
-		en.noteSaved(index, end.Saved)
+		en.recordSaved(index, end.Saved)
 		hm.setStatus(en, index, job.StatusOf(end.State, end.Started))
 	}
 	return nodemsg.TaskEndedReply{}, nil
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -14,14 +14,14 @@
 	"tackbeam.example/tackbeam/internal/nodemsg"
 )
 
-// comeBack is the hint given while a partition is on the move.
-const comeBack = 200 * time.Millisecond
+// moveRetryAfter is the retry hint returned while a partition is being moved.
+const moveRetryAfter = 200 * time.Millisecond
 
-// Submit accepts a job. It answers once the job is in the journal; the same key
-// with the same request answers with the job that it made before.
+// Submit accepts a job. It returns once the journal has the job. A request with the same idempotency key and the same
+// content returns the job that was created before.
 func (hm *Home) Submit(ctx context.Context, req nodemsg.Submit) (nodemsg.JobView, error) {
-	if !hm.knowsAll() {
-		hm.measure()
+	if !hm.isCapacityComplete() {
+		hm.updateCapacity()
 	}
 	hm.mu.Lock()
 	en, err := hm.admit(req)
@@ -29,49 +29,49 @@
 		hm.mu.Unlock()
 		return nodemsg.JobView{}, err
 	}
-	pending := en.accept
+	pending := en.pendingAccept
 	hm.mu.Unlock()
 	if pending == nil {
 		return hm.view(en), nil
 	}
-	if err := hm.journalOf().Wait(ctx, pending); err != nil {
-		return nodemsg.JobView{}, hm.unaccepted(err)
+	if err := hm.currentJournal().Wait(ctx, pending); err != nil {
+		return nodemsg.JobView{}, hm.unconfirmedError(err)
 	}
 	return hm.view(en), nil
 }
 
-func (hm *Home) knowsAll() bool {
+func (hm *Home) isCapacityComplete() bool {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
-	return hm.complete
+	return hm.capacityComplete
 }
 
-// unaccepted is the answer to a submission that the journal has not confirmed.
-func (hm *Home) unaccepted(err error) error {
+// unconfirmedError returns the error for a submission that the journal has not confirmed.
+func (hm *Home) unconfirmedError(err error) error {
 	if fault.From(err).Begun {
-		return fault.New(fault.Unavailable, "the store has not confirmed the job in time, "+
-			"it may be accepted; ask again with the same idempotency key").After(time.Second).AfterStart()
+		return fault.New(fault.Unavailable, "the store did not confirm the job in time, "+
+			"it may have been accepted; retry with the same idempotency key").After(time.Second).AfterStart()
 	}
-	return fault.New(fault.Unavailable, "the store does not take the job; not run").After(time.Second)
+	return fault.New(fault.Unavailable, "the store did not accept the job; not run").After(time.Second)
 }
 
-func (hm *Home) journalOf() *journal.Journal {
+func (hm *Home) currentJournal() *journal.Journal {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	return hm.journal
 }
 
-// admit finds the job of the request's key, or makes one and puts it in line for
-// the journal. The caller holds the lock.
+// admit finds the job with the request's idempotency key, or creates one and queues it for the journal. The caller
+// holds the lock.
 func (hm *Home) admit(req nodemsg.Submit) (*entry, error) {
 	part := ids.Partition(req.Workspace)
 	if hm.parts[part].state != owned {
-		return nil, fault.New(fault.Unavailable, "the workspace's home is moving").After(comeBack)
+		return nil, fault.New(fault.Unavailable, "the workspace's home is moving").After(moveRetryAfter)
 	}
-	if en, err := hm.known(req); en != nil || err != nil {
+	if en, err := hm.findByKey(req); en != nil || err != nil {
 		return en, err
 	}
-	if err := hm.check(req); err != nil {
+	if err := hm.validate(req); err != nil {
 		return nil, err
 	}
 	rec := job.New(req, hm.Clock.Now())
@@ -82,14 +82,14 @@
 	}
 	en := newEntry(rec)
 	en.busy++
-	en.accept = hm.journal.Append(raw)
+	en.pendingAccept = hm.journal.Append(raw)
 	hm.insert(en)
-	go hm.accepted(en, en.accept)
+	go hm.accepted(en, en.pendingAccept)
 	return en, nil
 }
 
-// known returns the job of the request's key, if there is one.
-func (hm *Home) known(req nodemsg.Submit) (*entry, error) {
+// findByKey returns the job with the request's idempotency key, if there is one.
+func (hm *Home) findByKey(req nodemsg.Submit) (*entry, error) {
 	if req.Key == "" {
 		return nil, nil
 	}
@@ -99,27 +99,27 @@
 	}
 	en := hm.jobs[id]
 	if en.rec.BodyHash != req.BodyHash {
-		return nil, fault.New(fault.KeyReused, "key %q belongs to job %s, which asked for something else", req.Key, id)
+		return nil, fault.New(fault.KeyReused, "key %q belongs to job %s, which had a different request", req.Key, id)
 	}
 	return en, nil
 }
 
 func keyOf(workspace, key string) string { return workspace + "\x00" + key }
 
-// check refuses what can never run and what there is no room to remember.
-func (hm *Home) check(req nodemsg.Submit) error {
+// validate refuses jobs that can never run, and new jobs while this node has too many unfinished ones.
+func (hm *Home) validate(req nodemsg.Submit) error {
 	if req.Budget < 0 {
 		return fault.New(fault.PastDeadline, "the deadline passed %v ago; not run", -req.Budget)
 	}
-	if hm.open >= hm.opts.MaxUnfinishedJobs {
-		return fault.New(fault.Full, "this node keeps %d unfinished jobs; not run", hm.open).After(time.Second)
+	if hm.unfinished >= hm.opts.MaxUnfinishedJobs {
+		return fault.New(fault.Full, "this node has %d unfinished jobs, which is the limit; not run", hm.unfinished).After(time.Second)
 	}
-	if !hm.complete {
-		return nil // a larger worker may yet be seen
+	if !hm.capacityComplete {
+		return nil // a larger worker may not have been seen yet
 	}
-	why := hm.machine.Infeasible(policy.Submit{Workspace: req.Workspace, Tasks: req.Tasks, Size: req.Size})
-	if why != "" {
-		return fault.New(fault.NeverFits, "workload/%s %s; not run", req.Workload, why)
+	reason := hm.machine.Infeasible(policy.Submit{Workspace: req.Workspace, Tasks: req.Tasks, Size: req.Size})
+	if reason != "" {
+		return fault.New(fault.NeverFits, "workload/%s %s; not run", req.Workload, reason)
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 		hm.keys[keyOf(en.rec.Workspace, en.rec.Key)] = en.rec.ID
 	}
 	if en.rec.State != job.Done {
-		hm.open++
+		hm.unfinished++
 	}
 }
 
@@ -140,36 +140,36 @@
 		delete(hm.keys, key)
 	}
 	if en.rec.State != job.Done {
-		hm.open--
+		hm.unfinished--
 	}
 }
 
-// accepted waits for the journal, then lets the job try for room. A job that the
-// journal surely does not have is dropped.
+// accepted waits for the journal, then queues the job for placement. A job that the journal surely does not have is
+// removed.
 func (hm *Home) accepted(en *entry, pending *journal.Pending) {
 	<-pending.Done()
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	en.busy--
-	en.accept = nil
+	en.pendingAccept = nil
 	if pending.Err() != nil {
 		hm.remove(en)
 		en.notify()
 		return
 	}
-	en.kept = true
+	en.persisted = true
 	if !en.frozen {
 		hm.step(policy.Event{Submit: hm.submitEvent(en, 0)})
 	}
 	en.notify()
 }
 
-// submitEvent describes a job to the machine. Deadlines become times since the
-// home started; they order and end waiting, and no promise rests on them.
-func (hm *Home) submitEvent(en *entry, again time.Duration) *policy.Submit {
+// submitEvent describes a job to the state machine. Deadlines are converted to times since the home started; they only
+// order and limit the waiting, so that an inexact conversion breaks no guarantee.
+func (hm *Home) submitEvent(en *entry, retryAt time.Duration) *policy.Submit {
 	sb := &policy.Submit{
 		Job: en.rec.ID, Workspace: en.rec.Workspace, Tasks: en.rec.Tasks, Size: en.rec.Size,
-		Priority: en.rec.Priority, RetryAt: again, Workload: en.rec.Workload,
+		Priority: en.rec.Priority, RetryAt: retryAt, Workload: en.rec.Workload,
 		Urgent: en.rec.Priority >= column.MaxPriority,
 		Waited: max(0, hm.Clock.Since(en.rec.Submitted)),
 	}
@@ -187,21 +187,21 @@
 
 func (hm *Home) viewLocked(en *entry) nodemsg.JobView {
 	vw := en.rec.View(hm.Member.Node().Name, en.statuses)
-	vw.Saved = en.common()
+	vw.Saved = en.commonSavedWork()
 	if en.rec.State == job.Waiting && vw.Reason == "" {
 		vw.Reason = hm.machine.Explain(hm.now(), en.rec.ID)
 	}
 	return vw
 }
 
-// find returns the entry of a job, or why there is none.
+// find returns the entry of a job, or an error that says why there is none.
 func (hm *Home) find(id string) (*entry, error) {
 	part, ok := ids.JobPartition(id)
 	if !ok {
 		return nil, fault.New(fault.NotFound, "%q is not a job id", id)
 	}
 	if hm.parts[part].state != owned {
-		return nil, fault.New(fault.Unavailable, "the job's home is moving").After(comeBack)
+		return nil, fault.New(fault.Unavailable, "the job's home is moving").After(moveRetryAfter)
 	}
 	en, ok := hm.jobs[id]
 	if !ok {
@@ -210,7 +210,7 @@
 	return en, nil
 }
 
-// Get returns a job, after waiting for its end as long as asked.
+// Get returns a job. It waits for the job's end for at most qu.Wait.
 func (hm *Home) Get(ctx context.Context, qu nodemsg.JobQuery) (nodemsg.JobView, error) {
 	ctx, cancel := context.WithTimeout(ctx, qu.Wait)
 	defer cancel()
@@ -253,8 +253,8 @@
 	return list
 }
 
-// Cancel ends a job. One that waits is not run; one that runs is stopped. It
-// answers when the job has ended, or with the job as it is when time is up.
+// Cancel cancels a job. A waiting job is not run; a running job is stopped. It returns once the job has ended, or with
+// the current state of the job at the end of the wait.
 func (hm *Home) Cancel(ctx context.Context, qu nodemsg.JobQuery) (nodemsg.JobView, error) {
 	hm.mu.Lock()
 	en, err := hm.find(qu.Job)
@@ -264,9 +264,9 @@
 	}
 	if en.rec.State != job.Done && !en.frozen {
 		en.rec.Cancelled = true
-		if en.rec.State == job.Waiting && !en.placing && en.kept {
+		if en.rec.State == job.Waiting && !en.placing && en.persisted {
 			hm.step(policy.Event{Remove: &policy.Remove{Job: en.rec.ID}})
-			hm.settleWaiting(en, "cancelled")
+			hm.endWaiting(en, "cancelled")
 		}
 		en.kick.Give()
 	}
