--- a/internal/owner/lookup.go
+++ b/internal/owner/lookup.go
@@ -12,14 +12,14 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// Counters of the lookups' answers that were dropped, and of retries.
+// Counters of dropped answers and of retries.
 const (
 	CounterLate      = "answers_late_or_foreign"
 	CounterTruncated = "answers_cut_short"
 	CounterRetried   = "lookups_retried"
 )
 
-// Limits of the retries of lookups.
+// Limits on retries of lookups. Each retry costs retryCost of the workspace's budget, each attempt adds retryGain.
 const (
 	maxTries    = 3
 	retryGain   = 0.1
@@ -27,51 +27,49 @@
 	retryBudget = 10.0
 )
 
-// end is how one try of a lookup ended.
-type end struct {
+// result is the outcome of one attempt of a lookup.
+type result struct {
 	body   []byte
 	worker string
-	// err is nil for an answer. Begun in it is set where the lookup may still run.
+	// err is nil for an answer. Its field MayHaveRun is set if the lookup may still run.
 	err *fault.Error
-	// over is set where the try has surely ended, so that another may follow.
-	over bool
-	// failed is set where the worker is to blame.
-	failed bool
+	// ended is set if the attempt has surely ended, so that another may follow.
+	ended bool
+	// workerFailed is set if the worker caused the failure.
+	workerFailed bool
 }
 
-// lookup is one try of a lookup on its way.
+// lookup is one attempt of a lookup in flight.
 type lookup struct {
-	id       uint64
-	req      nodemsg.Lookup
-	worker   string
-	sent     time.Time
-	deadline time.Time
-	done     chan end
-	left     bool
+	id        uint64
+	req       nodemsg.Lookup
+	worker    string
+	sent      time.Time
+	deadline  time.Time
+	done      chan result
+	abandoned bool
 }
 
 func (lk *lookup) name() string { return lookupPrefix + strconv.FormatUint(lk.id, 16) }
 
-// Lookup serves a lookup on one of this owner's workers. It tries again only
-// where the former try has surely ended, within the workspace's budget and never
-// past the deadline.
+// Lookup serves a lookup on one of this owner's workers. It retries only if the earlier attempt has surely ended,
+// within the workspace's retry budget and never after the deadline.
 func (ow *Owner) Lookup(ctx context.Context, req nodemsg.Lookup) (nodemsg.Answer, error) {
 	deadline := ow.Clock.Now().Add(req.Budget)
 	for try := 1; ; try++ {
-		en := ow.try(ctx, req, deadline)
-		if en.err == nil {
-			return nodemsg.Answer{ID: req.ID, Worker: en.worker, Body: en.body}, nil
+		rs := ow.attempt(ctx, req, deadline)
+		if rs.err == nil {
+			return nodemsg.Answer{ID: req.ID, Worker: rs.worker, Body: rs.body}, nil
 		}
-		may := en.over && (req.Repeatable || !en.err.Begun)
-		if !may || try == maxTries || !ow.Clock.Now().Before(deadline) || !ow.spendRetry(req.Workspace) {
-			return nodemsg.Answer{}, en.err
+		retryable := rs.ended && (req.Repeatable || !rs.err.Begun)
+		if !retryable || try == maxTries || !ow.Clock.Now().Before(deadline) || !ow.spendRetry(req.Workspace) {
+			return nodemsg.Answer{}, rs.err
 		}
 		ow.Meter.Count(CounterRetried, 1)
 	}
 }
 
-// spendRetry takes one retry from the workspace's budget, which grows by a tenth
-// of a retry with each lookup.
+// spendRetry takes one retry from the workspace's budget, which grows by a tenth of a retry with each attempt.
 func (ow *Owner) spendRetry(workspace string) bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -82,19 +80,19 @@
 	return true
 }
 
-func (ow *Owner) gainRetry(workspace string) {
-	have, ok := ow.budgets[workspace]
+func (ow *Owner) addRetryBudget(workspace string) {
+	budget, ok := ow.budgets[workspace]
 	if !ok {
-		have = retryBudget - retryGain
+		budget = retryBudget - retryGain
 	}
-	ow.budgets[workspace] = min(have+retryGain, retryBudget)
+	ow.budgets[workspace] = min(budget+retryGain, retryBudget)
 }
 
-// try sends a lookup once and waits for its end.
-func (ow *Owner) try(ctx context.Context, req nodemsg.Lookup, deadline time.Time) end {
-	lk := &lookup{id: rand.Uint64(), req: req, deadline: deadline, done: make(chan end, 1)}
+// attempt sends a lookup once and waits for its end.
+func (ow *Owner) attempt(ctx context.Context, req nodemsg.Lookup, deadline time.Time) result {
+	lk := &lookup{id: rand.Uint64(), req: req, deadline: deadline, done: make(chan result, 1)}
 	ow.mu.Lock()
-	ow.gainRetry(req.Workspace)
+	ow.addRetryBudget(req.Workspace)
 	ow.lookups[lk.id] = lk
 	ow.step(policy.Event{Lookup: &policy.Lookup{
 		ID: lk.name(), Workspace: req.Workspace, Workload: req.Workload, Weight: req.Weight,
@@ -104,8 +102,8 @@
 	timer := ow.Clock.NewTimer(deadline.Sub(ow.Clock.Now()))
 	defer timer.Stop()
 	select {
-	case en := <-lk.done:
-		return en
+	case rs := <-lk.done:
+		return rs
 	case <-ctx.Done():
 		return ow.abandon(lk)
 	case <-timer.Chan():
@@ -113,23 +111,23 @@
 	}
 }
 
-// abandon gives up waiting. A lookup that was sent keeps its slot until the
-// worker has answered; one that was not leaves the queue.
-func (ow *Owner) abandon(lk *lookup) end {
+// abandon stops waiting. A lookup that was sent keeps its slot until the worker has answered; one that was not sent
+// leaves the queue.
+func (ow *Owner) abandon(lk *lookup) result {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	select {
-	case en := <-lk.done:
-		return en
+	case rs := <-lk.done:
+		return rs
 	default:
 	}
-	lk.left = true
+	lk.abandoned = true
 	if lk.worker == "" {
 		delete(ow.lookups, lk.id)
 		ow.step(policy.Event{LookupDone: &policy.LookupDone{ID: lk.name()}})
-		return end{err: fault.New(fault.Full, "no slot came free before the deadline; not run")}
+		return result{err: fault.New(fault.Full, "no slot became free before the deadline; not run")}
 	}
-	return end{err: fault.New(fault.Timeout, "worker %s did not answer in time", lk.worker).AfterStart()}
+	return result{err: fault.New(fault.Timeout, "worker %s did not answer in time", lk.worker).AfterStart()}
 }
 
 func lookupID(name string) (uint64, bool) {
@@ -140,18 +138,18 @@
 	return id, err == nil
 }
 
-// sendLookup carries out the machine's decision. The caller holds the lock.
+// sendLookup executes a dispatch decision of the state machine. The caller holds the lock.
 func (ow *Owner) sendLookup(sd *policy.Dispatch) {
 	id, _ := lookupID(sd.ID)
 	lk, ok := ow.lookups[id]
-	kp := ow.keepers[sd.Worker]
-	if !ok || kp == nil || kp.link == nil {
-		go ow.unsent(id, sd.Worker)
+	wc := ow.conns[sd.Worker]
+	if !ok || wc == nil || wc.link == nil {
+		go ow.notSent(id, sd.Worker)
 		return
 	}
 	now := ow.Clock.Now()
 	lk.worker, lk.sent = sd.Worker, now
-	link := kp.link
+	link := wc.link
 	msg := workermsg.Lookup{
 		ID: lk.id, Workload: lk.req.Workload, Size: lk.req.Size,
 		Budget: lk.deadline.Sub(now), Body: lk.req.Body,
@@ -162,22 +160,22 @@
 			return
 		}
 		if er := fault.From(err); !er.Begun {
-			ow.unsent(id, sd.Worker)
-		} // else the inventory of the next attachment settles it
+			ow.notSent(id, sd.Worker)
+		} // else the inventory of the next attachment decides
 	}()
 }
 
-// unsent takes back a lookup that never left.
-func (ow *Owner) unsent(id uint64, name string) {
+// notSent ends the attempt of a lookup that was not sent.
+func (ow *Owner) notSent(id uint64, name string) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	ow.finish(id, end{
-		worker: name, over: true,
+	ow.finish(id, result{
+		worker: name, ended: true,
 		err: fault.New(fault.Unavailable, "worker %s is not attached", name),
 	}, 0)
 }
 
-// refuseLookup tells a waiting lookup that it is refused. The caller holds the lock.
+// refuseLookup ends a waiting lookup that the state machine refuses. The caller holds the lock.
 func (ow *Owner) refuseLookup(rf *policy.Refuse) {
 	id, _ := lookupID(rf.ID)
 	lk, ok := ow.lookups[id]
@@ -190,60 +188,59 @@
 	if rf.Reason == policy.ReasonEmpty {
 		kind = fault.Unavailable // another owner may have the workers now
 	}
-	lk.done <- end{err: fault.New(kind, "%s: no slot in time; not run", rf.Reason).After(rf.RetryAfter)}
+	lk.done <- result{err: fault.New(kind, "%s: no slot in time; not run", rf.Reason).After(rf.RetryAfter)}
 }
 
-// finish ends a lookup and gives its slot back. The caller holds the lock.
-func (ow *Owner) finish(id uint64, en end, latency time.Duration) {
+// finish ends a lookup and frees its slot. The caller holds the lock.
+func (ow *Owner) finish(id uint64, rs result, latency time.Duration) {
 	lk, ok := ow.lookups[id]
 	if !ok {
 		return
 	}
 	delete(ow.lookups, id)
-	if lk.left {
+	if lk.abandoned {
 		ow.Meter.Count(CounterLate, 1)
 	}
-	lk.done <- en
-	ow.step(policy.Event{LookupDone: &policy.LookupDone{ID: lk.name(), Latency: latency, Failed: en.failed}})
+	lk.done <- rs
+	ow.step(policy.Event{LookupDone: &policy.LookupDone{ID: lk.name(), Latency: latency, Failed: rs.workerFailed}})
 }
 
-// onAnswer takes a worker's answer. One that belongs to no lookup on its way is
-// dropped and counted.
-func (ow *Owner) onAnswer(kp *keeper, an workermsg.Answer) {
+// onAnswer processes a worker's answer. An answer that belongs to no lookup in flight is dropped and counted.
+func (ow *Owner) onAnswer(wc *workerConn, an workermsg.Answer) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	lk, ok := ow.lookups[an.ID]
-	if !ok || lk.worker != kp.vm.Name {
+	if !ok || lk.worker != wc.vm.Name {
 		ow.Meter.Count(CounterLate, 1)
 		return
 	}
 	latency := ow.Clock.Since(lk.sent)
-	en := end{body: an.Body, worker: kp.vm.Name}
+	rs := result{body: an.Body, worker: wc.vm.Name}
 	switch {
 	case an.Refusal != workermsg.Accepted:
 		latency = 0
-		en.over = true
-		en.err = fault.New(fault.Unavailable, "worker %s refused: %s", kp.vm.Name, an.Refusal)
+		rs.ended = true
+		rs.err = fault.New(fault.Unavailable, "worker %s refused: %s", wc.vm.Name, an.Refusal)
 	case an.Failed != "":
-		en.over, en.failed = true, true
-		en.err = fault.New(fault.Endpoint, "worker %s failed: %s", kp.vm.Name, an.Failed).AfterStart()
+		rs.ended, rs.workerFailed = true, true
+		rs.err = fault.New(fault.Endpoint, "worker %s failed: %s", wc.vm.Name, an.Failed).AfterStart()
 	case len(an.Body) != an.Length:
 		ow.Meter.Count(CounterTruncated, 1)
-		en.over, en.failed = true, true
-		en.err = fault.New(fault.Endpoint, "the answer of worker %s was cut short", kp.vm.Name).AfterStart()
+		rs.ended, rs.workerFailed = true, true
+		rs.err = fault.New(fault.Endpoint, "the answer of worker %s is truncated", wc.vm.Name).AfterStart()
 	}
-	ow.finish(an.ID, en, latency)
+	ow.finish(an.ID, rs, latency)
 }
 
-// settleLookups ends the lookups sent to a worker that its inventory does not
-// show as running. The caller holds the lock.
-func (ow *Owner) settleLookups(name string, running map[string]bool) {
+// endMissingLookups ends the lookups sent to a worker that are not running according to its inventory. The caller holds
+// the lock.
+func (ow *Owner) endMissingLookups(name string, running map[string]bool) {
 	for id, lk := range ow.lookups {
 		if lk.worker != name || running[lk.name()] {
 			continue
 		}
-		ow.finish(id, end{
-			worker: name, over: running != nil,
+		ow.finish(id, result{
+			worker: name, ended: running != nil,
 			err: fault.New(fault.Endpoint, "the link to worker %s was lost", name).AfterStart(),
 		}, 0)
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,6 +1,5 @@
-// Package owner is the only place that commits work onto this node's workers. It
-// attaches to the workers of the racks that the cluster map gives to this node,
-// keeps their ledger, and sends them lookups and tasks.
+// Package owner runs the service through which all work is placed on this node's workers. It attaches to the workers in
+// the racks that the cluster map assigns to this node, maintains their ledger, and sends them lookups and tasks.
 package owner
 
 import (
@@ -27,30 +26,28 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// tickEvery is how often holds and waiting lookups are looked at for expiry.
-const tickEvery = 50 * time.Millisecond
+// tickInterval is the interval at which holds and waiting lookups are checked for expiry.
+const tickInterval = 50 * time.Millisecond
 
-// silenceEvery is how often links are looked at for workers that have fallen silent.
-const silenceEvery = time.Second
+// leaseCheckInterval is the interval at which links are checked for workers whose lease has expired.
+const leaseCheckInterval = time.Second
 
-// Options of an owner.
+// Options configures an owner.
 type Options struct {
 	Name   string
 	Limits policy.Limits
-	// DrainTimeout bounds how long a worker that moves away keeps its link for lookups
-	// in flight.
+	// DrainTimeout limits how long the link to a worker that moves to another owner stays open for lookups in flight.
 	DrainTimeout time.Duration
-	// Dial opens connections to workers; nil is worker.Dial.
+	// Dial opens connections to workers. The default is worker.Dial.
 	Dial func(ctx context.Context, addr, path string) (*frames.Conn, error)
-	// LeaseGuard is what is added to a worker's lease before its tasks count as ended.
-	// It covers the drift of clocks over a lease and the time by which a former
-	// owner that is cut off has stopped to renew.
+	// LeaseGuard is added to a worker's lease before its tasks count as ended. It covers clock drift during a lease and
+	// the time after which an isolated former owner has stopped renewing.
 	LeaseGuard time.Duration
 	// MaxLease is the longest lease that a worker may have.
 	MaxLease time.Duration
 }
 
-// Services are the services that an owner works with.
+// Services contains the services that an owner uses.
 type Services struct {
 	Clock    clockwork.Clock
 	Log      logr.Logger
@@ -69,25 +66,25 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
-	pacer   *loop.Pacer // of the ticks
+	pacer   *loop.Pacer // for tick
 
 	mu      sync.Mutex
 	machine *policy.Machine
-	keepers map[string]*keeper
+	conns   map[string]*workerConn
 	racks   map[string]clustermap.Rack
-	// since is when this owner got each of its racks.
-	since   map[string]time.Time
-	vms     map[string]vmsmsg.VM
-	lookups map[uint64]*lookup
-	tasks   map[string]*task
-	budgets map[string]float64
-	// gone remembers the leases of workers that were let go while unreachable.
-	gone                   map[string]goneWorker
+	// rackSince is when this owner got each of its racks.
+	rackSince map[string]time.Time
+	vms       map[string]vmsmsg.VM
+	lookups   map[uint64]*lookup
+	tasks     map[string]*task
+	budgets   map[string]float64
+	// removed contains the lease ends of workers that were removed while unreachable.
+	removed                map[string]removedWorker
 	pastSent, pastReceived int64
 }
 
-// goneWorker is when the lease of a worker that has gone surely runs out.
-type goneWorker struct {
+// removedWorker is the time at which the lease of a removed worker has surely expired, and the epoch of its rack.
+type removedWorker struct {
 	epoch    uint64
 	leaseEnd time.Time
 }
@@ -101,11 +98,11 @@
 	ow := &Owner{
 		Services: pt, opts: opts, started: pt.Clock.Now(),
 		machine: policy.New(opts.Limits),
-		keepers: map[string]*keeper{},
+		conns:   map[string]*workerConn{},
 		lookups: map[uint64]*lookup{},
 		tasks:   map[string]*task{},
 		budgets: map[string]float64{},
-		gone:    map[string]goneWorker{},
+		removed: map[string]removedWorker{},
 		pacer:   loop.NewPacer(),
 	}
 	ow.ctx, ow.cancel = context.WithCancel(context.Background())
@@ -138,13 +135,13 @@
 	})
 }
 
-// Start begins the loops.
+// Start starts the loops.
 func (ow *Owner) Start(context.Context) error {
 	ow.wg.Go(func() {
-		ow.pacer.Run(ow.ctx, ow.Clock, tickEvery, ow.tick)
+		ow.pacer.Run(ow.ctx, ow.Clock, tickInterval, ow.tick)
 	})
-	ow.loop(tellAgain/2, func() { ow.tellDue(tellAgain) })
-	ow.loop(silenceEvery, ow.dropSilent)
+	ow.loop(reportRetryInterval/2, func() { ow.reportDue(reportRetryInterval) })
+	ow.loop(leaseCheckInterval, ow.closeExpired)
 	return nil
 }
 
@@ -154,25 +151,24 @@
 	})
 }
 
-// Stop lets go of all workers.
+// Stop disconnects from all workers.
 func (ow *Owner) Stop(context.Context) error {
 	ow.cancel()
 	ow.mu.Lock()
-	keepers := ow.keepers
-	ow.keepers = map[string]*keeper{}
+	keepers := ow.conns
+	ow.conns = map[string]*workerConn{}
 	ow.mu.Unlock()
-	for _, kp := range keepers {
-		kp.cancel()
+	for _, wc := range keepers {
+		wc.cancel()
 	}
 	ow.wg.Wait()
 	return nil
 }
 
-// now is the time since the owner started, which the machine counts in.
+// now returns the time since the owner started, which is the time base of the state machine.
 func (ow *Owner) now() time.Duration { return ow.Clock.Since(ow.started) }
 
-// step feeds one event to the machine and carries its decisions out. The caller
-// holds the lock.
+// step passes one event to the state machine and executes its decisions. The caller holds the lock.
 func (ow *Owner) step(ev policy.Event) []policy.Action {
 	ev.At = ow.now()
 	acts := ow.machine.Step(ev)
@@ -193,7 +189,7 @@
 	return acts
 }
 
-// tick lets time pass, and reports whether the machine still waits for it.
+// tick advances the time of the state machine, and reports whether it needs further ticks.
 func (ow *Owner) tick() bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -201,7 +197,7 @@
 	return ow.machine.NeedsTick()
 }
 
-// Summary returns the digest of the ledger and the number of waiting lookups.
+// Summary returns the summary of the ledger and the number of waiting lookups.
 func (ow *Owner) Summary() (ledger.Summary, int) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -215,7 +211,7 @@
 	return ow.machine.Ledger().Load(), ow.machine.Waiting()
 }
 
-// onMap takes a new cluster map into account.
+// onMap applies a new cluster map.
 func (ow *Owner) onMap(mp *clustermap.Map) {
 	mine := map[string]clustermap.Rack{}
 	nd := ow.Member.Node()
@@ -229,16 +225,16 @@
 	for key, rk := range mine {
 		since[key] = ow.Clock.Now()
 		if ow.racks[key].Epoch == rk.Epoch {
-			since[key] = ow.since[key]
+			since[key] = ow.rackSince[key]
 		}
 	}
-	ow.racks, ow.since = mine, since
+	ow.racks, ow.rackSince = mine, since
 	ow.mu.Unlock()
 	ow.refresh()
-	go ow.redeliver()
+	go ow.reportAll()
 }
 
-// onVMs takes a new list of VMs into account, and adds racks that the map lacks.
+// onVMs applies a new list of VMs, and adds missing racks to the cluster map.
 func (ow *Owner) onVMs(list map[string]vmsmsg.VM) {
 	ow.mu.Lock()
 	ow.vms = list
@@ -258,14 +254,14 @@
 }
 
 func (ow *Owner) addRacks(racks map[string]string) {
-	const patience = 10 * time.Second
-	ctx, cancel := context.WithTimeout(ow.ctx, patience)
+	const timeout = 10 * time.Second
+	ctx, cancel := context.WithTimeout(ow.ctx, timeout)
 	defer cancel()
 	err := ow.Member.Change(ctx, func(mp *clustermap.Map) (*clustermap.Map, bool) {
 		return mp.AddRacks(racks)
 	})
 	if err != nil && ow.ctx.Err() == nil {
-		ow.Log.Error(err, "New racks are not in the map yet.")
+		ow.Log.Error(err, "Could not add new racks to the cluster map, will retry.")
 		ow.Clock.Sleep(time.Second)
 		ow.mu.Lock()
 		list := ow.vms
@@ -274,38 +270,37 @@
 	}
 }
 
-// refresh starts and ends keepers so that each worker of this node's racks has
-// one of the rack's present epoch.
+// refresh starts and ends connections so that each worker in this node's racks has one of the rack's current epoch.
 func (ow *Owner) refresh() {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if ow.ctx.Err() != nil {
 		return
 	}
-	for name, kp := range ow.keepers {
-		rack, mine := ow.racks[kp.rack]
+	for name, wc := range ow.conns {
+		rack, mine := ow.racks[wc.rack]
 		vm, listed := ow.vms[name]
 		switch {
-		case !mine || rack.Epoch != kp.epoch:
-			ow.letGo(kp)
-		case listed && vm.Addr != kp.vm.Addr && (kp.link == nil || kp.link.LeaseExpired()):
-			ow.letGo(kp) // the name has a new machine; while the old one beats, the list is wrong
+		case !mine || rack.Epoch != wc.epoch:
+			ow.removeWorker(wc)
+		case listed && vm.Addr != wc.vm.Addr && (wc.link == nil || wc.link.LeaseExpired()):
+			ow.removeWorker(wc) // a new VM has this name; while the old one sends heartbeats, the list is wrong
 		case listed && vm.Leaving:
 			ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: name}})
-		case !listed && kp.link == nil && ow.Clock.Since(kp.since) > ow.opts.LeaseGuard:
-			ow.letGo(kp)
+		case !listed && wc.link == nil && ow.Clock.Since(wc.since) > ow.opts.LeaseGuard:
+			ow.removeWorker(wc)
 		}
 	}
 	for name, vm := range ow.vms {
 		key := clustermap.RackKey(vm.Hall, vm.Rack)
 		rack, mine := ow.racks[key]
-		if _, kept := ow.keepers[name]; mine && !kept {
-			ow.keep(vm, key, rack.Epoch)
+		if _, connected := ow.conns[name]; mine && !connected {
+			ow.connect(vm, key, rack.Epoch)
 		}
 	}
 }
 
-// workerOf returns a worker's view of the ledger for the machine.
+// workerOf returns a worker as the ledger describes it.
 func workerOf(vm vmsmsg.VM, he workermsg.Hello) ledger.Worker {
 	return ledger.Worker{
 		Name: vm.Name, Hall: vm.Hall, Rack: vm.Rack, Capacity: he.Capacity, Slots: he.Slots,
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -10,19 +10,19 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// Times of the delivery of ends to homes.
+// Times of the reports of ended tasks to homes.
 const (
-	tellTimeout = 2 * time.Second
-	tellAgain   = 5 * time.Second
+	reportTimeout       = 2 * time.Second
+	reportRetryInterval = 5 * time.Second
 )
 
-// tell reports an end to the job's home. A home that has kept it for good lets
-// the worker forget it; otherwise the home says so later, or is told again.
-func (ow *Owner) tell(en workermsg.Ended) {
+// reportEnd reports the end of a task to the job's home. If the home acknowledges it, the worker may forget the task;
+// otherwise the home acknowledges it later, or the end is reported again.
+func (ow *Owner) reportEnd(en workermsg.Ended) {
 	job, _, _, ok := ids.TaskJob(en.Task)
 	part, valid := ids.JobPartition(job)
 	if !ok || !valid {
-		ow.ack(en.Task) // nobody's task
+		ow.ack(en.Task) // not a task of a job
 		return
 	}
 	mp := ow.Member.Map()
@@ -30,31 +30,31 @@
 	if !known {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ow.ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ow.ctx, reportTimeout)
 	defer cancel()
-	noted, err := peer.Call[nodemsg.TaskEnded, nodemsg.TaskEndedReply](ctx, ow.Peer, nd.Peer, nodemsg.KindTaskEnded,
+	reply, err := peer.Call[nodemsg.TaskEnded, nodemsg.TaskEndedReply](ctx, ow.Peer, nd.Peer, nodemsg.KindTaskEnded,
 		nodemsg.TaskEnded{Task: en.Task, State: en.State, Started: en.Started, Saved: en.Saved})
-	if err == nil && noted.Acked {
+	if err == nil && reply.Acked {
 		ow.ack(en.Task)
 	}
 }
 
-// redeliver tells all unsettled ends at once, since homes may have moved.
-func (ow *Owner) redeliver() { ow.tellDue(0) }
+// reportAll reports all unacknowledged ends immediately, since homes may have moved.
+func (ow *Owner) reportAll() { ow.reportDue(0) }
 
-// tellDue tells homes of the unsettled ends that were last told an age ago.
-func (ow *Owner) tellDue(age time.Duration) {
+// reportDue reports the unacknowledged ends whose last report is at least age ago.
+func (ow *Owner) reportDue(age time.Duration) {
 	now := ow.Clock.Now()
 	var due []workermsg.Ended
 	ow.mu.Lock()
 	for _, tk := range ow.tasks {
-		if tk.ended != nil && now.Sub(tk.told) >= age {
-			tk.told = now
+		if tk.ended != nil && now.Sub(tk.reportedAt) >= age {
+			tk.reportedAt = now
 			due = append(due, *tk.ended)
 		}
 	}
 	ow.mu.Unlock()
 	for _, en := range due {
-		ow.tell(en)
+		ow.reportEnd(en)
 	}
 }
--- a/internal/owner/task.go
+++ b/internal/owner/task.go
@@ -12,19 +12,19 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// settleTime bounds the search for the fate of a task whose start got no reply.
-const settleTime = 4 * time.Second
+// fenceTimeout limits the time to find out the status of a task whose start was not answered.
+const fenceTimeout = 4 * time.Second
 
 // task is one task that this owner has on a worker.
 type task struct {
 	worker string
 	// ended is set once the worker has reported the end.
 	ended *workermsg.Ended
-	// told is when the home was last told of the end.
-	told time.Time
+	// reportedAt is when the end was last reported to the home.
+	reportedAt time.Time
 }
 
-// Hold takes room for as many of the tasks as fit, until the hold expires.
+// Hold reserves resources for as many of the tasks as fit, until the hold expires.
 func (ow *Owner) Hold(hd nodemsg.Hold) nodemsg.HoldReply {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -35,55 +35,55 @@
 	}})
 	for _, act := range acts {
 		if act.Granted != nil {
-			return nodemsg.HoldReply{Places: nodemsg.Places(act.Granted.Places, ow.where)}
+			return nodemsg.HoldReply{Places: nodemsg.Places(act.Granted.Places, ow.rackAndIncarnation)}
 		}
 	}
 	return nodemsg.HoldReply{}
 }
 
-// where returns the rack and the incarnation of a worker. The caller holds the lock.
-func (ow *Owner) where(name string) (rack, machine string) {
-	kp, ok := ow.keepers[name]
+// rackAndIncarnation returns the rack and the incarnation of a worker. The caller holds the lock.
+func (ow *Owner) rackAndIncarnation(name string) (rack, incarnation string) {
+	wc, ok := ow.conns[name]
 	if !ok {
 		return "", ""
 	}
-	return kp.rack, kp.machine
+	return wc.rack, wc.incarnation
 }
 
-// replaced reports whether the worker of a place is another machine by now.
+// replaced reports whether the worker of a place has been replaced by another incarnation.
 func replaced(link *worker.Link, pl nodemsg.Place) bool {
 	return pl.Incarnation != "" && link.Hello().Incarnation != pl.Incarnation
 }
 
-// saveTime bounds the wait for a task's checkpoint before it gives way: the urgent
-// work is to start within 2.5 s.
-const saveTime = time.Second
+// checkpointTimeout limits the wait for a task's checkpoint before the task is preempted: the urgent work should start
+// within 2.5 s.
+const checkpointTimeout = time.Second
 
-// CounterPreempted counts the tasks stopped to make room for urgent work.
+// CounterPreempted counts the tasks that were stopped to free resources for urgent work.
 const CounterPreempted = "tasks_preempted"
 
-// preempt stops a task; its home lets it try again. The caller holds the lock.
+// preempt stops a task. Its home places it again. The caller holds the lock.
 func (ow *Owner) preempt(pr *policy.Preempt) {
 	ow.Meter.Count(CounterPreempted, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(ow.ctx, settleTime)
+		ctx, cancel := context.WithTimeout(ow.ctx, fenceTimeout)
 		defer cancel()
 		pl := nodemsg.Place{Task: pr.Task, Worker: pr.Worker}
-		save, enough := context.WithTimeout(ctx, saveTime)
-		ow.order(save, worker.Checkpoint, pl) // without one the work is done again
-		enough()
+		saveCtx, cancelSave := context.WithTimeout(ctx, checkpointTimeout)
+		ow.order(saveCtx, worker.Checkpoint, pl) // without a checkpoint, the work is repeated
+		cancelSave()
 		ow.order(ctx, worker.Stop, pl)
 	}()
 }
 
-// Release gives the room of a hold back.
+// Release frees the resources of a hold.
 func (ow *Owner) Release(rl nodemsg.Release) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.step(policy.Event{Release: &policy.Release{ID: rl.ID}})
 }
 
-// Commit turns a hold into tasks on their workers and tells how far each came.
+// Commit turns a hold into tasks on their workers and returns the status of each.
 func (ow *Owner) Commit(ctx context.Context, cm nodemsg.Commit) nodemsg.TaskStatuses {
 	ow.mu.Lock()
 	acts := ow.step(policy.Event{Commit: &policy.Commit{ID: cm.ID, Tasks: nodemsg.TasksOf(cm.Places)}})
@@ -98,116 +98,117 @@
 	}
 	ow.mu.Unlock()
 	if !settled {
-		return ow.neverAll(cm.Places)
+		return ow.queryAll(cm.Places)
 	}
-	fates := ow.each(cm.Places, func(pl nodemsg.Place) nodemsg.TaskStatus { return ow.start(ctx, cm, pl) })
-	return nodemsg.TaskStatuses{Statuses: fates}
+	statuses := ow.forEachPlace(cm.Places, func(pl nodemsg.Place) nodemsg.TaskStatus { return ow.start(ctx, cm, pl) })
+	return nodemsg.TaskStatuses{Statuses: statuses}
 }
 
-// neverAll answers a commit whose hold has gone. A repeated commit finds its
-// tasks on the workers, so each is asked for; one that never came is fenced.
-func (ow *Owner) neverAll(places []nodemsg.Place) nodemsg.TaskStatuses {
-	ctx, cancel := context.WithTimeout(ow.ctx, settleTime)
+// queryAll answers a commit whose hold no longer exists. After a repeated commit the tasks are on the workers, so each
+// is queried; a task that never arrived is fenced.
+func (ow *Owner) queryAll(places []nodemsg.Place) nodemsg.TaskStatuses {
+	ctx, cancel := context.WithTimeout(ow.ctx, fenceTimeout)
 	defer cancel()
 	return ow.Order(ctx, nodemsg.Order{Verb: nodemsg.VerbFence, Tasks: places})
 }
 
-// each runs act for all places side by side.
-func (ow *Owner) each(places []nodemsg.Place, act func(nodemsg.Place) nodemsg.TaskStatus) []nodemsg.TaskStatus {
-	fates := make([]nodemsg.TaskStatus, len(places))
+// forEachPlace calls act concurrently for all places.
+func (ow *Owner) forEachPlace(places []nodemsg.Place, act func(nodemsg.Place) nodemsg.TaskStatus) []nodemsg.TaskStatus {
+	statuses := make([]nodemsg.TaskStatus, len(places))
 	var wg sync.WaitGroup
 	for i, pl := range places {
 		wg.Go(func() {
-			fates[i] = act(pl)
+			statuses[i] = act(pl)
 		})
 	}
 	wg.Wait()
-	return fates
+	return statuses
 }
 
-// start sends one task to its worker. Where no reply comes, it asks for the fate.
+// start sends one task to its worker. If no reply arrives, it queries the status.
 func (ow *Owner) start(ctx context.Context, cm nodemsg.Commit, pl nodemsg.Place) nodemsg.TaskStatus {
-	defer ow.replied(pl.Task)
+	defer ow.startReplied(pl.Task)
 	link := ow.linkOf(pl.Worker)
 	if link == nil || replaced(link, pl) {
-		return ow.never(pl, "worker is not attached")
+		return ow.notStarted(pl, "worker is not attached")
 	}
 	rp, err := link.Start(ctx, workermsg.Start{
 		Task: pl.Task, Size: cm.Size, Payload: cm.Payload, Prepared: cm.Prepared,
 		Priority: cm.Priority, Repeatable: cm.Repeatable, Resume: cm.Resume,
 	})
 	if err != nil && !fault.From(err).Begun {
-		return ow.never(pl, err.Error())
+		return ow.notStarted(pl, err.Error())
 	}
 	if err != nil {
-		return ow.seek(pl)
+		return ow.fenceUntilKnown(pl)
 	}
-	return ow.fate(pl, rp)
+	return ow.statusOf(pl, rp)
 }
 
-// replied tells the machine that the worker's inventory decides from now on.
-func (ow *Owner) replied(id string) {
+// startReplied tells the state machine that from now on the worker's inventory shows whether the task runs.
+func (ow *Owner) startReplied(id string) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.step(policy.Event{Started: &policy.Started{Task: id}})
 }
 
-// seek looks for the fate of a task whose order got no reply.
-func (ow *Owner) seek(pl nodemsg.Place) nodemsg.TaskStatus {
+// fenceUntilKnown queries the status of a task whose start was not answered, and fences the task, until the status is
+// known.
+func (ow *Owner) fenceUntilKnown(pl nodemsg.Place) nodemsg.TaskStatus {
 	const pause = 100 * time.Millisecond
-	ctx, cancel := context.WithTimeout(ow.ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ow.ctx, fenceTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if ft := ow.order(ctx, worker.Fence, pl); ft.Known {
-			return ft
+		if ts := ow.order(ctx, worker.Fence, pl); ts.Known {
+			return ts
 		}
 		select {
 		case <-ctx.Done():
 		case <-ow.Clock.After(pause):
 		}
 	}
-	return nodemsg.TaskStatus{Task: pl.Task, Reason: "the worker does not reply"}
+	return nodemsg.TaskStatus{Task: pl.Task, Reason: "the worker did not reply"}
 }
 
 func (ow *Owner) linkOf(name string) *worker.Link {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if kp, ok := ow.keepers[name]; ok {
-		return kp.link
+	if wc, ok := ow.conns[name]; ok {
+		return wc.link
 	}
 	return nil
 }
 
-// never answers for a task that has surely not begun, and gives its room back.
-func (ow *Owner) never(pl nodemsg.Place, why string) nodemsg.TaskStatus {
-	ow.forget(pl.Task)
-	return nodemsg.TaskStatus{Task: pl.Task, Known: true, State: workermsg.NotStarted, Reason: why}
+// notStarted returns the status of a task that has surely not started, and frees its resources.
+func (ow *Owner) notStarted(pl nodemsg.Place, reason string) nodemsg.TaskStatus {
+	ow.removeTask(pl.Task)
+	return nodemsg.TaskStatus{Task: pl.Task, Known: true, State: workermsg.NotStarted, Reason: reason}
 }
 
-func (ow *Owner) forget(id string) {
+func (ow *Owner) removeTask(id string) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	delete(ow.tasks, id)
 	ow.step(policy.Event{Ended: &policy.Ended{Task: id}})
 }
 
-// fate turns a worker's reply into a fate, and the ledger with it.
-func (ow *Owner) fate(pl nodemsg.Place, rp workermsg.Reply) nodemsg.TaskStatus {
-	ft := nodemsg.TaskStatus{Task: pl.Task, Known: true, State: rp.State, Started: rp.Started, Reason: string(rp.Refusal), Saved: rp.Saved}
+// statusOf converts a worker's reply into a task status, and updates the ledger.
+func (ow *Owner) statusOf(pl nodemsg.Place, rp workermsg.Reply) nodemsg.TaskStatus {
+	ts := nodemsg.TaskStatus{Task: pl.Task, Known: true, State: rp.State, Started: rp.Started, Reason: string(rp.Refusal), Saved: rp.Saved}
 	if rp.Refusal == workermsg.StaleEpoch && rp.State == "" {
-		return nodemsg.TaskStatus{Task: pl.Task, Reason: string(rp.Refusal)} // only the new owner knows
+		return nodemsg.TaskStatus{Task: pl.Task, Reason: string(rp.Refusal)} // only the new owner knows the status
 	}
 	if !rp.State.Ended() {
-		return ft
+		return ts
 	}
 	if !rp.Started {
-		ow.forget(pl.Task)
-		return ft
+		ow.removeTask(pl.Task)
+		return ts
 	}
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.endTask(workermsg.Ended{Task: pl.Task, State: rp.State, Started: true, Saved: rp.Saved}, pl.Worker)
-	return ft
+	return ts
 }
 
 var verbs = map[nodemsg.Verb]worker.Verb{
@@ -217,19 +218,19 @@
 	nodemsg.VerbCheckpoint:    worker.Checkpoint,
 }
 
-// Order carries out an order for tasks of this owner's workers.
+// Order executes an order for tasks on this owner's workers.
 func (ow *Owner) Order(ctx context.Context, od nodemsg.Order) nodemsg.TaskStatuses {
 	verb, ok := verbs[od.Verb]
 	if !ok {
 		return nodemsg.TaskStatuses{}
 	}
-	return nodemsg.TaskStatuses{Statuses: ow.each(od.Tasks, func(pl nodemsg.Place) nodemsg.TaskStatus {
+	return nodemsg.TaskStatuses{Statuses: ow.forEachPlace(od.Tasks, func(pl nodemsg.Place) nodemsg.TaskStatus {
 		return ow.order(ctx, verb, pl)
 	})}
 }
 
-// order gives one order. A worker that cannot be reached is answered for once its
-// lease, and that of any former owner, has surely run out.
+// order sends one order. For an unreachable worker, the status is known once its lease, and that of any former owner,
+// has surely expired.
 func (ow *Owner) order(ctx context.Context, verb worker.Verb, pl nodemsg.Place) nodemsg.TaskStatus {
 	link := ow.linkOf(pl.Worker)
 	if link == nil || replaced(link, pl) {
@@ -239,67 +240,66 @@
 	if err != nil {
 		return nodemsg.TaskStatus{Task: pl.Task, Reason: err.Error()}
 	}
-	return ow.fate(pl, rp)
+	return ow.statusOf(pl, rp)
 }
 
-// unreachable answers for a task on a worker without a link.
+// unreachable returns the status of a task on a worker without a link.
 func (ow *Owner) unreachable(pl nodemsg.Place) nodemsg.TaskStatus {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	ft := nodemsg.TaskStatus{Task: pl.Task, Reason: "worker " + pl.Worker + " cannot be reached"}
+	ts := nodemsg.TaskStatus{Task: pl.Task, Reason: "worker " + pl.Worker + " is unreachable"}
 	rack, mine := ow.racks[pl.Rack]
 	if !mine {
-		ft.Reason = "rack " + pl.Rack + " has another owner"
-		return ft
+		ts.Reason = "rack " + pl.Rack + " has another owner"
+		return ts
 	}
-	leaseEnd := ow.since[pl.Rack].Add(ow.opts.MaxLease)
-	if kp, ok := ow.keepers[pl.Worker]; ok && kp.link != nil {
-		leaseEnd = kp.since.Add(ow.opts.MaxLease) // a new machine; the former one's lease is not known better
+	leaseEnd := ow.rackSince[pl.Rack].Add(ow.opts.MaxLease)
+	if wc, ok := ow.conns[pl.Worker]; ok && wc.link != nil {
+		leaseEnd = wc.since.Add(ow.opts.MaxLease) // another incarnation; the end of the former lease is not known better
 	} else if ok {
-		leaseEnd = kp.leaseEnd
-	} else if at, ok := ow.gone[pl.Worker]; ok && at.epoch == rack.Epoch {
+		leaseEnd = wc.leaseEnd
+	} else if at, ok := ow.removed[pl.Worker]; ok && at.epoch == rack.Epoch {
 		leaseEnd = at.leaseEnd
 	}
 	if ow.Clock.Now().Before(leaseEnd.Add(ow.opts.LeaseGuard)) {
-		return ft
+		return ts
 	}
-	ft.Known, ft.State, ft.Started = true, workermsg.LeaseExpired, true
-	ft.Reason = "the lease of worker " + pl.Worker + " has run out"
+	ts.Known, ts.State, ts.Started = true, workermsg.LeaseExpired, true
+	ts.Reason = "the lease of worker " + pl.Worker + " has expired"
 	delete(ow.tasks, pl.Task)
 	ow.step(policy.Event{Ended: &policy.Ended{Task: pl.Task}})
-	return ft
+	return ts
 }
 
-// noteTask takes a task of a worker's inventory in. The caller holds the lock.
-func (ow *Owner) noteTask(kp *keeper, tr workermsg.TaskReport) {
+// applyTaskReport records a task of a worker's inventory. The caller holds the lock.
+func (ow *Owner) applyTaskReport(wc *workerConn, tr workermsg.TaskReport) {
 	if tr.State.Ended() {
 		if tr.State != workermsg.NotStarted {
-			ow.endTask(workermsg.Ended{Task: tr.Task, State: tr.State, Started: tr.Started, Saved: tr.Saved}, kp.vm.Name)
+			ow.endTask(workermsg.Ended{Task: tr.Task, State: tr.State, Started: tr.Started, Saved: tr.Saved}, wc.vm.Name)
 		}
 		return
 	}
 	if _, known := ow.tasks[tr.Task]; !known {
-		ow.tasks[tr.Task] = &task{worker: kp.vm.Name}
+		ow.tasks[tr.Task] = &task{worker: wc.vm.Name}
 	}
 }
 
-// onEnded takes a worker's report of an end.
-func (ow *Owner) onEnded(kp *keeper, en workermsg.Ended) {
+// onEnded processes a worker's report of an end.
+func (ow *Owner) onEnded(wc *workerConn, en workermsg.Ended) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if id, ok := lookupID(en.Task); ok && isLookup(en.Task) {
 		ow.step(policy.Event{Ended: &policy.Ended{Task: en.Task}})
-		ow.finish(id, end{
-			worker: kp.vm.Name, over: true,
-			err: fault.New(fault.Endpoint, "the answer of worker %s was lost", kp.vm.Name).AfterStart(),
+		ow.finish(id, result{
+			worker: wc.vm.Name, ended: true,
+			err: fault.New(fault.Endpoint, "the answer of worker %s was lost", wc.vm.Name).AfterStart(),
 		}, 0)
 		return
 	}
-	ow.endTask(en, kp.vm.Name)
+	ow.endTask(en, wc.vm.Name)
 }
 
-// endTask gives an ended task's room back and has its home told. The caller
-// holds the lock.
+// endTask frees the resources of an ended task and starts reporting the end to its home. The caller holds the lock.
 func (ow *Owner) endTask(en workermsg.Ended, name string) {
 	tk, ok := ow.tasks[en.Task]
 	if !ok {
@@ -313,11 +313,11 @@
 	ow.step(policy.Event{Ended: &policy.Ended{
 		Task: en.Task, Failed: en.State == workermsg.Failed, Succeeded: en.State == workermsg.OK,
 	}})
-	tk.told = ow.Clock.Now()
-	go ow.tell(en)
+	tk.reportedAt = ow.Clock.Now()
+	go ow.reportEnd(en)
 }
 
-// Ack forgets ended tasks whose ends their home has kept.
+// Ack removes ended tasks whose ends are in their home's journal.
 func (ow *Owner) Ack(ak nodemsg.Ack) {
 	for _, id := range ak.Tasks {
 		ow.ack(id)
@@ -333,7 +333,7 @@
 	}
 	link := ow.linkOf(tk.worker)
 	if link == nil || link.Ack(id) != nil {
-		return // the worker reports the task again, and it is acknowledged then
+		return // the worker will report the task again, and it is acknowledged then
 	}
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
--- a/internal/owner/view.go
+++ b/internal/owner/view.go
@@ -9,26 +9,26 @@
 	"tackbeam.example/tackbeam/internal/nodemsg"
 )
 
-// The states of a worker as operators see them.
+// States of a worker as shown to operators.
 const (
 	StateReady       = "ready"
 	StateLeaving     = "leaving"
 	StateUnreachable = "unreachable"
-	// StateQuarantined workers have failed everything of late, and rest for a while.
+	// StateQuarantined workers have recently failed everything, and get no new work for a while.
 	StateQuarantined = "resting"
 )
 
-// Workers returns the workers of this owner, by name.
+// Workers returns the workers of this owner, sorted by name.
 func (ow *Owner) Workers() nodemsg.Workers {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	views := map[string]*nodemsg.WorkerView{}
-	for name, kp := range ow.keepers {
+	for name, wc := range ow.conns {
 		vw := &nodemsg.WorkerView{
-			Name: name, Hall: kp.vm.Hall, Rack: kp.vm.Rack, Owner: ow.opts.Name,
-			State: StateUnreachable, Reported: kp.used,
+			Name: name, Hall: wc.vm.Hall, Rack: wc.vm.Rack, Owner: ow.opts.Name,
+			State: StateUnreachable, Reported: wc.used,
 		}
-		if kp.link != nil {
+		if wc.link != nil {
 			vw.State = StateReady
 		}
 		views[name] = vw
@@ -61,32 +61,32 @@
 	return list
 }
 
-// DrainWorker tells a worker to take nothing new. What runs there goes on.
+// DrainWorker tells a worker to accept no new work. Running tasks continue.
 func (ow *Owner) DrainWorker(_ context.Context, name string) error {
 	ow.mu.Lock()
-	kp, ok := ow.keepers[name]
+	wc, ok := ow.conns[name]
 	if ok {
 		ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: name}})
-		kp.leaving = true
+		wc.leaving = true
 	}
 	ow.mu.Unlock()
 	if !ok {
 		return fault.New(fault.NotFound, "node %s does not own worker %s", ow.opts.Name, name)
 	}
-	if kp.link == nil {
-		return fault.New(fault.Unavailable, "worker %s cannot be reached", name)
+	if wc.link == nil {
+		return fault.New(fault.Unavailable, "worker %s is unreachable", name)
 	}
-	return kp.link.Drain()
+	return wc.link.Drain()
 }
 
-// Traffic returns the bytes to and from workers on the control connections.
+// Traffic returns the number of bytes sent to and received from workers on the control connections.
 func (ow *Owner) Traffic() (sent, received int64) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	sent, received = ow.pastSent, ow.pastReceived
-	for _, kp := range ow.keepers {
-		if kp.link != nil {
-			s, r := kp.link.Traffic()
+	for _, wc := range ow.conns {
+		if wc.link != nil {
+			s, r := wc.link.Traffic()
 			sent += s
 			received += r
 		}
--- a/internal/owner/workerconn.go
+++ b/internal/owner/workerconn.go
@@ -15,11 +15,11 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// lookupPrefix marks the ids of lookups in ledgers and inventories.
+// lookupPrefix is the prefix of the ids of lookups in ledgers and inventories.
 const lookupPrefix = "lookup-"
 
-// keeper keeps this owner attached to one worker.
-type keeper struct {
+// workerConn keeps this owner attached to one worker.
+type workerConn struct {
 	vm     vmsmsg.VM
 	rack   string
 	epoch  uint64
@@ -27,102 +27,101 @@
 	cancel context.CancelFunc
 
 	link *worker.Link
-	// since is when the link was made, or lost, or first sought.
+	// since is when the link was established or lost, or when the first attempt to attach began.
 	since time.Time
-	// leaseEnd is the latest end of the lease that this owner has renewed, or, of
-	// a worker never reached, the latest end of a former owner's.
+	// leaseEnd is the latest end of the lease that this owner has renewed or, for a worker that was never reached, the
+	// latest end of a former owner's lease.
 	leaseEnd time.Time
 	leaving  bool
 	moving   bool
 	used     size.Size
-	// plain is set for a worker without fencing or inventory.
-	plain bool
-	// machine is the worker's incarnation when it was last attached.
-	machine string
+	// noFencing is set for a worker that lacks fencing or inventory.
+	noFencing bool
+	// incarnation is the worker's incarnation when it was last attached.
+	incarnation string
 }
 
-// keep starts a keeper. The caller holds the lock.
-func (ow *Owner) keep(vm vmsmsg.VM, rack string, epoch uint64) {
+// connect starts connecting to a worker. The caller holds the lock.
+func (ow *Owner) connect(vm vmsmsg.VM, rack string, epoch uint64) {
 	now := ow.Clock.Now()
-	kp := &keeper{vm: vm, rack: rack, epoch: epoch, since: now, leaseEnd: now.Add(ow.opts.MaxLease)}
-	kp.ctx, kp.cancel = context.WithCancel(ow.ctx)
-	ow.keepers[vm.Name] = kp
+	wc := &workerConn{vm: vm, rack: rack, epoch: epoch, since: now, leaseEnd: now.Add(ow.opts.MaxLease)}
+	wc.ctx, wc.cancel = context.WithCancel(ow.ctx)
+	ow.conns[vm.Name] = wc
 	ow.wg.Go(func() {
-		ow.keepLoop(kp)
+		ow.connectLoop(wc)
 	})
 }
 
-// keepLoop attaches, waits until the link is lost, and attaches again.
-func (ow *Owner) keepLoop(kp *keeper) {
-	fails := 0
-	for kp.ctx.Err() == nil {
-		if !ow.waitOut(kp) {
+// connectLoop attaches to the worker, waits until the link is lost, and attaches again.
+func (ow *Owner) connectLoop(wc *workerConn) {
+	failures := 0
+	for wc.ctx.Err() == nil {
+		if !ow.waitForLease(wc) {
 			return
 		}
-		lost, err := ow.attach(kp)
+		lost, err := ow.attach(wc)
 		if err == nil {
-			fails = 0
+			failures = 0
 			select {
-			case <-kp.ctx.Done():
+			case <-wc.ctx.Done():
 				return
 			case <-lost:
 			}
-		} else if fails++; fails == 1 || fault.Is(err, fault.Conflict) {
-			ow.Log.V(1).Info("Worker cannot be attached.", "worker", kp.vm.Name, "cause", err.Error())
+		} else if failures++; failures == 1 || fault.Is(err, fault.Conflict) {
+			ow.Log.V(1).Info("Could not attach to worker.", "worker", wc.vm.Name, "cause", err.Error())
 		}
-		loop.Pause(kp.ctx, ow.Clock, store.Backoff(fails))
+		loop.Pause(wc.ctx, ow.Clock, store.Backoff(failures))
 	}
 }
 
-// waitOut waits, before a worker without fencing or inventory is attached, until
-// whatever its former owner or link started there has surely ended.
-func (ow *Owner) waitOut(kp *keeper) bool {
+// waitForLease waits, before a worker without fencing or inventory is attached, until everything that a former owner or
+// link started there has surely ended.
+func (ow *Owner) waitForLease(wc *workerConn) bool {
 	ow.mu.Lock()
-	wait := kp.leaseEnd.Add(ow.opts.LeaseGuard).Sub(ow.Clock.Now())
-	plain := kp.plain
+	wait := wc.leaseEnd.Add(ow.opts.LeaseGuard).Sub(ow.Clock.Now())
+	noFencing := wc.noFencing
 	ow.mu.Unlock()
-	if !plain || wait <= 0 {
+	if !noFencing || wait <= 0 {
 		return true
 	}
 	ow.Meter.Count(CounterLeaseWaits, 1)
-	return loop.Pause(kp.ctx, ow.Clock, wait)
+	return loop.Pause(wc.ctx, ow.Clock, wait)
 }
 
-// CounterLeaseWaits counts the times that a worker without fencing or inventory was
-// left idle until its lease had surely run out.
+// CounterLeaseWaits counts the waits until the lease of a worker without fencing or inventory had surely expired.
 const CounterLeaseWaits = "workers_waited_out"
 
-// mustWait reports whether a worker that has just been attached has to be let
-// go and waited out first.
-func (ow *Owner) mustWait(kp *keeper, link *worker.Link) bool {
+// mustWaitForLease reports whether a worker that has just been attached has to be disconnected until its lease has
+// expired.
+func (ow *Owner) mustWaitForLease(wc *workerConn, link *worker.Link) bool {
 	if link.HasCapability(workermsg.Fencing) && link.HasCapability(workermsg.Inventory) {
 		return false
 	}
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	kp.plain = true
-	return ow.Clock.Now().Before(kp.leaseEnd.Add(ow.opts.LeaseGuard))
+	wc.noFencing = true
+	return ow.Clock.Now().Before(wc.leaseEnd.Add(ow.opts.LeaseGuard))
 }
 
-// attach takes the worker's lease and brings the ledger to what runs there.
-func (ow *Owner) attach(kp *keeper) (<-chan struct{}, error) {
-	const patience = 5 * time.Second
-	if ow.cutOff(kp) {
-		return nil, fault.New(fault.Stale, "this node is cut off and takes no worker")
+// attach takes the worker's lease and updates the ledger with the worker's inventory.
+func (ow *Owner) attach(wc *workerConn) (<-chan struct{}, error) {
+	const timeout = 5 * time.Second
+	if ow.isIsolated(wc) {
+		return nil, fault.New(fault.Stale, "this node is isolated and attaches to no worker")
 	}
-	ctx, cancel := context.WithTimeout(kp.ctx, patience)
+	ctx, cancel := context.WithTimeout(wc.ctx, timeout)
 	defer cancel()
 	lost := make(chan struct{})
 	ready := make(chan struct{})
 	var link *worker.Link
 	link, err := worker.New(ctx, ow.Clock, worker.Options{
-		Name: kp.vm.Name, Addr: kp.vm.Addr, Owner: ow.opts.Name, Epoch: kp.epoch, Dial: ow.opts.Dial,
+		Name: wc.vm.Name, Addr: wc.vm.Addr, Owner: ow.opts.Name, Epoch: wc.epoch, Dial: ow.opts.Dial,
 	}, worker.Events{
-		Ended:     func(en workermsg.Ended) { <-ready; ow.onEnded(kp, en) },
-		Answered:  func(an workermsg.Answer) { <-ready; ow.onAnswer(kp, an) },
-		Heartbeat: func(bt workermsg.Heartbeat) { <-ready; ow.onBeat(kp, link, bt) },
-		Leaving:   func() { <-ready; ow.onLeaving(kp) },
-		Lost:      func(cause error) { <-ready; ow.onLost(kp, link, cause); close(lost) },
+		Ended:     func(en workermsg.Ended) { <-ready; ow.onEnded(wc, en) },
+		Answered:  func(an workermsg.Answer) { <-ready; ow.onAnswer(wc, an) },
+		Heartbeat: func(hb workermsg.Heartbeat) { <-ready; ow.onHeartbeat(wc, link, hb) },
+		Leaving:   func() { <-ready; ow.onLeaving(wc) },
+		Lost:      func(cause error) { <-ready; ow.onLost(wc, link, cause); close(lost) },
 	})
 	if err != nil {
 		return nil, err
@@ -130,32 +129,32 @@
 	if lease := link.Hello().Lease; lease > ow.opts.MaxLease {
 		close(ready)
 		link.Close()
-		return nil, fault.New(fault.Conflict, "worker %s has a lease of %v, over setting owner.lease", kp.vm.Name, lease)
+		return nil, fault.New(fault.Conflict, "worker %s has a lease of %v, which is longer than setting owner.lease", wc.vm.Name, lease)
 	}
-	if ow.mustWait(kp, link) {
+	if ow.mustWaitForLease(wc, link) {
 		close(ready)
 		link.Close()
-		return nil, fault.New(fault.Unavailable, "worker %s cannot fence, its lease is waited out", kp.vm.Name)
+		return nil, fault.New(fault.Unavailable, "worker %s has no fencing or inventory; waiting until its lease has expired", wc.vm.Name)
 	}
 	ow.mu.Lock()
-	ow.up(kp, link)
+	ow.applyHello(wc, link)
 	ow.mu.Unlock()
 	close(ready)
 	return lost, nil
 }
 
-// up feeds a worker's inventory to the machine. The caller holds the lock.
-func (ow *Owner) up(kp *keeper, link *worker.Link) {
+// applyHello passes a worker's inventory to the state machine. The caller holds the lock.
+func (ow *Owner) applyHello(wc *workerConn, link *worker.Link) {
 	he := link.Hello()
-	kp.link = link
-	kp.machine = he.Incarnation
-	kp.since = ow.Clock.Now()
-	kp.leaseEnd = link.LastHeartbeatAt().Add(he.Lease)
-	kp.leaving = he.Leaving
-	up := policy.WorkerUp{Worker: workerOf(kp.vm, he)}
+	wc.link = link
+	wc.incarnation = he.Incarnation
+	wc.since = ow.Clock.Now()
+	wc.leaseEnd = link.LastHeartbeatAt().Add(he.Lease)
+	wc.leaving = he.Leaving
+	up := policy.WorkerUp{Worker: workerOf(wc.vm, he)}
 	running := map[string]bool{}
 	for _, tr := range he.Tasks {
-		ow.noteTask(kp, tr)
+		ow.applyTaskReport(wc, tr)
 		if !tr.State.Ended() {
 			up.Running = append(up.Running, policy.Running{
 				ID: tr.Task, Size: tr.Size, Priority: tr.Priority, Repeatable: tr.Repeatable,
@@ -166,98 +165,98 @@
 		running[tr.Task] = true
 		up.Running = append(up.Running, policy.Running{ID: tr.Task, Size: tr.Size, Slots: 1})
 	}
-	ow.settleLookups(kp.vm.Name, running) // before the worker gets new ones
+	ow.endMissingLookups(wc.vm.Name, running) // before new lookups are sent to the worker
 	ow.step(policy.Event{WorkerUp: &up})
-	vm, listed := ow.vms[kp.vm.Name]
-	if he.Leaving || kp.moving || listed && vm.Leaving {
-		ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: kp.vm.Name}})
+	vm, listed := ow.vms[wc.vm.Name]
+	if he.Leaving || wc.moving || listed && vm.Leaving {
+		ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: wc.vm.Name}})
 	}
-	ow.Log.V(1).Info("Worker attached.", "worker", kp.vm.Name, "epoch", kp.epoch, "tasks", len(up.Running))
+	ow.Log.V(1).Info("Worker attached.", "worker", wc.vm.Name, "epoch", wc.epoch, "tasks", len(up.Running))
 }
 
-func (ow *Owner) onBeat(kp *keeper, link *worker.Link, bt workermsg.Heartbeat) {
+func (ow *Owner) onHeartbeat(wc *workerConn, link *worker.Link, hb workermsg.Heartbeat) {
 	ow.mu.Lock()
-	kp.leaseEnd = link.LastHeartbeatAt().Add(link.Hello().Lease)
-	kp.used = size.Size{}
-	for _, us := range bt.Usage {
-		kp.used = kp.used.Add(us.Size)
+	wc.leaseEnd = link.LastHeartbeatAt().Add(link.Hello().Lease)
+	wc.used = size.Size{}
+	for _, us := range hb.Usage {
+		wc.used = wc.used.Add(us.Size)
 	}
 	ow.mu.Unlock()
-	if ow.cutOff(kp) {
-		ow.Log.Info("Node is cut off and lets a worker's lease run out.", "worker", kp.vm.Name)
+	if ow.isIsolated(wc) {
+		ow.Log.Info("Node is isolated; letting the lease of a worker expire.", "worker", wc.vm.Name)
 		link.Close()
 	}
 }
 
-// cutOff reports whether others may have taken this node out without its knowledge,
-// so that a worker's lease must run out. Workers that fence refuse an owner that was
-// taken out; theirs runs out only when neither the store nor any node was heard for
-// long. For the others it is enough that one member was not, and the store was not.
-func (ow *Owner) cutOff(kp *keeper) bool {
-	selfFence := ow.opts.LeaseGuard * 2 / 3 // the rest is for the drift of clocks
+// isIsolated reports whether other nodes may have removed this node from the cluster map without its knowledge, so that
+// it must let the worker's lease expire. A worker with fencing refuses a removed owner; its lease expires only if
+// neither the store nor any node has been reachable for long. For other workers it is enough that one member and the
+// store have not been.
+func (ow *Owner) isIsolated(wc *workerConn) bool {
+	selfFence := ow.opts.LeaseGuard * 2 / 3 // the rest covers clock drift
 	ow.mu.Lock()
-	plain := kp.plain
+	noFencing := wc.noFencing
 	ow.mu.Unlock()
-	if plain {
+	if noFencing {
 		return ow.Clock.Since(ow.Member.MembershipConfirmedAt()) > selfFence
 	}
 	return ow.Member.Isolated() && ow.Clock.Since(ow.Member.LastContact()) > selfFence
 }
 
-func (ow *Owner) onLeaving(kp *keeper) {
+func (ow *Owner) onLeaving(wc *workerConn) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	kp.leaving = true
-	ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: kp.vm.Name}})
-	ow.Log.Info("Worker is leaving.", "worker", kp.vm.Name)
+	wc.leaving = true
+	ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: wc.vm.Name}})
+	ow.Log.Info("Worker is leaving.", "worker", wc.vm.Name)
 }
 
-// onLost stops new work on a worker whose link has ended. What it runs stays in
-// the ledger until its inventory, or the end of its lease, tells.
-func (ow *Owner) onLost(kp *keeper, link *worker.Link, cause error) {
+// onLost stops sending new work to a worker whose link has ended. Its tasks stay in the ledger until the worker's
+// inventory, or the end of its lease, decides.
+func (ow *Owner) onLost(wc *workerConn, link *worker.Link, cause error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if kp.link != link {
+	if wc.link != link {
 		return
 	}
-	kp.link = nil
-	kp.since = ow.Clock.Now()
+	wc.link = nil
+	wc.since = ow.Clock.Now()
 	sent, received := link.Traffic()
 	ow.pastSent += sent
 	ow.pastReceived += received
-	if ow.keepers[kp.vm.Name] == kp {
-		ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: kp.vm.Name}})
+	if ow.conns[wc.vm.Name] == wc {
+		ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: wc.vm.Name}})
 	}
-	if kp.ctx.Err() == nil {
-		go ow.refresh() // the list may have another machine by the name
-		ow.Log.V(1).Info("Worker's link was lost.", "worker", kp.vm.Name, "cause", cause.Error())
+	if wc.ctx.Err() == nil {
+		go ow.refresh() // the list may have another VM of this name
+		ow.Log.V(1).Info("Link to worker was lost.", "worker", wc.vm.Name, "cause", cause.Error())
 	}
 }
 
-// dropSilent ends the links of workers whose lease has run out without a word. A
-// machine without power closes no connection, and nothing else would notice.
-func (ow *Owner) dropSilent() {
-	var silent []*worker.Link
+// closeExpired closes the links of workers whose lease has expired without a heartbeat. A VM that loses power closes no
+// connection, so nothing else would detect it.
+func (ow *Owner) closeExpired() {
+	var expired []*worker.Link
 	ow.mu.Lock()
-	for _, kp := range ow.keepers {
-		if kp.link != nil && kp.link.LeaseExpired() {
-			silent = append(silent, kp.link)
+	for _, wc := range ow.conns {
+		if wc.link != nil && wc.link.LeaseExpired() {
+			expired = append(expired, wc.link)
 		}
 	}
 	ow.mu.Unlock()
-	for _, link := range silent {
+	for _, link := range expired {
 		link.Close()
 	}
 }
 
-// letGo gives a worker up: its rack has another owner, or it has gone. Lookups
-// in flight keep the link for a while. The caller holds the lock.
-func (ow *Owner) letGo(kp *keeper) {
-	name := kp.vm.Name
-	delete(ow.keepers, name)
-	kp.moving = true
-	if kp.link == nil {
-		ow.gone[name] = goneWorker{epoch: kp.epoch, leaseEnd: kp.leaseEnd}
+// removeWorker gives up a worker that has been removed from the list or whose rack has another owner. The link stays
+// open for a while for lookups in flight. The caller holds the lock.
+func (ow *Owner) removeWorker(wc *workerConn) {
+	name := wc.vm.Name
+	delete(ow.conns, name)
+	wc.moving = true
+	if wc.link == nil {
+		ow.removed[name] = removedWorker{epoch: wc.epoch, leaseEnd: wc.leaseEnd}
 	}
 	ow.step(policy.Event{WorkerGone: &policy.WorkerGone{Worker: name, Lost: true}})
 	for id, tk := range ow.tasks {
@@ -265,32 +264,32 @@
 			delete(ow.tasks, id)
 		}
 	}
-	link := kp.link
+	link := wc.link
 	if link == nil {
-		kp.cancel()
-		ow.settleLookups(name, nil)
+		wc.cancel()
+		ow.endMissingLookups(name, nil)
 		return
 	}
-	go ow.seeOut(kp, link)
+	go ow.drainLookups(wc, link)
 }
 
-// seeOut waits for the lookups in flight on a worker that moves away.
-func (ow *Owner) seeOut(kp *keeper, link *worker.Link) {
+// drainLookups waits for the lookups in flight on a worker that moves to another owner.
+func (ow *Owner) drainLookups(wc *workerConn, link *worker.Link) {
 	const pause = 20 * time.Millisecond
 	deadline := ow.Clock.Now().Add(ow.opts.DrainTimeout)
-	for ow.Clock.Now().Before(deadline) && ow.ctx.Err() == nil && ow.inFlight(kp.vm.Name) {
+	for ow.Clock.Now().Before(deadline) && ow.ctx.Err() == nil && ow.inFlight(wc.vm.Name) {
 		ow.Clock.Sleep(pause)
 	}
-	kp.cancel()
+	wc.cancel()
 	link.Detach()
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if ow.keepers[kp.vm.Name] == nil {
-		ow.settleLookups(kp.vm.Name, nil)
+	if ow.conns[wc.vm.Name] == nil {
+		ow.endMissingLookups(wc.vm.Name, nil)
 	}
 }
 
-// inFlight reports whether lookups sent to the worker are unanswered.
+// inFlight reports whether the worker has not answered all lookups sent to it.
 func (ow *Owner) inFlight(name string) bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
