--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router finds the node that a request belongs to: the owner that serves
-// a lookup, the home of a workspace's jobs. A request makes at most one hop.
+// Package router finds the node that serves a request: the owner for a lookup, the home for a workspace's jobs. A
+// request is forwarded at most once.
 package router
 
 import (
@@ -19,27 +19,27 @@
 	"tackbeam.example/tackbeam/internal/peer"
 )
 
-// maxOwners is the number of owners that one lookup tries.
+// maxOwners is the maximum number of owners that one lookup is sent to in one round.
 const maxOwners = 3
 
-// Times of the calls to homes. A call is cut into parts, so that one to a dead
-// node turns to its successor.
+// Times of the calls to homes. A long call is divided into several, so that after a call to a failed node the next one
+// reaches its successor.
 const (
-	homePause = 50 * time.Millisecond
-	homeCall  = 4 * time.Second
-	homeWait  = 2 * time.Second
+	homeRetryPause  = 50 * time.Millisecond
+	homeCallTimeout = 4 * time.Second
+	maxHomeWait     = 2 * time.Second
 )
 
-// Times of looking again while workers move between owners.
+// Times of retries while workers move between owners.
 const (
-	moveTime  = 2 * time.Second
-	movePause = 10 * time.Millisecond
+	moveTimeout   = 2 * time.Second
+	movePollPause = 10 * time.Millisecond
 )
 
-// CounterForwarded counts the lookups that another node served.
+// CounterForwarded counts the lookups that were sent to another node.
 const CounterForwarded = "lookups_forwarded"
 
-// Local is what this node does itself.
+// Local contains the functions of this node's own owner and home.
 type Local struct {
 	Load   func() (ledger.Load, int)
 	Lookup func(context.Context, nodemsg.Lookup) (nodemsg.Answer, error)
@@ -57,8 +57,8 @@
 	local  Local
 
 	mu sync.Mutex
-	// away are the lookups under way on each other node, and how to give them up.
-	away map[string]map[uint64]context.CancelFunc
+	// remoteLookups contains the functions that cancel the lookups in progress on each other node.
+	remoteLookups map[string]map[uint64]context.CancelFunc
 }
 
 // New returns a router.
@@ -67,47 +67,46 @@
 ) *Router {
 	rt := &Router{
 		clock: clock, member: mb, peer: pr, meter: mt, local: local,
-		away: map[string]map[uint64]context.CancelFunc{},
+		remoteLookups: map[string]map[uint64]context.CancelFunc{},
 	}
-	mb.OnUnreachable(rt.giveUp)
+	mb.OnUnreachable(rt.cancelLookups)
 	return rt
 }
 
-// target is an owner that a lookup may go to.
+// target is an owner that a lookup may be sent to.
 type target struct {
-	name string
-	addr string
-	hall string
-	free int
-	size int
+	name      string
+	addr      string
+	hall      string
+	freeSlots int
+	workers   int
 }
 
-// Lookup sends a lookup to an owner with a free slot and returns its answer. An
-// owner that refuses without having begun is followed by another. While workers
-// move between owners there may be none to ask for a moment; then it looks again.
+// Lookup sends a lookup to an owner with a free slot and returns its answer. If an owner refuses without having started
+// it, another one is tried. While workers move between owners there may temporarily be no owner; then it retries.
 func (rt *Router) Lookup(ctx context.Context, req nodemsg.Lookup) (nodemsg.Answer, error) {
 	now := rt.clock.Now()
 	deadline := now.Add(req.Budget)
-	patience := now.Add(min(req.Budget, moveTime))
+	giveUpAt := now.Add(min(req.Budget, moveTimeout))
 	for {
-		an, err := rt.round(ctx, req, deadline)
+		an, err := rt.tryOwners(ctx, req, deadline)
 		er := fault.From(err)
 		if err == nil || er.Kind != fault.Unavailable || er.Begun {
 			return an, err
 		}
-		if !rt.clock.Now().Before(patience) || ctx.Err() != nil {
+		if !rt.clock.Now().Before(giveUpAt) || ctx.Err() != nil {
 			return an, fault.New(fault.Full, "%s; not run", er.Message).After(time.Second)
 		}
-		rt.clock.Sleep(movePause)
+		rt.clock.Sleep(movePollPause)
 	}
 }
 
-// round asks up to three owners.
-func (rt *Router) round(
+// tryOwners sends the lookup to up to three owners.
+func (rt *Router) tryOwners(
 	ctx context.Context, req nodemsg.Lookup, deadline time.Time,
 ) (nodemsg.Answer, error) {
 	tried := map[string]bool{}
-	last := error(fault.New(fault.Unavailable, "no worker takes lookups now"))
+	last := error(fault.New(fault.Unavailable, "no worker accepts lookups now"))
 	for range maxOwners {
 		tg, ok := rt.choose(tried)
 		if !ok {
@@ -120,7 +119,7 @@
 		}
 		an, err := rt.serve(ctx, tg, req)
 		if err == nil && an.ID != req.ID {
-			err = fault.New(fault.Unavailable, "node %s answered another lookup", tg.name).AfterStart()
+			err = fault.New(fault.Unavailable, "node %s answered a different lookup", tg.name).AfterStart()
 		}
 		if err == nil {
 			return an, nil
@@ -140,117 +139,116 @@
 	rt.meter.Count(CounterForwarded, 1)
 	call, cancel := context.WithCancel(ctx)
 	defer cancel()
-	rt.sent(tg.name, req.ID, cancel)
-	defer rt.back(tg.name, req.ID)
+	rt.addRemote(tg.name, req.ID, cancel)
+	defer rt.removeRemote(tg.name, req.ID)
 	return peer.Call[nodemsg.Lookup, nodemsg.Answer](call, rt.peer, tg.addr, nodemsg.KindLookup, req)
 }
 
-func (rt *Router) sent(name string, id uint64, cancel context.CancelFunc) {
+func (rt *Router) addRemote(name string, id uint64, cancel context.CancelFunc) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	if rt.away[name] == nil {
-		rt.away[name] = map[uint64]context.CancelFunc{}
+	if rt.remoteLookups[name] == nil {
+		rt.remoteLookups[name] = map[uint64]context.CancelFunc{}
 	}
-	rt.away[name][id] = cancel
+	rt.remoteLookups[name][id] = cancel
 }
 
-func (rt *Router) back(name string, id uint64) {
+func (rt *Router) removeRemote(name string, id uint64) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	delete(rt.away[name], id)
+	delete(rt.remoteLookups[name], id)
 }
 
-// giveUp ends the wait for a node that has fallen silent. Its lookups may have
-// run, so their callers are told that; they are told at once.
-func (rt *Router) giveUp(name string) {
+// cancelLookups ends the wait for a node that has become unreachable. Its lookups may have run; their callers get that
+// error immediately.
+func (rt *Router) cancelLookups(name string) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	for _, cancel := range rt.away[name] {
+	for _, cancel := range rt.remoteLookups[name] {
 		cancel()
 	}
 }
 
-// choose returns this node while it has a free slot; otherwise the better of two
-// other owners, those of the same hall first; otherwise whoever has workers.
+// choose returns this node while it has a free slot; otherwise the less loaded of two other owners, preferring those in
+// the same hall; otherwise any owner with workers.
 func (rt *Router) choose(tried map[string]bool) (target, bool) {
 	own := rt.member.Node()
 	load, waiting := rt.local.Load()
-	self := target{name: own.Name, hall: own.Hall, free: load.FreeSlots - waiting, size: load.Workers}
-	if !tried[own.Name] && self.free > 0 {
+	self := target{name: own.Name, hall: own.Hall, freeSlots: load.FreeSlots - waiting, workers: load.Workers}
+	if !tried[own.Name] && self.freeSlots > 0 {
 		return self, true
 	}
-	var near, far, all []target
-	if !tried[own.Name] && self.size > 0 {
+	var sameHall, otherHalls, all []target
+	if !tried[own.Name] && self.workers > 0 {
 		all = append(all, self)
 	}
 	for _, tg := range rt.others(tried) {
 		all = append(all, tg)
 		switch {
-		case tg.free <= 0:
+		case tg.freeSlots <= 0:
 		case tg.hall == own.Hall:
-			near = append(near, tg)
+			sameHall = append(sameHall, tg)
 		default:
-			far = append(far, tg)
+			otherHalls = append(otherHalls, tg)
 		}
 	}
-	for _, list := range [][]target{near, far, all} {
+	for _, list := range [][]target{sameHall, otherHalls, all} {
 		if len(list) > 0 {
-			return better(list), true
+			return lessLoaded(list), true
 		}
 	}
 	return target{}, false
 }
 
-// others returns the other nodes that own racks. One that has just got its first
-// may not have told of them yet.
+// others returns the other nodes that own racks. The summary of a node that has just got its first rack may still lack
+// its workers.
 func (rt *Router) others(tried map[string]bool) []target {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	var list []target
 	owners := rt.member.Map().Owners()
 	for _, vw := range rt.member.Peers() {
-		room := vw.Summary()
+		summary := vw.Summary()
 		if tried[vw.Node().Name] || !vw.Reachable() || !owners[vw.Node().Name] {
 			continue
 		}
 		list = append(list, target{
 			name: vw.Node().Name, addr: vw.Node().Peer, hall: vw.Node().Hall,
-			free: room.FreeSlots - vw.Heartbeat().Waiting - len(rt.away[vw.Node().Name]), size: room.Workers,
+			freeSlots: summary.FreeSlots - vw.Heartbeat().Waiting - len(rt.remoteLookups[vw.Node().Name]), workers: summary.Workers,
 		})
 	}
 	return list
 }
 
-// better returns the one of two random targets with more free slots a worker.
-func better(list []target) target {
+// lessLoaded returns the one of two random targets with more free slots per worker.
+func lessLoaded(list []target) target {
 	a, b := list[rand.IntN(len(list))], list[rand.IntN(len(list))]
-	if b.free*a.size > a.free*b.size {
+	if b.freeSlots*a.workers > a.freeSlots*b.workers {
 		return b
 	}
 	return a
 }
 
-// Submit sends a job to the home of its workspace. While the home moves, or
-// cannot be reached, it asks again until the context ends; a request that may
-// have arrived is only repeated under an idempotency key.
+// Submit sends a job to the home of its workspace. While the home is moving or unreachable, it retries until the
+// context ends. A request that may have arrived is only repeated with an idempotency key.
 func (rt *Router) Submit(ctx context.Context, req nodemsg.Submit) (nodemsg.JobView, error) {
-	again := func(er *fault.Error) bool { return !er.Begun || req.Key != "" }
-	return atHome(ctx, rt, ids.Partition(req.Workspace), nodemsg.KindSubmit, req, rt.local.Submit, again)
+	retryable := func(er *fault.Error) bool { return !er.Begun || req.Key != "" }
+	return callHome(ctx, rt, ids.Partition(req.Workspace), nodemsg.KindSubmit, req, rt.local.Submit, retryable)
 }
 
-// Get returns a job from its home, after waiting for its end as long as asked.
+// Get returns a job from its home. It waits for the job's end for at most qu.Wait.
 func (rt *Router) Get(ctx context.Context, qu nodemsg.JobQuery) (nodemsg.JobView, error) {
 	return rt.await(ctx, qu, nodemsg.KindJobGet, rt.local.Get)
 }
 
-// await asks in parts until the job is done, the wait is over, or there is an error.
+// await sends several calls until the job is done, the wait is over, or there is an error.
 func (rt *Router) await(
 	ctx context.Context, qu nodemsg.JobQuery, kd nodemsg.Kind,
 	local func(context.Context, nodemsg.JobQuery) (nodemsg.JobView, error),
 ) (nodemsg.JobView, error) {
 	until := rt.clock.Now().Add(qu.Wait)
 	for {
-		qu.Wait = min(homeWait, until.Sub(rt.clock.Now()))
+		qu.Wait = min(maxHomeWait, until.Sub(rt.clock.Now()))
 		vw, err := rt.query(ctx, qu, kd, local)
 		if err != nil || vw.Answer != "" || !rt.clock.Now().Before(until) || ctx.Err() != nil {
 			return vw, err
@@ -258,7 +256,7 @@
 	}
 }
 
-// Cancel ends a job at its home.
+// Cancel cancels a job at its home.
 func (rt *Router) Cancel(ctx context.Context, qu nodemsg.JobQuery) (nodemsg.JobView, error) {
 	return rt.await(ctx, qu, nodemsg.KindJobCancel, rt.local.Cancel)
 }
@@ -271,21 +269,21 @@
 	if !ok {
 		return nodemsg.JobView{}, fault.New(fault.NotFound, "%q is not a job id", qu.Job)
 	}
-	return atHome(ctx, rt, part, kd, qu, local, func(*fault.Error) bool { return true })
+	return callHome(ctx, rt, part, kd, qu, local, func(*fault.Error) bool { return true })
 }
 
-// atHome asks the home of a partition, and again while that is of use.
-func atHome[Req any](
+// callHome calls the home of a partition, and retries while the home is unavailable and the error is retryable.
+func callHome[Req any](
 	ctx context.Context, rt *Router, part int, kd nodemsg.Kind, req Req,
 	local func(context.Context, Req) (nodemsg.JobView, error),
-	again func(*fault.Error) bool,
+	retryable func(*fault.Error) bool,
 ) (nodemsg.JobView, error) {
 	for {
-		vw, err := rt.askHome(ctx, part, func(addr string) (nodemsg.JobView, error) {
+		vw, err := rt.callCurrentHome(ctx, part, func(addr string) (nodemsg.JobView, error) {
 			if addr == "" {
 				return local(ctx, req)
 			}
-			call, cancel := context.WithTimeout(ctx, homeCall)
+			call, cancel := context.WithTimeout(ctx, homeCallTimeout)
 			defer cancel()
 			return peer.Call[Req, nodemsg.JobView](call, rt.peer, addr, kd, req)
 		})
@@ -293,28 +291,28 @@
 			return vw, nil
 		}
 		er := fault.From(err)
-		if er.Kind != fault.Unavailable || !again(er) {
+		if er.Kind != fault.Unavailable || !retryable(er) {
 			return vw, err
 		}
 		select {
 		case <-ctx.Done():
 			return vw, err
-		case <-rt.clock.After(homePause):
+		case <-rt.clock.After(homeRetryPause):
 		}
 	}
 }
 
-func (rt *Router) askHome(
-	ctx context.Context, part int, ask func(addr string) (nodemsg.JobView, error),
+func (rt *Router) callCurrentHome(
+	ctx context.Context, part int, call func(addr string) (nodemsg.JobView, error),
 ) (nodemsg.JobView, error) {
 	mp := rt.member.Map()
 	name := mp.Homes[part].Node
 	if name == rt.member.Node().Name {
-		return ask("")
+		return call("")
 	}
 	nd, ok := mp.Nodes[name]
 	if !ok || ctx.Err() != nil {
 		return nodemsg.JobView{}, fault.New(fault.Unavailable, "the workspace has no home yet")
 	}
-	return ask(nd.Peer)
+	return call(nd.Peer)
 }
--- a/internal/worker/websocket.go
+++ b/internal/worker/websocket.go
@@ -10,7 +10,7 @@
 	"tackbeam.example/tackbeam/internal/frames"
 )
 
-// dialTimeout bounds the opening of one connection.
+// dialTimeout limits the time to open one connection.
 const dialTimeout = 2 * time.Second
 
 // Dial opens a WebSocket connection to a path of a worker.
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,8 +1,8 @@
-// Package worker is the owner's side of one worker: it takes and renews the
-// worker's lease, gives orders, and sends lookups.
+// Package worker is the owner's client of one worker: it takes and renews the worker's lease, sends orders, and sends
+// lookups.
 //
-// A call that fails before it was sent says so; one that fails afterwards is
-// marked as begun, and only the worker's inventory can settle it.
+// A call that fails before it was sent returns an error without MayHaveRun. After a later failure MayHaveRun is set,
+// and only the worker's inventory shows whether the call was executed.
 package worker
 
 import (
@@ -19,35 +19,35 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// orderTimeout bounds the wait for the reply to an order.
+// orderTimeout limits the wait for the reply to an order.
 const orderTimeout = 3 * time.Second
 
-// Events are what a link tells its owner. They are called one at a time for
-// each connection and must not wait for the link.
+// Events contains the callbacks of a link. For each connection they are called one at a time, and they must not wait
+// for the link.
 type Events struct {
 	// Ended reports the end of a task.
 	Ended func(workermsg.Ended)
-	// Answered reports the answer to a lookup, however late.
+	// Answered reports the answer to a lookup, even a late one.
 	Answered func(workermsg.Answer)
 	// Heartbeat reports a heartbeat that was answered.
 	Heartbeat func(workermsg.Heartbeat)
-	// Leaving reports that the worker takes nothing new.
+	// Leaving reports that the worker accepts no new work.
 	Leaving func()
 	// Lost reports, once, that the link has ended.
 	Lost func(error)
 }
 
-// Options of a link.
+// Options configures a link.
 type Options struct {
 	Name  string
 	Addr  string
 	Owner string
 	Epoch uint64
-	// Dial opens one connection; Dial of this package speaks WebSocket.
+	// Dial opens one connection. This package's Dial uses WebSocket.
 	Dial func(ctx context.Context, addr, path string) (*frames.Conn, error)
 }
 
-// Link is one owner's attachment to one worker.
+// Link is the connection of one owner to one worker.
 type Link struct {
 	opts    Options
 	clock   clockwork.Clock
@@ -56,17 +56,17 @@
 	lookups *frames.Conn
 	hello   workermsg.Hello
 
-	seq     atomic.Uint64
-	mu      sync.Mutex
-	nonce   uint64
-	beatAt  time.Time
-	pending map[uint64]chan workermsg.Reply
-	lost    bool
-	done    chan struct{}
+	seq             atomic.Uint64
+	mu              sync.Mutex
+	nonce           uint64
+	lastHeartbeatAt time.Time
+	pending         map[uint64]chan workermsg.Reply
+	lost            bool
+	done            chan struct{}
 }
 
-// New connects to a worker and takes its lease. A worker that has seen a higher
-// epoch refuses, with an error of kind Conflict.
+// New connects to a worker and takes its lease. A worker that has seen a higher epoch refuses; the error then has the
+// kind Conflict.
 func New(ctx context.Context, clock clockwork.Clock, opts Options, ev Events) (*Link, error) {
 	control, err := opts.Dial(ctx, opts.Addr, workermsg.ControlPath)
 	if err != nil {
@@ -102,23 +102,23 @@
 	}
 	switch {
 	case msg.Refused != nil:
-		return fault.New(fault.Conflict, "worker %s has an owner of epoch %d, ours is %d",
+		return fault.New(fault.Conflict, "worker %s has an owner with epoch %d, which is above this owner's epoch %d",
 			ln.opts.Name, msg.Refused.Epoch, ln.opts.Epoch)
 	case msg.Hello == nil:
-		return errors.Errorf("worker %s did not greet", ln.opts.Name)
+		return errors.Errorf("worker %s did not answer the attach request with a hello", ln.opts.Name)
 	case msg.Hello.Worker != ln.opts.Name:
-		return fault.New(fault.Conflict, "worker %s is at the address of worker %s", msg.Hello.Worker, ln.opts.Name)
+		return fault.New(fault.Conflict, "found worker %s at the address of worker %s", msg.Hello.Worker, ln.opts.Name)
 	}
 	ln.hello = *msg.Hello
 	ln.nonce = msg.Hello.Nonce
-	ln.beatAt = ln.clock.Now()
+	ln.lastHeartbeatAt = ln.clock.Now()
 	return nil
 }
 
-// Hello returns what the worker said when the link was made.
+// Hello returns the worker's hello message from when the link was established.
 func (ln *Link) Hello() workermsg.Hello { return ln.hello }
 
-// Epoch returns the epoch that the lease was taken with.
+// Epoch returns the epoch with which the lease was taken.
 func (ln *Link) Epoch() uint64 { return ln.opts.Epoch }
 
 // HasCapability reports whether the worker has a capability.
@@ -131,15 +131,15 @@
 	return false
 }
 
-// LastHeartbeatAt returns when the last heartbeat came that was answered. The worker's
-// lease ends no later than its length after that moment.
+// LastHeartbeatAt returns when the last answered heartbeat was received. The worker's lease ends no later than its
+// length after that time.
 func (ln *Link) LastHeartbeatAt() time.Time {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	return ln.beatAt
+	return ln.lastHeartbeatAt
 }
 
-// Traffic returns the bytes on the control connection so far.
+// Traffic returns the number of bytes sent and received on the control connection.
 func (ln *Link) Traffic() (sent, received int64) { return ln.control.Traffic() }
 
 func (ln *Link) readControl() {
@@ -158,7 +158,7 @@
 	case msg.Heartbeat != nil:
 		ln.renew(*msg.Heartbeat)
 	case msg.Reply != nil:
-		ln.settle(*msg.Reply)
+		ln.deliverReply(*msg.Reply)
 	case msg.Ended != nil:
 		ln.events.Ended(*msg.Ended)
 	case msg.Leaving != nil:
@@ -166,34 +166,34 @@
 	}
 }
 
-// renew answers a heartbeat. An owner whose lease of this epoch has run out on
-// its own clock was paused, and gives up instead.
-func (ln *Link) renew(bt workermsg.Heartbeat) {
+// renew answers a heartbeat. If the lease of this epoch has expired by the owner's own clock, the owner or the worker
+// was paused, and the link is ended instead.
+func (ln *Link) renew(hb workermsg.Heartbeat) {
 	if ln.LeaseExpired() {
-		ln.end(errors.New("lease ran out while the owner or the worker was paused"))
+		ln.end(errors.New("lease expired while the owner or the worker was paused"))
 		return
 	}
 	ln.mu.Lock()
-	ln.nonce = bt.Nonce
-	ln.beatAt = ln.clock.Now()
+	ln.nonce = hb.Nonce
+	ln.lastHeartbeatAt = ln.clock.Now()
 	ln.mu.Unlock()
-	rn := workermsg.Renew{Epoch: ln.opts.Epoch, Nonce: bt.Nonce}
+	rn := workermsg.Renew{Epoch: ln.opts.Epoch, Nonce: hb.Nonce}
 	if err := ln.control.Send(workermsg.OwnerMessage{Renew: &rn}); err != nil {
 		ln.end(err)
 		return
 	}
-	ln.events.Heartbeat(bt)
+	ln.events.Heartbeat(hb)
 }
 
-// LeaseExpired reports whether the worker's lease may have run out, by this owner's
-// own clock. It is asked right before anything is sent that needs the lease.
+// LeaseExpired reports whether the worker's lease may have expired, by this owner's own clock. It is checked
+// immediately before sending anything that needs the lease.
 func (ln *Link) LeaseExpired() bool {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	return ln.clock.Since(ln.beatAt) > ln.hello.Lease
+	return ln.clock.Since(ln.lastHeartbeatAt) > ln.hello.Lease
 }
 
-func (ln *Link) settle(rp workermsg.Reply) {
+func (ln *Link) deliverReply(rp workermsg.Reply) {
 	ln.mu.Lock()
 	wait, ok := ln.pending[rp.Seq]
 	delete(ln.pending, rp.Seq)
@@ -216,7 +216,7 @@
 	}
 }
 
-// end closes the link once and tells the owner.
+// end closes the link once and notifies the owner.
 func (ln *Link) end(cause error) {
 	ln.mu.Lock()
 	if ln.lost {
@@ -233,21 +233,21 @@
 	ln.events.Lost(cause)
 }
 
-// Close ends the link without giving the lease back.
+// Close ends the link without returning the lease.
 func (ln *Link) Close() { ln.end(errors.New("link was closed")) }
 
-// Detach gives the lease back and ends the link.
+// Detach returns the lease and ends the link.
 func (ln *Link) Detach() {
-	_ = ln.control.Send(workermsg.OwnerMessage{Detach: &workermsg.Detach{Epoch: ln.opts.Epoch}}) // a lost one only delays
+	_ = ln.control.Send(workermsg.OwnerMessage{Detach: &workermsg.Detach{Epoch: ln.opts.Epoch}}) // if it is lost, the lease only ends later
 	ln.Close()
 }
 
-// Start begins a task or, prepared, makes it ready to begin.
+// Start starts a task or, if st.Prepared is set, prepares it to be started.
 func (ln *Link) Start(ctx context.Context, st workermsg.Start) (workermsg.Reply, error) {
 	if ln.LeaseExpired() {
-		return workermsg.Reply{}, fault.New(fault.Unavailable, "the lease of worker %s may have run out", ln.opts.Name)
+		return workermsg.Reply{}, fault.New(fault.Unavailable, "the lease of worker %s may have expired", ln.opts.Name)
 	}
-	return ln.ask(ctx, func(seq uint64) workermsg.OwnerMessage {
+	return ln.call(ctx, func(seq uint64) workermsg.OwnerMessage {
 		st.Seq, st.Epoch = seq, ln.opts.Epoch
 		ln.mu.Lock()
 		st.Nonce = ln.nonce
@@ -256,10 +256,10 @@
 	})
 }
 
-// Verb is an order about one task.
+// Verb builds the message of an order for one task.
 type Verb func(*workermsg.TaskOrder) workermsg.OwnerMessage
 
-// The orders about one task.
+// Orders for one task.
 var (
 	StartPrepared Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{StartPrepared: to} }
 	Stop          Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{Stop: to} }
@@ -267,16 +267,16 @@
 	Checkpoint    Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{Checkpoint: to} }
 )
 
-// Order gives an order about a task and waits for the reply.
+// Order sends an order for a task and waits for the reply.
 func (ln *Link) Order(ctx context.Context, vb Verb, task string) (workermsg.Reply, error) {
-	return ln.ask(ctx, func(seq uint64) workermsg.OwnerMessage {
+	return ln.call(ctx, func(seq uint64) workermsg.OwnerMessage {
 		return vb(&workermsg.TaskOrder{Seq: seq, Epoch: ln.opts.Epoch, Task: task})
 	})
 }
 
-// Throttle slows a task to a percentage of its processors.
+// Throttle limits a task to a percentage of its processors.
 func (ln *Link) Throttle(ctx context.Context, task string, percent int) (workermsg.Reply, error) {
-	return ln.ask(ctx, func(seq uint64) workermsg.OwnerMessage {
+	return ln.call(ctx, func(seq uint64) workermsg.OwnerMessage {
 		return workermsg.OwnerMessage{Throttle: &workermsg.Throttle{
 			Seq: seq, Epoch: ln.opts.Epoch, Task: task, Percent: percent,
 		}}
@@ -293,8 +293,8 @@
 	return ln.control.Send(workermsg.OwnerMessage{Ack: &workermsg.Ack{Task: task}})
 }
 
-// ask sends an order and waits for its reply.
-func (ln *Link) ask(ctx context.Context, build func(seq uint64) workermsg.OwnerMessage) (workermsg.Reply, error) {
+// call sends an order and waits for its reply.
+func (ln *Link) call(ctx context.Context, build func(seq uint64) workermsg.OwnerMessage) (workermsg.Reply, error) {
 	seq := ln.seq.Add(1)
 	wait := make(chan workermsg.Reply, 1)
 	ln.mu.Lock()
@@ -304,10 +304,10 @@
 	}
 	ln.pending[seq] = wait
 	ln.mu.Unlock()
-	defer ln.abandon(seq)
+	defer ln.dropPending(seq)
 	if err := ln.control.Send(build(seq)); err != nil {
 		ln.end(err)
-		return workermsg.Reply{}, ln.unknown(err)
+		return workermsg.Reply{}, ln.noReplyError(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -315,24 +315,24 @@
 	case rp := <-wait:
 		return rp, nil
 	case <-ln.done:
-		return workermsg.Reply{}, ln.unknown(errors.New("link was lost"))
+		return workermsg.Reply{}, ln.noReplyError(errors.New("link was lost"))
 	case <-ctx.Done():
-		return workermsg.Reply{}, ln.unknown(ctx.Err())
+		return workermsg.Reply{}, ln.noReplyError(ctx.Err())
 	}
 }
 
-func (ln *Link) abandon(seq uint64) {
+func (ln *Link) dropPending(seq uint64) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	delete(ln.pending, seq)
 }
 
-func (ln *Link) unknown(cause error) error {
+func (ln *Link) noReplyError(cause error) error {
 	return fault.New(fault.Unavailable, "worker %s did not reply: %v", ln.opts.Name, cause).AfterStart()
 }
 
-// Lookup sends a lookup; the answer comes as an event. An error with Begun set
-// means that the lookup may have been sent.
+// Lookup sends a lookup; the answer is reported as an event. If MayHaveRun of the error is set, the lookup may have
+// been sent.
 func (ln *Link) Lookup(lk workermsg.Lookup) error {
 	ln.mu.Lock()
 	lost := ln.lost
@@ -343,7 +343,7 @@
 	lk.Epoch, lk.Session = ln.opts.Epoch, ln.hello.Session
 	if err := ln.lookups.Send(workermsg.OwnerMessage{Lookup: &lk}); err != nil {
 		ln.end(err)
-		return ln.unknown(err)
+		return ln.noReplyError(err)
 	}
 	return nil
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -15,7 +15,7 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// attach makes a link of an epoch, and a channel with the ends it reports.
+// attach establishes a link with an epoch, and returns it with a channel of the reported ends.
 func attach(t *testing.T, wk *standinworker.Worker, epoch uint64) (*worker.Link, chan workermsg.Ended, error) {
 	t.Helper()
 	ends := make(chan workermsg.Ended, 16)
@@ -46,7 +46,8 @@
 	return wk
 }
 
-// TestOrders gives a worker's orders one after the other.
+// TestOrders sends each kind of order to a worker. A repeated start must not start the task twice, and a fenced task
+// must not start later.
 func TestOrders(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -56,13 +57,13 @@
 	rp, err := ln.Start(ctx, long)
 	is.NoErr(err)
 	is.Equal(rp.State, workermsg.Running)
-	rp, err = ln.Start(ctx, long) // said twice, begun once
+	rp, err = ln.Start(ctx, long) // a repeated start has no effect
 	is.NoErr(err)
 	is.Equal(rp.State, workermsg.Running)
 	time.Sleep(10 * time.Millisecond)
 	rp, err = ln.Order(ctx, worker.Checkpoint, "j.1.0")
 	is.NoErr(err)
-	is.True(rp.Saved > 0) // the work so far is kept
+	is.True(rp.Saved > 0) // the checkpoint has the work so far
 	_, err = ln.Throttle(ctx, "j.1.0", 50)
 	is.NoErr(err)
 	rp, err = ln.Order(ctx, worker.Stop, "j.1.0")
@@ -75,10 +76,11 @@
 	is.Equal(rp.State, workermsg.NotStarted)
 	rp, err = ln.Start(ctx, workermsg.Start{Task: "j.9.0"})
 	is.NoErr(err)
-	is.Equal(rp.Refusal, workermsg.TaskFenced) // a fenced task cannot begin later
+	is.Equal(rp.Refusal, workermsg.TaskFenced) // a fenced task cannot start later
 }
 
-// TestEpochs lets a newer owner in and keeps the older ones out.
+// TestEpochs checks that a worker accepts a newer owner, whose inventory has the running task, and refuses starts and
+// attachments of older ones.
 func TestEpochs(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -87,9 +89,9 @@
 	is.NoErr(err)
 	_, err = old.Start(ctx, workermsg.Start{Task: "j.1.0", Size: size.New(1000, 64, 0), Payload: []byte(`{"run":600}`)})
 	is.NoErr(err)
-	young, _, err := attach(t, wk, 4)
+	newer, _, err := attach(t, wk, 4)
 	is.NoErr(err)
-	is.Equal(len(young.Hello().Tasks), 1) // the inventory has what runs
+	is.Equal(len(newer.Hello().Tasks), 1) // the inventory has the running task
 	rp, err := old.Start(ctx, workermsg.Start{Task: "j.2.0"})
 	is.NoErr(err)
 	is.Equal(rp.Refusal, workermsg.StaleEpoch)
@@ -97,8 +99,8 @@
 	is.True(fault.Is(err, fault.Conflict))
 }
 
-// TestOtherWorker finds another worker at an address that the list of VMs got
-// wrong. Its room must not be counted twice.
+// TestOtherWorker checks that attaching fails if another worker answers at the address, because the list of VMs is
+// wrong. Otherwise the capacity of that worker would be counted twice.
 func TestOtherWorker(t *testing.T) {
 	_, _, err := attach(t, startNamed(t, "w2"), 1)
 	is.New(t).True(fault.Is(err, fault.Conflict))
