--- a/internal/nodemsg/nodemsg.go
+++ b/internal/nodemsg/nodemsg.go
@@ -1,5 +1,5 @@
-// Package nodemsg holds the messages between nodes. They travel as CBOR, one
-// request and one answer to a QUIC stream.
+// Package nodemsg contains the messages between nodes. They are encoded as CBOR, with one request and one response per
+// QUIC stream.
 package nodemsg
 
 import (
@@ -11,10 +11,10 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// Kind tells the requests apart.
+// Kind identifies the kind of a request.
 type Kind uint8
 
-// The kinds of request. The numbers are part of the protocol.
+// Kinds of request. The numbers are part of the protocol.
 const (
 	KindHeartbeat Kind = iota + 1
 	KindRowPush
@@ -36,10 +36,10 @@
 	KindNodeInfo
 )
 
-// Empty is an answer or a request without content.
+// Empty is a request or response without content.
 type Empty struct{}
 
-// Heartbeat is a node's heartbeat; the answer is the other node's.
+// Heartbeat is a node's heartbeat. The response is the heartbeat of the other node.
 type Heartbeat struct {
 	Node           string         `cbor:"1,keyasint"`
 	Incarnation    string         `cbor:"2,keyasint"`
@@ -60,7 +60,7 @@
 	Deleted bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// RowsSince asks for the rows that a node has in versions above After.
+// RowsSince requests the node's rows with versions above After.
 type RowsSince struct {
 	After uint64 `cbor:"1,keyasint"`
 }
@@ -70,13 +70,12 @@
 	Rows []Row `cbor:"1,keyasint"`
 }
 
-// RowState answers a push with the version that the node now has in force.
+// RowState is the response to a push. It contains the version that is now active on the node.
 type RowState struct {
 	Version uint64 `cbor:"1,keyasint"`
 }
 
-// Lookup forwards a caller's lookup to the owner that is to serve it. Budget is
-// the time left.
+// Lookup forwards a caller's lookup to the owner that is to serve it. Budget is the remaining time.
 type Lookup struct {
 	ID         uint64        `cbor:"1,keyasint"`
 	Workspace  string        `cbor:"2,keyasint"`
@@ -88,15 +87,15 @@
 	Body       []byte        `cbor:"8,keyasint"`
 }
 
-// Answer is the answer to a forwarded lookup. ID repeats the lookup's.
+// Answer is the answer to a forwarded lookup. ID is the ID of the lookup.
 type Answer struct {
 	ID     uint64 `cbor:"1,keyasint"`
 	Worker string `cbor:"2,keyasint"`
 	Body   []byte `cbor:"3,keyasint"`
 }
 
-// Submit forwards a job to the home of its workspace. Budget is the time left to
-// its deadline, since clocks differ; zero is none.
+// Submit forwards a job to the home of its workspace. Budget is the remaining time until its deadline, because the
+// clocks of nodes differ; zero means no deadline.
 type Submit struct {
 	Workspace  string        `cbor:"1,keyasint"`
 	Workload   string        `cbor:"2,keyasint"`
@@ -111,19 +110,19 @@
 	Class      string        `cbor:"11,keyasint"`
 }
 
-// JobQuery asks for one job; Wait is how long to wait for its end.
+// JobQuery requests one job. Wait is how long to wait for its end.
 type JobQuery struct {
 	Job  string        `cbor:"1,keyasint"`
 	Wait time.Duration `cbor:"2,keyasint"`
 }
 
-// JobFilter asks for the jobs of a node, at most Limit, newest first.
+// JobFilter requests the jobs of a node, at most Limit, newest first.
 type JobFilter struct {
 	Workspace string `cbor:"1,keyasint"`
 	Limit     int    `cbor:"2,keyasint"`
 }
 
-// JobView is what callers see of a job.
+// JobView describes a job to callers.
 type JobView struct {
 	ID        string    `cbor:"1,keyasint" json:"id"`
 	Workspace string    `cbor:"2,keyasint" json:"workspace"`
@@ -140,11 +139,11 @@
 	Placed    time.Time `cbor:"13,keyasint" json:"placed,omitzero"`
 	Ended     time.Time `cbor:"14,keyasint" json:"ended,omitzero"`
 	Home      string    `cbor:"15,keyasint" json:"home"`
-	// Saved is the work that checkpoints have saved, in nanoseconds of running.
+	// Saved is the work that checkpoints have saved, in nanoseconds of run time.
 	Saved time.Duration `cbor:"16,keyasint,omitempty" json:"saved,omitempty"`
 }
 
-// Task is one task of a job, and where it ran.
+// Task is one task of a job, and the worker that it ran on.
 type Task struct {
 	ID     string `cbor:"1,keyasint" json:"id"`
 	Worker string `cbor:"2,keyasint" json:"worker"`
@@ -156,60 +155,60 @@
 	Jobs []JobView `cbor:"1,keyasint"`
 }
 
-// Hold asks an owner for room for tasks of one size. Expires counts from the
-// moment the owner reads it.
+// Hold requests an owner to hold resources for tasks of one size. Expires is counted from the time when the owner
+// receives the request.
 type Hold struct {
 	ID      string        `cbor:"1,keyasint"`
 	Tasks   []string      `cbor:"2,keyasint"`
 	Size    size.Size     `cbor:"3,keyasint"`
 	Expires time.Duration `cbor:"4,keyasint"`
-	// What follows is as in the policy's hold.
+	// The following fields have the same meaning as in the hold of package policy/owner.
 	Priority    int   `cbor:"5,keyasint"`
 	SubmittedAt int64 `cbor:"6,keyasint"`
 	Reserve     bool  `cbor:"7,keyasint,omitempty"`
 	Urgent      bool  `cbor:"8,keyasint,omitempty"`
 	Repeatable  bool  `cbor:"9,keyasint,omitempty"`
-	// Run is how long the tasks are expected to run; zero is not known.
+	// Run is the expected run time of the tasks; zero if unknown.
 	Run time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
-// HoldReply lists the places that a hold got.
+// HoldReply lists the places granted to a hold.
 type HoldReply struct {
 	Places []Place `cbor:"1,keyasint,omitempty"`
 }
 
-// Place is a task, its worker, and the worker's rack, by which an owner is found.
+// Place is a task, its worker, and the worker's rack, which determines the owner.
 type Place struct {
 	Task   string `cbor:"1,keyasint"`
 	Worker string `cbor:"2,keyasint"`
 	Rack   string `cbor:"3,keyasint"`
-	// Incarnation is the worker's incarnation; another one never had the task.
+	// Incarnation is the worker's incarnation. Other incarnations never had the task.
 	Incarnation string `cbor:"4,keyasint,omitempty"`
 }
 
-// Commit starts the tasks of a hold, or prepares them where all must start together.
+// Commit starts the tasks of a hold, or prepares them if all must start together.
 type Commit struct {
 	ID       string    `cbor:"1,keyasint"`
 	Size     size.Size `cbor:"2,keyasint"`
 	Prepared bool      `cbor:"3,keyasint"`
 	Payload  []byte    `cbor:"4,keyasint,omitempty"`
 	Places   []Place   `cbor:"5,keyasint"`
-	// Priority and Repeatable are kept with the tasks.
+	// Priority and Repeatable are stored with the tasks.
 	Priority   int  `cbor:"6,keyasint"`
 	Repeatable bool `cbor:"7,keyasint,omitempty"`
-	// Resume is the work that the checkpoints of a former attempt saved.
+	// Resume is the work that the checkpoints of an earlier attempt saved.
 	Resume time.Duration `cbor:"8,keyasint,omitempty"`
 }
 
-// Release gives the room of a hold back.
+// Release frees the resources of a hold.
 type Release struct {
 	ID string `cbor:"1,keyasint"`
 }
 
-// Verb is an order about tasks that have been placed.
+// Verb is the kind of an order for placed tasks.
 type Verb uint8
 
-// The verbs. Fate asks how far a task has come and fences one that never arrived.
+// Kinds of order. VerbFence queries the status of a task, and fences a task that never arrived.
 const (
 	VerbStartPrepared Verb = iota + 1
 	VerbStop
@@ -217,14 +216,14 @@
 	VerbCheckpoint
 )
 
-// Order carries a verb for tasks of one owner.
+// Order sends a verb for tasks of one owner.
 type Order struct {
 	Verb  Verb    `cbor:"1,keyasint"`
 	Tasks []Place `cbor:"2,keyasint"`
 }
 
-// TaskStatus is how far a task has come. Known is false where the worker did not
-// answer; then State is what is known otherwise, or empty.
+// TaskStatus is the status of a task. If the worker did not answer, Known is false, and State is empty or what is known
+// from elsewhere.
 type TaskStatus struct {
 	Task    string          `cbor:"1,keyasint"`
 	Known   bool            `cbor:"2,keyasint"`
@@ -235,17 +234,17 @@
 	Saved time.Duration `cbor:"6,keyasint,omitempty"`
 }
 
-// TaskStatuses answers a commit or an order, a fate for each task.
+// TaskStatuses is the response to a commit or an order, with one status per task.
 type TaskStatuses struct {
 	Statuses []TaskStatus `cbor:"1,keyasint"`
 }
 
-// Ack says that the ends of tasks are kept, so that they may be forgotten.
+// Ack reports that the ends of tasks are in the journal, so that the tasks may be forgotten.
 type Ack struct {
 	Tasks []string `cbor:"1,keyasint"`
 }
 
-// TaskEnded tells a home that a task has ended.
+// TaskEnded reports the end of a task to a home.
 type TaskEnded struct {
 	Task    string          `cbor:"1,keyasint"`
 	State   workermsg.State `cbor:"2,keyasint"`
@@ -253,12 +252,13 @@
 	Saved   time.Duration   `cbor:"4,keyasint,omitempty"`
 }
 
-// TaskEndedReply answers TaskEnded. Settled means that the end is kept for good.
+// TaskEndedReply is the response to TaskEnded. Acked means that the task's end need not be reported again, because the
+// journal has the job's end or there is no such job.
 type TaskEndedReply struct {
 	Acked bool `cbor:"1,keyasint"`
 }
 
-// WorkerView is what operators see of a worker.
+// WorkerView describes a worker to operators.
 type WorkerView struct {
 	Name     string    `cbor:"1,keyasint" json:"name"`
 	Hall     string    `cbor:"2,keyasint" json:"hall"`
@@ -278,34 +278,34 @@
 	Workers []WorkerView `cbor:"1,keyasint"`
 }
 
-// Drain asks a node to drain itself, or one of its workers.
+// Drain requests a node to drain itself, or one of its workers.
 type Drain struct {
 	Worker string `cbor:"1,keyasint,omitempty"`
 }
 
-// FetchPartition asks the former home for the records of a partition.
+// FetchPartition requests the records of a partition from its former home.
 type FetchPartition struct {
 	Partition int    `cbor:"1,keyasint"`
 	Epoch     uint64 `cbor:"2,keyasint"`
 	Journal   string `cbor:"3,keyasint"`
-	// After is the key that the page begins after.
+	// After is the key after which the page starts.
 	After string `cbor:"4,keyasint,omitempty"`
 }
 
-// Records are a page of the journal records of one partition, by key.
+// Records is a page of the journal records of one partition, sorted by key.
 type Records struct {
 	Records []Record `cbor:"1,keyasint"`
 	More    bool     `cbor:"2,keyasint,omitempty"`
 }
 
-// Record is the latest state of one job, as the journal keeps it.
+// Record is the latest state of one job, as stored in the journal.
 type Record struct {
 	Key     string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 	Value   []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// NodeInfo is what operators see of a node.
+// NodeInfo describes a node to operators.
 type NodeInfo struct {
 	Name        string         `cbor:"1,keyasint" json:"name"`
 	Incarnation string         `cbor:"2,keyasint" json:"incarnation"`
@@ -325,7 +325,7 @@
 	HTTP        string         `cbor:"16,keyasint" json:"http"`
 }
 
-// ControlUsage is what a node has spent on control since it started.
+// ControlUsage is the resource usage of a node's control plane since it started.
 type ControlUsage struct {
 	CPU             time.Duration `cbor:"1,keyasint" json:"cpu"`
 	Resident        int64         `cbor:"2,keyasint" json:"resident_bytes"`
@@ -340,17 +340,17 @@
 	Uptime          time.Duration `cbor:"11,keyasint" json:"up"`
 }
 
-// Places turns the decisions of an owner into places with racks and machines.
-func Places(from []owner.Place, where func(worker string) (rack, machine string)) []Place {
+// Places converts the places granted by an owner to places with racks and incarnations.
+func Places(from []owner.Place, where func(worker string) (rack, incarnation string)) []Place {
 	places := make([]Place, 0, len(from))
 	for _, pl := range from {
-		rack, machine := where(pl.Worker)
-		places = append(places, Place{Task: pl.Task, Worker: pl.Worker, Rack: rack, Incarnation: machine})
+		rack, incarnation := where(pl.Worker)
+		places = append(places, Place{Task: pl.Task, Worker: pl.Worker, Rack: rack, Incarnation: incarnation})
 	}
 	return places
 }
 
-// TasksOf returns the ids of the tasks at some places.
+// TasksOf returns the ids of the tasks at the places.
 func TasksOf(places []Place) []string {
 	tasks := make([]string, 0, len(places))
 	for _, pl := range places {
--- a/internal/workermsg/workermsg.go
+++ b/internal/workermsg/workermsg.go
@@ -1,9 +1,8 @@
-// Package workermsg holds the messages between an owner and a worker, as the
-// stand-in worker speaks them. The messages travel as CBOR in WebSocket frames.
+// Package workermsg contains the messages between an owner and a worker, as the stand-in worker implements them. The
+// messages are sent as CBOR in WebSocket frames.
 //
-// A worker measures its lease from the moment it sent the beat that a renewal
-// answers. However long a renewal is under way, the lease ends no later than
-// its length after the owner received that beat.
+// A worker measures its lease from the time at which it sent the heartbeat that a renewal answers. However long a
+// renewal takes to arrive, the lease ends no later than its length after the owner received that heartbeat.
 package workermsg
 
 import (
@@ -12,13 +11,13 @@
 	"tackbeam.example/policy/size"
 )
 
-// The paths of a worker's two kinds of connection.
+// Paths of a worker's two kinds of connection.
 const (
 	ControlPath = "/v1/control"
 	LookupPath  = "/v1/lookups"
 )
 
-// OwnerMessage is one message from an owner to a worker; exactly one pointer is set.
+// OwnerMessage is one message from an owner to a worker; exactly one pointer is non-nil.
 type OwnerMessage struct {
 	Attach        *Attach     `cbor:"1,keyasint,omitempty"`
 	Renew         *Renew      `cbor:"2,keyasint,omitempty"`
@@ -34,7 +33,7 @@
 	Drain         *DrainOrder `cbor:"12,keyasint,omitempty"`
 }
 
-// WorkerMessage is one message from a worker to an owner; exactly one pointer is set.
+// WorkerMessage is one message from a worker to an owner; exactly one pointer is non-nil.
 type WorkerMessage struct {
 	Hello     *Hello     `cbor:"1,keyasint,omitempty"`
 	Refused   *Refused   `cbor:"2,keyasint,omitempty"`
@@ -45,32 +44,30 @@
 	Leaving   *Leaving   `cbor:"7,keyasint,omitempty"`
 }
 
-// Attach takes the worker's lease for an owner. The worker refuses an epoch
-// below the highest it has seen.
+// Attach takes the worker's lease for an owner. The worker refuses an epoch below the highest that it has seen.
 type Attach struct {
 	Owner string `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
 }
 
-// Detach gives the worker's lease back.
+// Detach returns the worker's lease.
 type Detach struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
-// DrainOrder tells the worker to drain: it refuses whatever is new.
+// DrainOrder tells the worker to drain: it refuses all new work.
 type DrainOrder struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
-// Renew answers the beat of the nonce and renews the lease of the epoch.
+// Renew answers the heartbeat with the nonce and renews the lease of the epoch.
 type Renew struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 	Nonce uint64 `cbor:"2,keyasint"`
 }
 
-// Start begins a task. The worker refuses it where the beat of the nonce is old,
-// so that a start which was delayed on its way cannot begin late. A prepared
-// task holds its room and begins on Go.
+// Start starts a task. The worker refuses it if the heartbeat with the nonce is too old, so that a delayed start cannot
+// start a task late. A prepared task occupies its resources and starts on StartPrepared.
 type Start struct {
 	Seq      uint64    `cbor:"1,keyasint"`
 	Epoch    uint64    `cbor:"2,keyasint"`
@@ -79,21 +76,21 @@
 	Size     size.Size `cbor:"5,keyasint"`
 	Payload  []byte    `cbor:"6,keyasint,omitempty"`
 	Prepared bool      `cbor:"7,keyasint,omitempty"`
-	// Priority and Repeatable come back in the inventory.
+	// Priority and Repeatable are returned in the inventory.
 	Priority   int  `cbor:"8,keyasint,omitempty"`
 	Repeatable bool `cbor:"9,keyasint,omitempty"`
-	// Resume is the work that the task's last checkpoint saved; it goes on from there.
+	// Resume is the work that the task's last checkpoint saved. The task continues from there.
 	Resume time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
-// TaskOrder is an order that names a task and nothing else.
+// TaskOrder is an order that only names a task.
 type TaskOrder struct {
 	Seq   uint64 `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
 	Task  string `cbor:"3,keyasint"`
 }
 
-// Throttle slows a task to a percentage of its processors.
+// Throttle limits a task to a percentage of its processors.
 type Throttle struct {
 	Seq     uint64 `cbor:"1,keyasint"`
 	Epoch   uint64 `cbor:"2,keyasint"`
@@ -106,9 +103,9 @@
 	Task string `cbor:"1,keyasint"`
 }
 
-// Lookup asks for an answer within Budget of its receipt. The worker refuses it
-// where Session is not that of the last attachment: an owner that has attached
-// anew counts by the inventory, and what it sent before must not begin any more.
+// Lookup requests an answer within Budget of its receipt. The worker refuses it if Session is not the session of the
+// latest attachment: an owner that has attached again relies on the inventory, so lookups that it sent before must no
+// longer start.
 type Lookup struct {
 	ID       uint64        `cbor:"1,keyasint"`
 	Epoch    uint64        `cbor:"2,keyasint"`
@@ -119,16 +116,16 @@
 	Session  uint64        `cbor:"7,keyasint"`
 }
 
-// Capability names something a worker can do that the platform need not promise.
+// Capability is a feature that a worker may have and that the platform does not guarantee.
 type Capability string
 
-// The capabilities that change how an owner makes sure of a task's end.
+// Capabilities that affect how an owner ensures that a task has ended.
 const (
 	Fencing   Capability = "fencing"
 	Inventory Capability = "inventory"
 )
 
-// Hello accepts an Attach and lists what the worker has and runs.
+// Hello accepts an Attach. It contains the worker's capacity and its inventory.
 type Hello struct {
 	Worker       string        `cbor:"1,keyasint"`
 	Incarnation  string        `cbor:"2,keyasint"`
@@ -142,19 +139,19 @@
 	Tasks        []TaskReport  `cbor:"10,keyasint,omitempty"`
 	Lookups      []TaskReport  `cbor:"11,keyasint,omitempty"`
 	Leaving      bool          `cbor:"12,keyasint,omitempty"`
-	// Session tells this attachment from all others of the worker.
+	// Session identifies this attachment among all attachments of the worker.
 	Session uint64 `cbor:"13,keyasint"`
 }
 
-// Refused answers an Attach of a stale epoch with the highest epoch seen.
+// Refused refuses an Attach with a stale epoch. It contains the highest epoch seen.
 type Refused struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
-// State is how far a task has come on a worker.
+// State is the state of a task on a worker.
 type State string
 
-// The states of a task on a worker.
+// States of a task on a worker.
 const (
 	NotStarted   State = "never"
 	Prepared     State = "prepared"
@@ -174,7 +171,7 @@
 	return false
 }
 
-// Started reports whether a task in the state has begun to run.
+// Started reports whether a task in this state has started to run.
 func (st State) Started() bool { return st != NotStarted && st != Prepared }
 
 // TaskReport is one task in a worker's inventory.
@@ -183,14 +180,14 @@
 	State   State     `cbor:"2,keyasint"`
 	Size    size.Size `cbor:"3,keyasint"`
 	Started bool      `cbor:"4,keyasint,omitempty"`
-	// Priority and Repeatable are what the start said.
+	// Priority and Repeatable are the values of the start message.
 	Priority   int  `cbor:"5,keyasint,omitempty"`
 	Repeatable bool `cbor:"6,keyasint,omitempty"`
 	// Saved is the work done at the task's last checkpoint.
 	Saved time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
-// Usage is what one task used of late; the report lags.
+// Usage is the recent resource usage of one task. It is reported with a delay.
 type Usage struct {
 	Task string    `cbor:"1,keyasint"`
 	Size size.Size `cbor:"2,keyasint"`
@@ -202,10 +199,10 @@
 	Usage []Usage `cbor:"2,keyasint,omitempty"`
 }
 
-// Refusal says why a worker did not do as it was told.
+// Refusal is the reason why a worker did not execute an order.
 type Refusal string
 
-// The refusals of a worker. The empty one is consent.
+// Reasons for a refusal. Accepted means that the order was executed.
 const (
 	Accepted      Refusal = ""
 	StaleEpoch    Refusal = "stale epoch"
@@ -217,7 +214,7 @@
 	UnknownTask   Refusal = "no such task"
 )
 
-// Reply answers the order of the same sequence number.
+// Reply answers the order with the same sequence number.
 type Reply struct {
 	Seq     uint64  `cbor:"1,keyasint"`
 	Refusal Refusal `cbor:"2,keyasint,omitempty"`
@@ -227,7 +224,7 @@
 	Saved time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// Ended reports the end of a task, or of a lookup that a former owner sent.
+// Ended reports the end of a task, or of a lookup sent by a former owner.
 type Ended struct {
 	Task    string `cbor:"1,keyasint"`
 	State   State  `cbor:"2,keyasint"`
@@ -236,10 +233,10 @@
 	Saved time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Leaving says that the worker takes nothing new from now on.
+// Leaving reports that the worker accepts no new work from now on.
 type Leaving struct{}
 
-// Answer answers the lookup of the id. Length is the length of the whole body.
+// Answer answers the lookup with the ID. Length is the length of the whole body.
 type Answer struct {
 	ID      uint64  `cbor:"1,keyasint"`
 	Refusal Refusal `cbor:"2,keyasint,omitempty"`
