--- a/internal/advisor/advisor.go
+++ b/internal/advisor/advisor.go
@@ -19,8 +19,8 @@
 	"tackbeam.example/tackbeam/internal/planner"
 )
 
-// Parts of a pool. The fields are seams.
-type Parts struct {
+// Options of a pool. The fields are seams.
+type Options struct {
 	Clock clockwork.Clock
 	// Node is the name of this node.
 	Node string
@@ -34,14 +34,14 @@
 
 // Pool chooses the node for each question.
 type Pool struct {
-	parts Parts
+	parts Options
 	mu    sync.Mutex
 	// free is when each node's queue is expected to be empty.
 	free map[string]time.Time
 }
 
 // New returns a pool whose queues are empty.
-func New(pt Parts) *Pool {
+func New(pt Options) *Pool {
 	return &Pool{parts: pt, free: map[string]time.Time{}}
 }
 
@@ -77,7 +77,7 @@
 	}
 	reply, err := po.parts.Call(call, mb.PeerAddr, peerlink.Request{Advise: &qn})
 	po.note(mb.Node, err)
-	return planner.Advice{Tickets: reply.Tickets, ValidFor: reply.Valid}, err
+	return planner.Advice{Tickets: reply.Tickets, ValidFor: reply.ValidFor}, err
 }
 
 // choose takes the node whose queue is shortest, this one among equals. Questions that
--- a/internal/advisor/advisor_test.go
+++ b/internal/advisor/advisor_test.go
@@ -36,7 +36,7 @@
 					time.Sleep(takes)
 					<-queues[node]
 				}
-				pool := advisor.New(advisor.Parts{
+				pool := advisor.New(advisor.Options{
 					Clock: clock, Node: "a", Members: func() []joblog.Member { return members },
 					Local: func(_ context.Context, qn cell.AdviceRequest) (planner.Advice, error) {
 						ask("a", qn.Takes)
@@ -88,7 +88,7 @@
 					time.Sleep(time.Second)
 					return planner.Advice{}, nil
 				}
-				pool := advisor.New(advisor.Parts{
+				pool := advisor.New(advisor.Options{
 					Clock: clockwork.NewRealClock(), Node: "n00", Members: func() []joblog.Member { return members },
 					Local: func(context.Context, cell.AdviceRequest) (planner.Advice, error) { return ask() },
 					Call: func(context.Context, string, peerlink.Request) (peerlink.Reply, error) {
--- a/internal/cellnode/calm_test.go
+++ b/internal/cellnode/calm_test.go
@@ -67,7 +67,7 @@
 		const looks, every = 2000, 10 * time.Millisecond
 		for range looks {
 			time.Sleep(every)
-			if nd.Configured() != nil {
+			if nd.CheckConfig() != nil {
 				refused++
 			}
 		}
--- a/internal/cellnode/cellnode.go
+++ b/internal/cellnode/cellnode.go
@@ -103,10 +103,10 @@
 		Key: ad.ConfigKey, Decode: ad.DecodeConfig, Activate: nd.configure,
 		Node: ad.Site.Node, Link: ad.Site.Link, Members: nd.term.Members, Request: nd.askConfig,
 	})
-	nd.pool = advisor.New(advisor.Parts{
+	nd.pool = advisor.New(advisor.Options{
 		Clock: clock, Node: ad.Site.Node, Members: nd.term.Members, Local: nd.advise, Call: nd.link.Call,
 	})
-	nd.health.OnReturn(nd.config.Refresh)
+	nd.health.OnRecovery(nd.config.Refresh)
 	nd.measureConfig()
 	nd.relay = &relay.Relay{Node: ad.Site.Node, Members: nd.term.Members, Call: nd.link.Call}
 	nd.planner = planner.New(planner.Options{
--- a/internal/cellnode/config.go
+++ b/internal/cellnode/config.go
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// Configured reports why routes that are not in the table may exist all the same.
-func (nd *Node) Configured() error {
+// CheckConfig reports why routes that are not in the table may exist all the same.
+func (nd *Node) CheckConfig() error {
 	if err := nd.knows(); err != nil {
 		return err
 	}
--- a/internal/cellnode/requests.go
+++ b/internal/cellnode/requests.go
@@ -111,7 +111,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 	defer cancel()
-	_, err := nd.ask(ctx, peerlink.Request{Written: &wr})
+	_, err := nd.ask(ctx, peerlink.Request{Batch: &wr})
 	return err
 }
 
@@ -125,7 +125,7 @@
 		return nd.tellConfig(ctx, *rq.Config)
 	case rq.Advise != nil:
 		answer, err := nd.advise(ctx, *rq.Advise)
-		return peerlink.Reply{Tickets: answer.Tickets, Valid: answer.ValidFor}, err
+		return peerlink.Reply{Tickets: answer.Tickets, ValidFor: answer.ValidFor}, err
 	}
 	return nd.fromPlanner(ctx, rq)
 }
@@ -175,8 +175,8 @@
 	case rq.Pending != "":
 		count, err := nd.planner.Pending(rq.Pending)
 		return peerlink.Reply{Pending: count}, err
-	case rq.Written != nil:
-		return peerlink.Reply{}, nd.planner.AddBatch(*rq.Written)
+	case rq.Batch != nil:
+		return peerlink.Reply{}, nd.planner.AddBatch(*rq.Batch)
 	}
 	return peerlink.Reply{}, fault.New(fault.BadRequest, "request asks for nothing")
 }
--- a/internal/feed/bed_test.go
+++ b/internal/feed/bed_test.go
@@ -255,13 +255,13 @@
 	_, slow := nd.bed.faults()
 	if cut {
 		<-ctx.Done()
-		return kv.ErrLost
+		return kv.ErrNoAnswer
 	}
 	if !wait(ctx, reset, time.Now().Add(slow)) {
-		return kv.ErrLost
+		return kv.ErrNoAnswer
 	}
 	if !carry(reset, bytes, &nd.bed.out, &nd.down) {
-		return kv.ErrLost
+		return kv.ErrNoAnswer
 	}
 	return err
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -131,7 +131,7 @@
 	// vouched is when another node was last asked how old its copy is.
 	vouched time.Time
 	// retry gives the pauses between tries.
-	retry kv.Retry
+	retry kv.Backoff
 	// Of the present change: readLast is set where the last try was to read whole, asked is how
 	// many readers were left for the next one, failed how many in turn did not answer or were busy.
 	readLast      bool
@@ -218,7 +218,7 @@
 		fd.timeouts++
 	}
 	fd.timedOut = false
-	loop.Pause(ctx, fd.clock, fd.retry.After(err))
+	loop.Pause(ctx, fd.clock, fd.retry.Next(err))
 }
 
 // most is the largest answer that this node takes where it has no version yet, or lost its place; 0
@@ -256,7 +256,7 @@
 	case errors.Is(err, kv.ErrTooLarge):
 		fd.fallBehind(false)
 		return nil
-	case errors.Is(err, kv.ErrHistoryGone):
+	case errors.Is(err, kv.ErrCompacted):
 		fd.log.Info("Watch lost history; reading anew.", "after", after)
 		fd.losePlace()
 		return nil
@@ -269,7 +269,7 @@
 	for _, item := range events.Items {
 		fd.take(item)
 	}
-	fd.current(sent, events.At)
+	fd.current(sent, events.Revision)
 	return nil
 }
 
@@ -295,7 +295,7 @@
 // recordCall records whether a call to the store timed out, resets the timeout count after an
 // answer, and logs a call that had none.
 func (fd *Feed) recordCall(call context.Context, name string, sent time.Time, err error) {
-	if err == nil || errors.Is(err, kv.ErrTooLarge) || errors.Is(err, kv.ErrHistoryGone) {
+	if err == nil || errors.Is(err, kv.ErrTooLarge) || errors.Is(err, kv.ErrCompacted) {
 		fd.timeouts, fd.timedOut = 0, false
 		return
 	}
@@ -320,7 +320,7 @@
 		fd.asOf = sent
 	}
 	fd.mu.Unlock()
-	fd.retry.Succeeded()
+	fd.retry.Reset()
 	if fd.setDown(false) {
 		fd.log.Info("The configuration is known again.")
 	}
--- a/internal/feed/take.go
+++ b/internal/feed/take.go
@@ -14,7 +14,7 @@
 
 // take takes a value of the key in, unless the copy is as late.
 func (fd *Feed) take(item kv.Item) {
-	if item.Gone || item.Revision == 0 {
+	if item.Deleted || item.Revision == 0 {
 		return // nothing is in force but what was
 	}
 	fd.mu.Lock()
--- a/internal/httpcall/ended_test.go
+++ b/internal/httpcall/ended_test.go
@@ -38,7 +38,7 @@
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 				defer cancel()
 				_, err := calls.Do(ctx, httpcall.Request{
-					Method: fasthttp.MethodPost, Address: ln.Addr().String(), Path: "/", Polls: true, Again: tt.again,
+					Method: fasthttp.MethodPost, Address: ln.Addr().String(), Path: "/", LongPoll: true, Idempotent: tt.again,
 				})
 				return err
 			}
--- a/internal/httpcall/flow.go
+++ b/internal/httpcall/flow.go
@@ -33,7 +33,7 @@
 // Read reads what has come, which gives an answer that flows more time.
 func (fl *flow) Read(room []byte) (int, error) {
 	count, err := fl.Conn.Read(room)
-	if count == 0 || !fl.rq.Flows {
+	if count == 0 || !fl.rq.Streamed {
 		return count, err
 	}
 	if fl.came == 0 {
@@ -67,7 +67,7 @@
 	case err == nil:
 		return nil
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return errors.Wrapf(ErrTooLarge, "over %d bytes", fl.rq.Most)
+		return errors.Wrapf(ErrTooLarge, "over %d bytes", fl.rq.MaxBody)
 	case fl.came > 0:
 		return errors.Wrapf(err, "after %d bytes of the answer", fl.came)
 	}
--- a/internal/httpcall/flow_test.go
+++ b/internal/httpcall/flow_test.go
@@ -68,11 +68,11 @@
 		ok      bool
 		within  time.Duration
 	}{
-		"slow and whole":      {"/", httpcall.Request{Flows: true}, 0, true, 2 * time.Second},
-		"held, then slow":     {"/held", httpcall.Request{Flows: true, Waits: time.Second}, 0, true, 3 * time.Second},
-		"silent midway":       {"/", httpcall.Request{Flows: true}, 700 * time.Millisecond, false, 700*time.Millisecond + stall},
-		"silent at first":     {"/held", httpcall.Request{Flows: true, Waits: time.Second}, 300 * time.Millisecond, false, time.Second + firstByte},
-		"held longer than is": {"/held", httpcall.Request{Flows: true}, 0, false, firstByte},
+		"slow and whole":      {"/", httpcall.Request{Streamed: true}, 0, true, 2 * time.Second},
+		"held, then slow":     {"/held", httpcall.Request{Streamed: true, ServerWait: time.Second}, 0, true, 3 * time.Second},
+		"silent midway":       {"/", httpcall.Request{Streamed: true}, 700 * time.Millisecond, false, 700*time.Millisecond + stall},
+		"silent at first":     {"/held", httpcall.Request{Streamed: true, ServerWait: time.Second}, 300 * time.Millisecond, false, time.Second + firstByte},
+		"held longer than is": {"/held", httpcall.Request{Streamed: true}, 0, false, firstByte},
 	}
 	for name, tc := range cases {
 		for _, polls := range []bool{false, true} {
@@ -84,9 +84,9 @@
 					time.AfterFunc(tc.silence, fr.path.Silence)
 				}
 				rq := tc.rq
-				rq.Polls = polls
+				rq.LongPoll = polls
 				began := time.Now()
-				err := fr.call(tc.path, rq, rq.Waits+firstByte)
+				err := fr.call(tc.path, rq, rq.ServerWait+firstByte)
 				took := time.Since(began)
 				t.Logf("%v after %v", err, took)
 				is.Equal(err == nil, tc.ok)
@@ -105,7 +105,7 @@
 	const after = 300 * time.Millisecond
 	time.AfterFunc(after, cancel)
 	began := time.Now()
-	_, err := fr.calls.Do(ctx, httpcall.Request{Method: fasthttp.MethodGet, Address: fr.path.Address(), Path: "/", Polls: true, Flows: true})
+	_, err := fr.calls.Do(ctx, httpcall.Request{Method: fasthttp.MethodGet, Address: fr.path.Address(), Path: "/", LongPoll: true, Streamed: true})
 	is.True(err != nil)
 	is.True(time.Since(began) <= after+margin)
 }
@@ -117,10 +117,10 @@
 	fr := newStore(t)
 	const most = 64 << 10
 	began := time.Now()
-	err := fr.call("/", httpcall.Request{Flows: true, Polls: true, Most: most}, time.Second)
+	err := fr.call("/", httpcall.Request{Streamed: true, LongPoll: true, MaxBody: most}, time.Second)
 	is.True(errors.Is(err, httpcall.ErrTooLarge))
 	is.True(time.Since(began) <= margin)
-	is.NoErr(fr.call("/short", httpcall.Request{Flows: true, Polls: true, Most: most}, time.Second))
+	is.NoErr(fr.call("/short", httpcall.Request{Streamed: true, LongPoll: true, MaxBody: most}, time.Second))
 	time.Sleep(margin)
 	t.Log("carried", fr.path.Carried())
 	is.True(fr.path.Carried() <= most)
@@ -133,7 +133,7 @@
 	fr.open(2)
 	opened := fr.path.Opened()
 	done := make(chan error, 1)
-	go func() { done <- fr.call("/", httpcall.Request{Flows: true}, 10*time.Second) }()
+	go func() { done <- fr.call("/", httpcall.Request{Streamed: true}, 10*time.Second) }()
 	time.Sleep(time.Second) // more than an answer may take to begin
 	is.NoErr(fr.call("/short", httpcall.Request{}, time.Second))
 	is.Equal(fr.path.Opened(), opened)
--- a/internal/httpcall/host.go
+++ b/internal/httpcall/host.go
@@ -91,7 +91,7 @@
 func (ho *host) exchange(req *fasthttp.Request, res *fasthttp.Response, deadline time.Time, rq Request) error {
 	left := time.Until(deadline)
 	if left <= 0 {
-		return errors.Wrap(ErrUnsent, "the deadline is over")
+		return errors.Wrap(ErrNotSent, "the deadline is over")
 	}
 	cc, err := ho.pool.AcquireConn(left, false)
 	for err == nil && ho.doubted(cc.LastUseTime()) {
@@ -102,12 +102,12 @@
 		return acquireError(err)
 	}
 	sent := time.Now()
-	onTime := ho.watch(sent, min(rq.Waits+overdue, deadline.Sub(sent)))
+	onTime := ho.watch(sent, min(rq.ServerWait+overdue, deadline.Sub(sent)))
 	defer onTime()
 	fl := &flow{Conn: cc.Conn(), until: deadline, rq: rq, began: onTime}
 	if err := fl.SetDeadline(deadline); err != nil {
 		ho.pool.CloseConn(cc)
-		return errors.Wrap(ErrUnsent, err.Error())
+		return errors.Wrap(ErrNotSent, err.Error())
 	}
 	writer := ho.pool.AcquireWriter(fl)
 	if err = req.Write(writer); err == nil {
@@ -116,7 +116,7 @@
 	ho.pool.ReleaseWriter(writer)
 	if err == nil {
 		reader := ho.pool.AcquireReader(fl)
-		err = res.ReadLimitBody(reader, rq.Most)
+		err = res.ReadLimitBody(reader, rq.MaxBody)
 		ho.pool.ReleaseReader(reader)
 	}
 	if err != nil && fl.over() {
@@ -136,7 +136,7 @@
 	if errors.Is(err, connlimit.ErrLimitReached) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return errors.Wrap(ErrNoDescriptor, err.Error())
 	}
-	return errors.Wrap(ErrUnsent, err.Error())
+	return errors.Wrap(ErrNotSent, err.Error())
 }
 
 // watch has a call that was sent at a time count as overdue after a while. The function that it
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -32,20 +32,20 @@
 	// Header holds further names and values by turns.
 	Header []string
 	Body   []byte
-	// Polls is set for calls whose answer may wait for an event: they are given up
+	// LongPoll is set for calls whose answer may wait for an event: they are given up
 	// as soon as the context ends.
-	Polls bool
-	// Waits is how long the other side may hold its answer back before it is at work.
-	Waits time.Duration
-	// Again is set for calls that may be carried out twice: one that is overdue is sent
+	LongPoll bool
+	// ServerWait is how long the other side may hold its answer back before it is at work.
+	ServerWait time.Duration
+	// Idempotent is set for calls that may be carried out twice: one that is overdue is sent
 	// again beside the first, and the first answer counts.
-	Again bool
-	// Flows is set for calls whose answer may be of any size: it has to begin before the context's
+	Idempotent bool
+	// Streamed is set for calls whose answer may be of any size: it has to begin before the context's
 	// deadline, and is then waited for as long as it keeps coming.
-	Flows bool
-	// Most is the size of the largest body that is taken, in bytes; 0 is any. The connection of
+	Streamed bool
+	// MaxBody is the size of the largest body that is taken, in bytes; 0 is any. The connection of
 	// a larger one closes before it has come.
-	Most int
+	MaxBody int
 
 	// flowing is set once an answer that flows has begun.
 	flowing *atomic.Bool
@@ -55,17 +55,17 @@
 type Response struct {
 	Status int
 	Body   []byte
-	// Open is set where another try of the call has no answer: it may have been carried
+	// UnansweredAttempt is set where another try of the call has no answer: it may have been carried
 	// out, or may be yet.
-	Open bool
+	UnansweredAttempt bool
 }
 
 var (
-	// ErrUnsent means that the call surely did not reach the other side.
-	ErrUnsent = errors.New("the call was not sent")
+	// ErrNotSent means that the call surely did not reach the other side.
+	ErrNotSent = errors.New("the call was not sent")
 	// ErrNoDescriptor is an ErrUnsent caused by this process, not by the other side: it has reached its limit of
 	// connections or file descriptors.
-	ErrNoDescriptor = fmt.Errorf("%w: no file descriptor available", ErrUnsent)
+	ErrNoDescriptor = fmt.Errorf("%w: no file descriptor available", ErrNotSent)
 	// ErrTooLarge means that the answer is larger than the caller takes.
 	ErrTooLarge = errors.New("the answer is larger than asked for")
 )
@@ -90,9 +90,9 @@
 	mostTimes = 3
 )
 
-// Idle is how long the other side should keep an unused connection: somewhat longer than
+// ServerIdleTimeout is how long the other side should keep an unused connection: somewhat longer than
 // this side, so that no call meets its end.
-const Idle = idle + idle/2
+const ServerIdleTimeout = idle + idle/2
 
 // Caller keeps the connections to any number of addresses.
 type Caller struct {
@@ -150,13 +150,13 @@
 
 // Do makes a call and waits until its answer or the context's deadline.
 func (cl *Caller) Do(ctx context.Context, rq Request) (Response, error) {
-	if !rq.Polls && !rq.Again {
+	if !rq.LongPoll && !rq.Idempotent {
 		return cl.do(ctx, rq)
 	}
 	const most = 2
 	rq.flowing = &atomic.Bool{}
 	ts := &tries{caller: cl, ctx: ctx, rq: rq, began: time.Now(), done: make(chan outcome, most), left: 1}
-	if rq.Again {
+	if rq.Idempotent {
 		ts.left = most
 	}
 	return ts.run()
@@ -188,8 +188,8 @@
 	return Response{Status: res.StatusCode(), Body: append([]byte(nil), res.Body()...)}, nil
 }
 
-// Quiet returns a logger of the HTTP library that tells of nothing but oddities.
-func Quiet(log logr.Logger) fasthttp.Logger { return quiet{log} }
+// LibraryLogger returns a logger of the HTTP library that tells of nothing but oddities.
+func LibraryLogger(log logr.Logger) fasthttp.Logger { return quiet{log} }
 
 type quiet struct{ log logr.Logger }
 
--- a/internal/httpcall/limit_test.go
+++ b/internal/httpcall/limit_test.go
@@ -92,7 +92,7 @@
 	}
 	err := ms.call(calls, maxConns, "/", work/10)
 	is.True(errors.Is(err, httpcall.ErrNoDescriptor))
-	is.True(errors.Is(err, httpcall.ErrUnsent))
+	is.True(errors.Is(err, httpcall.ErrNotSent))
 	is.NoErr(ms.call(counted, maxConns, "/", patience))
 	time.AfterFunc(work, func() { close(ms.release) })
 	is.NoErr(ms.call(calls, maxConns+1, "/", 5*time.Second))
--- a/internal/httpcall/silence_test.go
+++ b/internal/httpcall/silence_test.go
@@ -113,7 +113,7 @@
 			fr.path.Silence()
 			began := time.Now()
 			lost := 0
-			for fr.call("/", httpcall.Request{Polls: tc.polls}, patience) != nil {
+			for fr.call("/", httpcall.Request{LongPoll: tc.polls}, patience) != nil {
 				lost++
 			}
 			took := time.Since(began)
@@ -190,7 +190,7 @@
 	time.Sleep(work / 4)
 	err := fr.call("/", httpcall.Request{}, work/4)
 	group.Wait()
-	is.True(errors.Is(err, httpcall.ErrUnsent))
+	is.True(errors.Is(err, httpcall.ErrNotSent))
 }
 
 // TestSilenceOfAll: calls at once held every connection that an address may have, all silent.
@@ -229,7 +229,7 @@
 	before, peak := int(fr.server.GetOpenConnectionsCount())-1, 0
 	for range 6 {
 		for range most {
-			group.Go(func() { _ = fr.call("/slow", httpcall.Request{Waits: -overdue}, longPatience) }) // overdue at once
+			group.Go(func() { _ = fr.call("/slow", httpcall.Request{ServerWait: -overdue}, longPatience) }) // overdue at once
 		}
 		time.Sleep(work / 10)
 		peak = max(peak, int(fr.server.GetOpenConnectionsCount())-before)
--- a/internal/httpcall/tries.go
+++ b/internal/httpcall/tries.go
@@ -28,7 +28,7 @@
 
 func (ts *tries) run() (Response, error) {
 	ts.begin()
-	timer := time.NewTimer(ts.rq.Waits + overdue)
+	timer := time.NewTimer(ts.rq.ServerWait + overdue)
 	defer timer.Stop()
 	given := ts.ctx.Done()
 	for {
@@ -36,7 +36,7 @@
 		case out := <-ts.done:
 			ts.open--
 			if out.err == nil {
-				out.res.Open = ts.open > 0 || ts.lost != nil
+				out.res.UnansweredAttempt = ts.open > 0 || ts.lost != nil
 				return out.res, nil
 			}
 			if err := ts.failed(out.err); err != nil {
@@ -81,7 +81,7 @@
 // open or begins. A request that was sent on a connection that had ended is sent again at
 // once: kept connections end all together when the other side starts anew.
 func (ts *tries) failed(err error) error {
-	if !errors.Is(err, ErrUnsent) {
+	if !errors.Is(err, ErrNotSent) {
 		ts.lost = err
 		ts.again()
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -88,7 +88,7 @@
 	is.Equal(first, second)
 	is.Equal(len(second), 1)
 	is.NoErr(journal.Erase(context.Background(), cl, "n1-a"))
-	items, _, err := cl.List(context.Background(), store.Rest, journal.Prefix)
+	items, _, err := cl.List(context.Background(), store.Other, journal.Prefix)
 	is.NoErr(err)
 	is.Equal(len(items), 1) // the seal stays, see TestWriterWakesAfterErase
 	left, err := journal.Seal(context.Background(), cl, "n1-a")
--- a/internal/journal/seal.go
+++ b/internal/journal/seal.go
@@ -124,7 +124,7 @@
 				return err
 			}
 		}
-		if _, _, err := cl.Put(ctx, store.Rest, wr); err != nil {
+		if _, _, err := cl.Put(ctx, store.Other, wr); err != nil {
 			return err
 		}
 	}
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -16,8 +16,8 @@
 	Value []byte
 	// Revision of the last change, counted over all keys.
 	Revision uint64
-	// Gone is set in events of keys that were removed.
-	Gone bool
+	// Deleted is set in events of keys that were removed.
+	Deleted bool
 }
 
 // Page is a part of the keys with a prefix.
@@ -25,14 +25,14 @@
 	Items []Item
 	// More is true where keys follow after the last one.
 	More bool
-	// At is the store's revision when the page was read.
-	At uint64
+	// Revision is the store's revision when the page was read.
+	Revision uint64
 }
 
 // Events are changes, in their order. The next watch goes on from At.
 type Events struct {
-	Items []Item
-	At    uint64
+	Items    []Item
+	Revision uint64
 }
 
 // Condition demands that a key's last change has a revision; 0 demands its absence.
@@ -52,7 +52,7 @@
 type Txn struct {
 	Conditions []Condition
 	Puts       []Put
-	Removes    []string
+	Deletes    []string
 }
 
 // MaxEntries is the most conditions, puts and removes of one transaction.
@@ -78,26 +78,26 @@
 	Commit func(ctx context.Context, txn Txn) (uint64, []Item, error)
 	// Grant makes a lease.
 	Grant func(ctx context.Context, ttl time.Duration) (uint64, error)
-	// Keep renews a lease.
-	Keep func(ctx context.Context, lease uint64) error
-	// End ends a lease with its keys.
-	End func(ctx context.Context, lease uint64) error
+	// Renew renews a lease.
+	Renew func(ctx context.Context, lease uint64) error
+	// Revoke ends a lease with its keys.
+	Revoke func(ctx context.Context, lease uint64) error
 }
 
 // The kinds of errors.
 var (
 	// ErrConflict means that a condition did not hold; nothing was done.
 	ErrConflict = errors.New("a condition of the transaction does not hold")
-	// ErrLeaseGone means that the lease is over; nothing was done.
-	ErrLeaseGone = errors.New("the lease is over")
-	// ErrHistoryGone means that the changes since the revision are forgotten.
-	ErrHistoryGone = errors.New("the history since that revision is gone")
+	// ErrLeaseExpired means that the lease is over; nothing was done.
+	ErrLeaseExpired = errors.New("the lease is over")
+	// ErrCompacted means that the changes since the revision are forgotten.
+	ErrCompacted = errors.New("the history since that revision is gone")
 	// ErrTooLarge means that the answer is there but larger than the caller takes.
 	ErrTooLarge = errors.New("the answer is larger than asked for")
 	// ErrRefused means that the service did nothing.
 	ErrRefused = errors.New("the store refused the call")
-	// ErrLimited is an ErrRefused: the calls of all nodes together are over the service's rate.
-	ErrLimited = fmt.Errorf("%w: over its rate", ErrRefused)
-	// ErrLost means that the call may have been carried out, or may be yet.
-	ErrLost = errors.New("the store did not answer")
+	// ErrRateLimited is an ErrRefused: the calls of all nodes together are over the service's rate.
+	ErrRateLimited = fmt.Errorf("%w: over its rate", ErrRefused)
+	// ErrNoAnswer means that the call may have been carried out, or may be yet.
+	ErrNoAnswer = errors.New("the store did not answer")
 )
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -17,8 +17,8 @@
 func TestReadsPages(t *testing.T) {
 	is := is.New(t)
 	pages := map[string]kv.Page{
-		"":  {Items: []kv.Item{{Key: "a"}, {Key: "b"}}, More: true, At: 7},
-		"b": {Items: []kv.Item{{Key: "c"}}, At: 9},
+		"":  {Items: []kv.Item{{Key: "a"}, {Key: "b"}}, More: true, Revision: 7},
+		"b": {Items: []kv.Item{{Key: "c"}}, Revision: 9},
 	}
 	st := &kv.Store{Range: func(_ context.Context, _, after string, _ bool) (kv.Page, error) {
 		return pages[after], nil
@@ -34,9 +34,9 @@
 func TestReadsOn(t *testing.T) {
 	is := is.New(t)
 	pages := map[string]kv.Page{
-		"":  {Items: []kv.Item{{Key: "a"}}, More: true, At: 9},
-		"a": {Items: []kv.Item{{Key: "b"}}, More: true, At: 7}, // an older answer
-		"b": {Items: []kv.Item{{Key: "c"}}, At: 9},
+		"":  {Items: []kv.Item{{Key: "a"}}, More: true, Revision: 9},
+		"a": {Items: []kv.Item{{Key: "b"}}, More: true, Revision: 7}, // an older answer
+		"b": {Items: []kv.Item{{Key: "c"}}, Revision: 9},
 	}
 	var asked []string
 	st := &kv.Store{Range: func(_ context.Context, _, after string, _ bool) (kv.Page, error) {
@@ -67,11 +67,11 @@
 			is.True(ok)
 			left = time.Until(deadline)
 			<-ctx.Done()
-			return kv.Page{}, kv.ErrLost
+			return kv.Page{}, kv.ErrNoAnswer
 		}}
 		reading := st.Read(clockwork.NewRealClock(), "")
 		for _, ms := range []time.Duration{300, 300, 300, 600, 1200, 2000, 2000} {
-			is.Equal(reading.On(t.Context()), kv.ErrLost)
+			is.Equal(reading.On(t.Context()), kv.ErrNoAnswer)
 			is.Equal(left, ms*time.Millisecond)
 		}
 	})
@@ -88,7 +88,7 @@
 			deadline, _ := ctx.Deadline()
 			left = append(left, time.Until(deadline)/time.Millisecond)
 			time.Sleep(takes[len(after)] * time.Millisecond)
-			return kv.Page{Items: []kv.Item{{Key: after + "a"}}, More: len(after)+1 < len(takes), At: 1}, ctx.Err()
+			return kv.Page{Items: []kv.Item{{Key: after + "a"}}, More: len(after)+1 < len(takes), Revision: 1}, ctx.Err()
 		}}
 		is.NoErr(st.Read(clockwork.NewRealClock(), "").On(t.Context()))
 		is.Equal(left, []time.Duration{300, 400, 780, 1540, 3000, 4000})
--- a/internal/kv/reading.go
+++ b/internal/kv/reading.go
@@ -28,9 +28,9 @@
 	alike = 3
 )
 
-// Reading is a read of every key with a prefix, in pages. A try that failed loses its page
+// Scanner is a read of every key with a prefix, in pages. A try that failed loses its page
 // only: of 16 pages at 35% of answers lost, one in a thousand reads would pass whole.
-type Reading struct {
+type Scanner struct {
 	store  *Store
 	clock  clockwork.Clock
 	prefix string
@@ -48,13 +48,13 @@
 }
 
 // Read returns a reading of the keys with a prefix that On carries out.
-func (st *Store) Read(clock clockwork.Clock, prefix string) *Reading {
-	return &Reading{store: st, clock: clock, prefix: prefix, limit: firstPage, usual: firstPage}
+func (st *Store) Read(clock clockwork.Clock, prefix string) *Scanner {
+	return &Scanner{store: st, clock: clock, prefix: prefix, limit: firstPage, usual: firstPage}
 }
 
 // On reads on until the end, or until a page fails; the next call asks for that page
 // again.
-func (rd *Reading) On(ctx context.Context) error {
+func (rd *Scanner) On(ctx context.Context) error {
 	for !rd.whole {
 		if err := rd.page(ctx); err != nil {
 			return err
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (rd *Reading) page(ctx context.Context) error {
+func (rd *Scanner) page(ctx context.Context) error {
 	sent := rd.clock.Now()
 	call, cancel := context.WithTimeout(ctx, rd.limit)
 	defer cancel()
@@ -81,17 +81,17 @@
 }
 
 // lengthen gives a page more time that did not come in what it had.
-func (rd *Reading) lengthen() {
+func (rd *Scanner) lengthen() {
 	if rd.late++; rd.late >= alike {
 		rd.limit = min(rd.limit*growth, max(rd.usual, unseenPage))
 	}
 }
 
-func (rd *Reading) take(page Page, sent time.Time) {
+func (rd *Scanner) take(page Page, sent time.Time) {
 	if rd.at == 0 {
-		rd.at, rd.began = page.At, sent
+		rd.at, rd.began = page.Revision, sent
 	}
-	rd.at = min(rd.at, page.At)
+	rd.at = min(rd.at, page.Revision)
 	rd.items = append(rd.items, page.Items...)
 	rd.whole = !page.More || len(page.Items) == 0
 	if !rd.whole {
@@ -101,11 +101,11 @@
 
 // Items returns what was read, each page as it was when it was read: together they are no
 // snapshot.
-func (rd *Reading) Items() []Item { return rd.items }
+func (rd *Scanner) Items() []Item { return rd.items }
 
 // At returns the lowest revision of the pages: a watch from there misses no change of any
 // of them, and brings some again.
-func (rd *Reading) At() uint64 { return rd.at }
+func (rd *Scanner) At() uint64 { return rd.at }
 
 // Began returns when the first page was asked for; what was read may be as old.
-func (rd *Reading) Began() time.Time { return rd.began }
+func (rd *Scanner) Began() time.Time { return rd.began }
--- a/internal/kv/retry.go
+++ b/internal/kv/retry.go
@@ -8,10 +8,10 @@
 	"tackbeam.example/policy/backoff"
 )
 
-// Retry gives the pauses between tries of a call that fails. They stay short while the service is away, so that
+// Backoff gives the pauses between tries of a call that fails. They stay short while the service is away, so that
 // its return is noticed at once, and double while the calls of all nodes are over its rate: with short ones
 // the nodes keep each other over it for ever. The zero value is ready.
-type Retry struct{ limited int }
+type Backoff struct{ limited int }
 
 var (
 	// awayPause is the pause while the service is away.
@@ -20,9 +20,9 @@
 	limitedPause = backoff.Backoff{Initial: 160 * time.Millisecond, Max: 5 * time.Second}
 )
 
-// After returns the pause after a try that ended with an error.
-func (rt *Retry) After(err error) time.Duration {
-	if !errors.Is(err, ErrLimited) {
+// Next returns the pause after a try that ended with an error.
+func (rt *Backoff) Next(err error) time.Duration {
+	if !errors.Is(err, ErrRateLimited) {
 		rt.limited = 0
 		return awayPause.Jittered(0)
 	}
@@ -30,5 +30,5 @@
 	return limitedPause.Jittered(rt.limited - 1)
 }
 
-// Succeeded takes in that a try did.
-func (rt *Retry) Succeeded() { rt.limited = 0 }
+// Reset takes in that a try did.
+func (rt *Backoff) Reset() { rt.limited = 0 }
--- a/internal/kv/settle.go
+++ b/internal/kv/settle.go
@@ -8,16 +8,16 @@
 	"github.com/pkg/errors"
 )
 
-// Settling says how a transaction is repeated until its outcome is known.
-type Settling struct {
+// CommitOptions says how a transaction is repeated until its outcome is known.
+type CommitOptions struct {
 	Clock clockwork.Clock
-	// Hedge is the time without an answer after which the transaction is sent again
+	// HedgeDelay is the time without an answer after which the transaction is sent again
 	// beside the first; it grows by half each time, so that a slow service is not
 	// flooded.
-	Hedge time.Duration
-	// Refused is how long a transaction is repeated that the service does nothing for;
+	HedgeDelay time.Duration
+	// RefusedTimeout is how long a transaction is repeated that the service does nothing for;
 	// 0 means as long as the context lasts.
-	Refused time.Duration
+	RefusedTimeout time.Duration
 }
 
 // Limits of repeated transactions.
@@ -41,7 +41,7 @@
 // and repeats it until the outcome is known: an answer may be lost, and its connection
 // with it, while the next try is answered in a few ms. ErrConflict may mean that an
 // earlier try took effect; the items tell. ErrLost means that the context ended first.
-func (st *Store) Settle(ctx context.Context, sg Settling, txn Txn) (uint64, []Item, error) {
+func (st *Store) Settle(ctx context.Context, sg CommitOptions, txn Txn) (uint64, []Item, error) {
 	began := sg.Clock.Now()
 	answers := make(chan outcome, maxTries)
 	open, lost := 0, false
@@ -55,7 +55,7 @@
 		}()
 	}
 	try()
-	hedge := sg.Hedge
+	hedge := sg.HedgeDelay
 	next := sg.Clock.After(hedge)
 	for {
 		select {
@@ -70,7 +70,7 @@
 		case out := <-answers:
 			open--
 			switch {
-			case errors.Is(out.err, ErrLost):
+			case errors.Is(out.err, ErrNoAnswer):
 				lost = true
 			case !errors.Is(out.err, ErrRefused):
 				return out.revision, out.items, out.err
@@ -78,7 +78,7 @@
 			if open > 0 {
 				continue
 			}
-			if !lost && sg.Refused > 0 && sg.Clock.Since(began) > sg.Refused {
+			if !lost && sg.RefusedTimeout > 0 && sg.Clock.Since(began) > sg.RefusedTimeout {
 				return 0, nil, ErrRefused
 			}
 			next = sg.Clock.After(refusedPause)
@@ -89,7 +89,7 @@
 // unsettled is the error of a transaction that nobody waits for any longer.
 func unsettled(perhaps bool) error {
 	if perhaps {
-		return ErrLost
+		return ErrNoAnswer
 	}
 	return ErrRefused
 }
--- a/internal/kv/settle_test.go
+++ b/internal/kv/settle_test.go
@@ -29,7 +29,7 @@
 		"answers lost three times":     {[]memkv.Fault{memkv.Silent, memkv.Lost, memkv.Silent}, memkv.None, kv.ErrConflict, 400 * time.Millisecond, true},
 		"refused, then answered":       {[]memkv.Fault{memkv.Refused, memkv.Refused}, memkv.None, nil, 200 * time.Millisecond, true},
 		"refused for good":             {nil, memkv.Refused, kv.ErrRefused, time.Second, false},
-		"silent for good":              {nil, memkv.Silent, kv.ErrLost, 3 * time.Second, false},
+		"silent for good":              {nil, memkv.Silent, kv.ErrNoAnswer, 3 * time.Second, false},
 		"refused after a lost answer":  {[]memkv.Fault{memkv.Lost, memkv.Refused, memkv.Refused}, memkv.None, kv.ErrConflict, 400 * time.Millisecond, true},
 		"refused after a silent start": {[]memkv.Fault{memkv.Silent, memkv.Refused}, memkv.None, nil, 400 * time.Millisecond, true},
 	}
@@ -50,7 +50,7 @@
 				defer cancel()
 				began := time.Now()
 				_, _, err := st.Client("n").Settle(ctx,
-					kv.Settling{Clock: clock, Hedge: 80 * time.Millisecond, Refused: 800 * time.Millisecond},
+					kv.CommitOptions{Clock: clock, HedgeDelay: 80 * time.Millisecond, RefusedTimeout: 800 * time.Millisecond},
 					kv.Txn{Conditions: []kv.Condition{{Key: "k"}}, Puts: []kv.Put{{Key: "k"}}},
 				)
 				is.Equal(err, tc.want)
--- a/internal/kvhealth/kvhealth.go
+++ b/internal/kvhealth/kvhealth.go
@@ -47,8 +47,8 @@
 	return !he.failing.IsZero() && he.clock.Since(he.failing) > downAfter
 }
 
-// OnReturn has a function called when the store answers again after it was away.
-func (he *Health) OnReturn(act func()) {
+// OnRecovery has a function called when the store answers again after it was away.
+func (he *Health) OnRecovery(act func()) {
 	he.mu.Lock()
 	defer he.mu.Unlock()
 	he.back = act
@@ -57,7 +57,7 @@
 // note takes in the outcome of a call that was sent at a time.
 func (he *Health) note(name string, sent time.Time, err error) {
 	timing.Observe(he.meters, "store."+name, he.clock.Since(sent))
-	failed := errors.Is(err, kv.ErrRefused) || errors.Is(err, kv.ErrLost)
+	failed := errors.Is(err, kv.ErrRefused) || errors.Is(err, kv.ErrNoAnswer)
 	he.mu.Lock()
 	defer he.mu.Unlock()
 	if !failed {
@@ -125,15 +125,15 @@
 			he.noteUnlessEnded(ctx, "grant", sent, err)
 			return lease, err
 		},
-		Keep: func(ctx context.Context, lease uint64) error {
+		Renew: func(ctx context.Context, lease uint64) error {
 			sent := he.clock.Now()
-			err := st.Keep(ctx, lease)
+			err := st.Renew(ctx, lease)
 			he.noteUnlessEnded(ctx, "keep", sent, err)
 			return err
 		},
-		End: func(ctx context.Context, lease uint64) error {
+		Revoke: func(ctx context.Context, lease uint64) error {
 			sent := he.clock.Now()
-			err := st.End(ctx, lease)
+			err := st.Revoke(ctx, lease)
 			he.noteUnlessEnded(ctx, "end", sent, err)
 			return err
 		},
--- a/internal/kvhealth/kvhealth_test.go
+++ b/internal/kvhealth/kvhealth_test.go
@@ -21,19 +21,19 @@
 	he := kvhealth.New(clock, logr.Discard(), metrics.NewRegistry())
 	var takes time.Duration
 	var outcome error
-	st := he.Wrap(&kv.Store{Keep: func(context.Context, uint64) error {
+	st := he.Wrap(&kv.Store{Renew: func(context.Context, uint64) error {
 		clock.Advance(takes)
 		return outcome
 	}})
 	call := func(took time.Duration, err error) {
 		takes, outcome = took, err
-		is.Equal(st.Keep(t.Context(), 1), err)
+		is.Equal(st.Renew(t.Context(), 1), err)
 	}
-	call(300*time.Millisecond, kv.ErrLost)
+	call(300*time.Millisecond, kv.ErrNoAnswer)
 	is.True(!he.Down()) // a single lost answer is no outage
 	call(500*time.Millisecond, kv.ErrRefused)
 	is.True(he.Down())
-	call(time.Millisecond, kv.ErrLeaseGone)
+	call(time.Millisecond, kv.ErrLeaseExpired)
 	is.True(!he.Down()) // it has answered
 }
 
@@ -44,13 +44,13 @@
 	he := kvhealth.New(clock, logr.Discard(), metrics.NewRegistry())
 	var st *kv.Store
 	st = he.Wrap(&kv.Store{
-		Keep: func(ctx context.Context, _ uint64) error {
+		Renew: func(ctx context.Context, _ uint64) error {
 			clock.Advance(2 * time.Second)
-			is.NoErr(st.End(ctx, 1)) // answered meanwhile
-			return kv.ErrLost
+			is.NoErr(st.Revoke(ctx, 1)) // answered meanwhile
+			return kv.ErrNoAnswer
 		},
-		End: func(context.Context, uint64) error { return nil },
+		Revoke: func(context.Context, uint64) error { return nil },
 	})
-	is.Equal(st.Keep(t.Context(), 1), kv.ErrLost)
+	is.Equal(st.Renew(t.Context(), 1), kv.ErrNoAnswer)
 	is.True(!he.Down())
 }
--- a/internal/member/watch.go
+++ b/internal/member/watch.go
@@ -62,16 +62,16 @@
 			mb.applyItem(item)
 		}
 	}
-	mb.store.Follow(ctx, store.Following{
+	mb.store.Follow(ctx, store.FollowOptions{
 		Prefix: clustermap.Key, Class: store.Ownership,
-		All: func(items []storemsg.Item, _ uint64) { apply(items) }, Changed: apply,
+		OnSnapshot: func(items []storemsg.Item, _ uint64) { apply(items) }, OnChange: apply,
 	})
 }
 
 // followLive keeps up with which nodes' records stand.
 func (mb *Member) followLive(ctx context.Context) {
-	mb.store.Follow(ctx, store.Following{
-		Prefix: livePrefix, Class: store.Ownership, All: mb.allLive, Changed: mb.changedLive,
+	mb.store.Follow(ctx, store.FollowOptions{
+		Prefix: livePrefix, Class: store.Ownership, OnSnapshot: mb.allLive, OnChange: mb.changedLive,
 	})
 }
 
--- a/internal/metricsrv/metricsrv.go
+++ b/internal/metricsrv/metricsrv.go
@@ -31,7 +31,7 @@
 func New(log logr.Logger, registry metrics.Registry) *Server {
 	sr := &Server{registry: registry, log: log.WithName("metrics")}
 	sr.server = &fasthttp.Server{
-		Handler: sr.serve, NoDefaultServerHeader: true, NoDefaultDate: true, Logger: httpcall.Quiet(sr.log),
+		Handler: sr.serve, NoDefaultServerHeader: true, NoDefaultDate: true, Logger: httpcall.LibraryLogger(sr.log),
 	}
 	return sr
 }
--- a/internal/mirror/busy_test.go
+++ b/internal/mirror/busy_test.go
@@ -32,7 +32,7 @@
 					ev, err := watch(ctx, prefix, after, wait)
 					if len(ev.Items) > page {
 						ev.Items = ev.Items[:page]
-						ev.At = ev.Items[page-1].Revision
+						ev.Revision = ev.Items[page-1].Revision
 					}
 					return ev, err
 				}
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -48,11 +48,11 @@
 	// behind is set while more changes may wait than the last answer had. Only Run uses it.
 	behind bool
 	// retry gives the pauses between tries. Only Run uses it.
-	retry kv.Retry
+	retry kv.Backoff
 	// cancel gives the present call up.
 	cancel context.CancelFunc
 	// reading is the read of all keys that has begun, nil where none has.
-	reading *kv.Reading
+	reading *kv.Scanner
 }
 
 // New returns a mirror that Run fills.
@@ -84,7 +84,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if errors.Is(err, kv.ErrHistoryGone) {
+	if errors.Is(err, kv.ErrCompacted) {
 		mr.log.Info("Watch lost history; reading all keys.")
 		return
 	}
@@ -92,7 +92,7 @@
 		mr.down = true
 		mr.log.Info("Store does not answer; the copy grows old.", "reason", err.Error())
 	}
-	loop.Pause(ctx, mr.clock, mr.retry.After(err))
+	loop.Pause(ctx, mr.clock, mr.retry.Next(err))
 }
 
 func (mr *Mirror) answered(sent time.Time) {
@@ -100,7 +100,7 @@
 	mr.asked = sent
 	mr.loaded = true
 	mr.mu.Unlock()
-	mr.retry.Succeeded()
+	mr.retry.Reset()
 	if mr.down {
 		mr.down = false
 		mr.log.Info("Store answers again.")
@@ -136,7 +136,7 @@
 	slices.SortFunc(fresh, func(a, b kv.Item) int { return cmp.Compare(a.Revision, b.Revision) })
 	for key := range gone {
 		delete(mr.keys, key)
-		fresh = append(fresh, kv.Item{Key: key, Gone: true})
+		fresh = append(fresh, kv.Item{Key: key, Deleted: true})
 	}
 	mr.opts.OnChange(fresh, true)
 	mr.behind = false
@@ -197,7 +197,7 @@
 		if item.Revision <= mr.keys[item.Key] {
 			continue // pages of the first read are no snapshot
 		}
-		if item.Gone {
+		if item.Deleted {
 			delete(mr.keys, item.Key)
 		} else {
 			mr.keys[item.Key] = item.Revision
@@ -210,5 +210,5 @@
 	if mr.behind = len(events.Items) >= manyEvents; !mr.behind {
 		mr.answered(sent)
 	}
-	return max(events.At, after), nil
+	return max(events.Revision, after), nil
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -28,7 +28,7 @@
 	defer tl.mu.Unlock()
 	for _, item := range items {
 		key := item.Key
-		if item.Gone {
+		if item.Deleted {
 			key = "-" + key
 		}
 		tl.keys = append(tl.keys, key)
--- a/internal/mirror/pages_test.go
+++ b/internal/mirror/pages_test.go
@@ -70,7 +70,7 @@
 					case <-takes:
 						return scan(ctx, prefix, after, stale)
 					case <-ctx.Done():
-						return kv.Page{}, kv.ErrLost
+						return kv.Page{}, kv.ErrNoAnswer
 					}
 				}
 				tl := &tale{}
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -36,8 +36,8 @@
 	Cancel string    `cbor:"5,keyasint,omitempty"`
 	// Relayed has the node answer as it would answer a caller of its own.
 	Relayed bool `cbor:"6,keyasint,omitempty"`
-	// Written tells the planner of a batch that the journal has.
-	Written *joblog.WrittenBatch `cbor:"7,keyasint,omitempty"`
+	// Batch tells the planner of a batch that the journal has.
+	Batch *joblog.WrittenBatch `cbor:"7,keyasint,omitempty"`
 	// Config asks for the configuration.
 	Config *feed.Request `cbor:"8,keyasint,omitempty"`
 	// Caller is whose call State, Pending, Submit or Cancel is.
@@ -52,9 +52,9 @@
 	Phase   cell.Phase    `cbor:"1,keyasint,omitempty"`
 	Pending int           `cbor:"2,keyasint,omitempty"`
 	Tickets []cell.Ticket `cbor:"3,keyasint,omitempty"`
-	// Valid is how long the tickets are good from the answer on.
-	Valid time.Duration `cbor:"4,keyasint,omitempty"`
-	Fault *fault.Error  `cbor:"5,keyasint,omitempty"`
+	// ValidFor is how long the tickets are good from the answer on.
+	ValidFor time.Duration `cbor:"4,keyasint,omitempty"`
+	Fault    *fault.Error  `cbor:"5,keyasint,omitempty"`
 	// Config is what the node knows of the configuration.
 	Config *feed.Response `cbor:"6,keyasint,omitempty"`
 }
@@ -80,7 +80,7 @@
 // unanswered is the kind of a call's error without an answer: Timeout where it may have
 // been carried out.
 func (rq *Request) unanswered(err error) fault.Kind {
-	if rq.writes() && !errors.Is(err, httpcall.ErrUnsent) {
+	if rq.writes() && !errors.Is(err, httpcall.ErrNotSent) {
 		return fault.Timeout
 	}
 	return fault.Unavailable
@@ -110,7 +110,7 @@
 	li := &Link{log: log.WithName("peers"), calls: httpcall.New(maxConns), handle: handle}
 	li.server = &fasthttp.Server{
 		Handler: li.serve, NoDefaultServerHeader: true, NoDefaultDate: true,
-		Logger: httpcall.Quiet(li.log), IdleTimeout: httpcall.Idle,
+		Logger: httpcall.LibraryLogger(li.log), IdleTimeout: httpcall.ServerIdleTimeout,
 	}
 	return li
 }
@@ -166,11 +166,11 @@
 		return Reply{}, errors.Wrap(err, "encode request")
 	}
 	res, err := li.calls.Do(ctx, httpcall.Request{
-		Method: fasthttp.MethodPost, Address: address, Path: path, Body: raw, Polls: true, Waits: rq.waits(ctx),
+		Method: fasthttp.MethodPost, Address: address, Path: path, Body: raw, LongPoll: true, ServerWait: rq.waits(ctx),
 		// A job or a cancel is one by its id, however often it comes; a question would cost
 		// the advisor's time twice, and a configuration the links'.
-		Again: rq.Advise == nil && rq.Config == nil,
-		Flows: rq.Config != nil,
+		Idempotent: rq.Advise == nil && rq.Config == nil,
+		Streamed:   rq.Config != nil,
 	})
 	if err != nil {
 		return Reply{}, fault.New(rq.unanswered(err), "node %s did not answer: %v", address, err)
@@ -180,7 +180,7 @@
 		return Reply{}, fault.New(rq.unanswered(err), "node %s answered %d: %v", address, res.Status, err)
 	}
 	switch {
-	case reply.Fault != nil && res.Open && rq.writes():
+	case reply.Fault != nil && res.UnansweredAttempt && rq.writes():
 		return Reply{}, fault.New(fault.Timeout, "node %s may have done it on an earlier try: %v", address, reply.Fault)
 	case reply.Fault != nil:
 		return Reply{}, reply.Fault
--- a/internal/peerlink/silence_test.go
+++ b/internal/peerlink/silence_test.go
@@ -214,7 +214,7 @@
 	pr := newPair(t)
 	pr.open(idle)
 	pr.path.Silence()
-	pool := advisor.New(advisor.Parts{
+	pool := advisor.New(advisor.Options{
 		Clock: clockwork.NewRealClock(), Node: "near", Call: pr.near.Call,
 		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", PeerAddr: pr.path.Address()}} },
 		Local: func(ctx context.Context, _ cell.AdviceRequest) (planner.Advice, error) {
--- a/internal/planner/backlog.go
+++ b/internal/planner/backlog.go
@@ -44,7 +44,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ld.ctx, backlogEvery)
 	defer cancel()
-	settling := kv.Settling{Clock: ld.clock, Hedge: backlogEvery, Refused: time.Millisecond}
+	settling := kv.CommitOptions{Clock: ld.clock, HedgeDelay: backlogEvery, RefusedTimeout: time.Millisecond}
 	if _, _, err := ld.parts.Store.Settle(ctx, settling, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
 		Puts:       []kv.Put{{Key: joblog.Backlog, Value: raw}},
--- a/internal/planner/collect.go
+++ b/internal/planner/collect.go
@@ -81,10 +81,10 @@
 func (ld *lead) remove(ctx context.Context, keys []string) error {
 	call, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
-	settling := kv.Settling{Clock: ld.clock, Hedge: collectHedge, Refused: collectRefused}
+	settling := kv.CommitOptions{Clock: ld.clock, HedgeDelay: collectHedge, RefusedTimeout: collectRefused}
 	_, _, err := ld.parts.Store.Settle(call, settling, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
-		Removes:    keys,
+		Deletes:    keys,
 	})
 	return err
 }
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -35,7 +35,7 @@
 	defer ld.mu.Unlock()
 	now := ld.now()
 	for _, item := range items {
-		if item.Gone {
+		if item.Deleted {
 			continue
 		}
 		bt, err := joblog.Decode[joblog.Batch](item.Value)
--- a/internal/planner/manyworkers_test.go
+++ b/internal/planner/manyworkers_test.go
@@ -57,9 +57,9 @@
 // wrapStore returns st with lease renewals that use the processor for callTime.
 func (pr *processor) wrapStore(st *kv.Store, callTime time.Duration) *kv.Store {
 	wrapped := *st
-	wrapped.Keep = func(ctx context.Context, lease uint64) error {
+	wrapped.Renew = func(ctx context.Context, lease uint64) error {
 		pr.use(callTime)
-		return st.Keep(ctx, lease)
+		return st.Renew(ctx, lease)
 	}
 	return &wrapped
 }
--- a/internal/planner/roster.go
+++ b/internal/planner/roster.go
@@ -37,7 +37,7 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	for _, item := range items {
-		if item.Gone {
+		if item.Deleted {
 			ld.aside.drop(item.Key)
 			ld.deregister(item.Key)
 			continue
--- a/internal/standin/memkv/client.go
+++ b/internal/standin/memkv/client.go
@@ -15,7 +15,7 @@
 	cl := &client{st, name}
 	return &kv.Store{
 		Range: cl.scan, Watch: cl.watch, Get: cl.get, WatchKey: cl.watchKey,
-		Commit: cl.commit, Grant: cl.grant, Keep: cl.keep, End: cl.end,
+		Commit: cl.commit, Grant: cl.grant, Renew: cl.keep, Revoke: cl.end,
 	}
 }
 
@@ -50,10 +50,10 @@
 	case Refused:
 		return kv.ErrRefused
 	case Limited:
-		return kv.ErrLimited
+		return kv.ErrRateLimited
 	case Lost, Silent:
 		st.unanswered(ctx, name)
-		return kv.ErrLost
+		return kv.ErrNoAnswer
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	const most = 500
 	var page kv.Page
 	err := cl.call(ctx, "range", func() {
-		page.At = cl.store.revision
+		page.Revision = cl.store.revision
 		for _, key := range cl.store.keys(prefix) {
 			if key <= after {
 				continue
@@ -104,7 +104,7 @@
 		var changed chan struct{}
 		err := cl.attempt(ctx, "watch", func() {
 			gone = after < st.forgot
-			events.At = st.revision
+			events.Revision = st.revision
 			for _, item := range st.history {
 				if item.Revision > after && strings.HasPrefix(item.Key, prefix) {
 					events.Items = append(events.Items, item)
@@ -116,7 +116,7 @@
 		case err != nil:
 			return kv.Events{}, err
 		case gone:
-			return kv.Events{}, kv.ErrHistoryGone
+			return kv.Events{}, kv.ErrCompacted
 		case len(events.Items) > 0:
 			return events, nil
 		}
@@ -125,7 +125,7 @@
 		case <-over:
 			return events, nil
 		case <-ctx.Done():
-			return kv.Events{}, kv.ErrLost
+			return kv.Events{}, kv.ErrNoAnswer
 		}
 	}
 }
@@ -135,10 +135,10 @@
 	pg, err := cl.scan(ctx, key, "", false)
 	for _, item := range pg.Items {
 		if err == nil && item.Key == key {
-			return item, pg.At, tooLarge(most, item)
+			return item, pg.Revision, tooLarge(most, item)
 		}
 	}
-	return kv.Item{Key: key}, pg.At, err
+	return kv.Item{Key: key}, pg.Revision, err
 }
 
 // watchKey waits for changes of a key; faults know it as a watch.
@@ -182,7 +182,7 @@
 		}
 		for _, pt := range txn.Puts {
 			if _, ok := st.leases[pt.Lease]; pt.Lease != 0 && !ok {
-				outcome = kv.ErrLeaseGone
+				outcome = kv.ErrLeaseExpired
 			}
 		}
 		if outcome == nil {
@@ -219,7 +219,7 @@
 		}
 	})
 	if err == nil && !known {
-		return kv.ErrLeaseGone
+		return kv.ErrLeaseExpired
 	}
 	return err
 }
--- a/internal/standin/memkv/limit_test.go
+++ b/internal/standin/memkv/limit_test.go
@@ -38,7 +38,7 @@
 		is.NoErr(err)
 		is.Equal(len(events.Items), 1)
 		is.Equal(watches, 1)
-		_, err = st.Client("n").Watch(t.Context(), "k", events.At, time.Second)
-		is.Equal(err, kv.ErrLimited)
+		_, err = st.Client("n").Watch(t.Context(), "k", events.Revision, time.Second)
+		is.Equal(err, kv.ErrRateLimited)
 	})
 }
--- a/internal/standin/memkv/memkv.go
+++ b/internal/standin/memkv/memkv.go
@@ -97,7 +97,7 @@
 func (st *Store) Remove(key string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.apply(kv.Txn{Removes: []string{key}})
+	st.apply(kv.Txn{Deletes: []string{key}})
 }
 
 // Keys returns the keys with a prefix, sorted.
@@ -136,7 +136,7 @@
 		st.items[pt.Key] = entry{item, pt.Lease}
 		st.history = append(st.history, item)
 	}
-	for _, key := range txn.Removes {
+	for _, key := range txn.Deletes {
 		st.remove(key)
 	}
 	st.signal()
@@ -146,7 +146,7 @@
 func (st *Store) remove(key string) {
 	if _, ok := st.items[key]; ok {
 		delete(st.items, key)
-		st.history = append(st.history, kv.Item{Key: key, Revision: st.revision, Gone: true})
+		st.history = append(st.history, kv.Item{Key: key, Revision: st.revision, Deleted: true})
 	}
 }
 
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -20,7 +20,7 @@
 	Ownership Class = iota
 	Journal
 	Table
-	Rest
+	Other
 	classes
 )
 
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -11,27 +11,27 @@
 // watchWait is how long one watch of the store waits.
 const watchWait = 20 * time.Second
 
-// Following says what to do with the keys under a prefix.
-type Following struct {
+// FollowOptions says what to do with the keys under a prefix.
+type FollowOptions struct {
 	Prefix string
 	Class  Class
-	// Again is the time after which everything is read anew, besides after a
+	// ResyncAfter is the time after which everything is read anew, besides after a
 	// failure; zero is never.
-	Again time.Duration
-	// All takes every key and the store's revision at that moment.
-	All func(items []storemsg.Item, revision uint64)
-	// Changed takes keys that have changed since, in order; it may be empty.
-	Changed func(items []storemsg.Item)
+	ResyncAfter time.Duration
+	// OnSnapshot takes every key and the store's revision at that moment.
+	OnSnapshot func(items []storemsg.Item, revision uint64)
+	// OnChange takes keys that have changed since, in order; it may be empty.
+	OnChange func(items []storemsg.Item)
 }
 
 // Follow reads everything under a prefix and then its changes, until the context
 // ends. After a failure it reads everything again.
-func (cl *Client) Follow(ctx context.Context, fw Following) {
+func (cl *Client) Follow(ctx context.Context, fw FollowOptions) {
 	revision, synced, fails := uint64(0), false, 0
 	var read time.Time
 	for ctx.Err() == nil {
 		var err error
-		if !synced || fw.Again > 0 && cl.clock.Since(read) > fw.Again {
+		if !synced || fw.ResyncAfter > 0 && cl.clock.Since(read) > fw.ResyncAfter {
 			revision, err = cl.readAll(ctx, fw)
 			synced, read = err == nil, cl.clock.Now()
 		} else {
@@ -47,20 +47,20 @@
 	}
 }
 
-func (cl *Client) readAll(ctx context.Context, fw Following) (uint64, error) {
+func (cl *Client) readAll(ctx context.Context, fw FollowOptions) (uint64, error) {
 	items, revision, err := cl.List(ctx, fw.Class, fw.Prefix)
 	if err == nil {
-		fw.All(items, revision)
+		fw.OnSnapshot(items, revision)
 	}
 	return revision, err
 }
 
 // follow waits for changes once; it reports false where the store forgot some.
-func (cl *Client) follow(ctx context.Context, fw Following, after uint64) (uint64, bool, error) {
+func (cl *Client) follow(ctx context.Context, fw FollowOptions, after uint64) (uint64, bool, error) {
 	res, err := cl.Watch(ctx, fw.Class, fw.Prefix, after, watchWait)
 	if err != nil || res.Compacted {
 		return after, false, err
 	}
-	fw.Changed(res.Items)
+	fw.OnChange(res.Items)
 	return res.Revision, true, nil
 }
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -73,7 +73,7 @@
 		}
 		return readAnswer(an, res)
 	case <-ctx.Done():
-		return Lost, errors.Wrap(ctx.Err(), "call store")
+		return NoAnswer, errors.Wrap(ctx.Err(), "call store")
 	}
 }
 
@@ -107,7 +107,7 @@
 	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrDialTimeout) {
 		return Refused
 	}
-	return Lost
+	return NoAnswer
 }
 
 func readAnswer(an answer, res any) (Outcome, error) {
@@ -122,10 +122,10 @@
 		fasthttp.StatusBadRequest, fasthttp.StatusNotFound, fasthttp.StatusRequestEntityTooLarge:
 		return Refused, errors.Errorf("store answered %d: %s", an.status, an.body)
 	default:
-		return Lost, errors.Errorf("store answered %d", an.status)
+		return NoAnswer, errors.Errorf("store answered %d", an.status)
 	}
 	if err := json.Unmarshal(an.body, res); err != nil {
-		return Lost, errors.Wrap(err, "decode store answer")
+		return NoAnswer, errors.Wrap(err, "decode store answer")
 	}
 	return outcome, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -22,14 +22,14 @@
 // Outcome of one call as the transport saw it.
 type Outcome int
 
-// The outcomes. Refused means that the call surely had no effect; Lost, that it
+// The outcomes. Refused means that the call surely had no effect; NoAnswer, that it
 // may have had.
 const (
 	Answered Outcome = iota
 	Conflicted
 	Gone
 	Refused
-	Lost
+	NoAnswer
 )
 
 // Transport carries calls to the service. The fields are seams: an adapter sets
@@ -109,7 +109,7 @@
 func (cl *Client) note(oc Outcome) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.down = oc == Lost || oc == Refused
+	cl.down = oc == NoAnswer || oc == Refused
 	if cl.down {
 		cl.failed.Add(1)
 		return
@@ -175,9 +175,9 @@
 	Version uint64
 	Delete  bool
 	Lease   string
-	// Mine reports whether a value found in the store shows that this write took
+	// IsApplied reports whether a value found in the store shows that this write took
 	// effect, perhaps under later ones. Nil compares the bytes.
-	Mine func(value []byte) bool
+	IsApplied func(value []byte) bool
 }
 
 func (wr Write) mine(item storemsg.Item) bool {
@@ -187,8 +187,8 @@
 	if item.Version == 0 {
 		return false
 	}
-	if wr.Mine != nil {
-		return wr.Mine(item.Value)
+	if wr.IsApplied != nil {
+		return wr.IsApplied(item.Value)
 	}
 	return bytes.Equal(item.Value, wr.Value)
 }
@@ -211,7 +211,7 @@
 			return res.Item, wr.mine(res.Item), nil
 		case Gone:
 			return res.Item, false, fault.New(fault.Conflict, "lease of key %s has lapsed", wr.Key)
-		case Lost:
+		case NoAnswer:
 			begun = true
 		}
 		more := cl.pause(ctx, try)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -40,16 +40,16 @@
 	is := is.New(t)
 	_, cl := pair(t)
 	ctx := context.Background()
-	first, ok, err := cl.Put(ctx, store.Rest, store.Write{Key: "k", Value: []byte("1")})
+	first, ok, err := cl.Put(ctx, store.Other, store.Write{Key: "k", Value: []byte("1")})
 	is.NoErr(err)
 	is.True(ok)
-	_, ok, err = cl.Put(ctx, store.Rest, store.Write{Key: "k", Value: []byte("2")})
+	_, ok, err = cl.Put(ctx, store.Other, store.Write{Key: "k", Value: []byte("2")})
 	is.NoErr(err)
 	is.True(!ok) // a key that is there cannot be made
-	now, ok, err := cl.Put(ctx, store.Rest, store.Write{Key: "k", Value: []byte("2"), Version: first.Version})
+	now, ok, err := cl.Put(ctx, store.Other, store.Write{Key: "k", Value: []byte("2"), Version: first.Version})
 	is.NoErr(err)
 	is.True(ok)
-	late, ok, err := cl.Put(ctx, store.Rest, store.Write{Key: "k", Value: []byte("3"), Version: first.Version})
+	late, ok, err := cl.Put(ctx, store.Other, store.Write{Key: "k", Value: []byte("3"), Version: first.Version})
 	is.NoErr(err)
 	is.True(!ok)                        // an old version loses
 	is.Equal(late.Version, now.Version) // and learns what is there
@@ -66,7 +66,7 @@
 		if n == 3 {
 			st.SetFaults(standinstore.Faults{LoseEvery: 2})
 		}
-		item, ok, err := cl.Put(context.Background(), store.Rest, store.Write{
+		item, ok, err := cl.Put(context.Background(), store.Other, store.Write{
 			Key: "k", Value: []byte{byte(n)}, Version: version,
 		})
 		is.NoErr(err)
@@ -165,9 +165,9 @@
 		var err error
 		id, _, err = cl.Grant(ctx, "", 200*time.Millisecond)
 		is.NoErr(err)
-		item, ok, _ = cl.Put(ctx, store.Rest, store.Write{Key: "live/a", Value: []byte("x"), Lease: id})
+		item, ok, _ = cl.Put(ctx, store.Other, store.Write{Key: "live/a", Value: []byte("x"), Lease: id})
 	}
-	res, err := cl.Watch(ctx, store.Rest, "live/", item.Version, 20*time.Second)
+	res, err := cl.Watch(ctx, store.Other, "live/", item.Version, 20*time.Second)
 	is.NoErr(err)
 	is.Equal(len(res.Items), 1)
 	is.True(res.Items[0].Deleted)
@@ -189,8 +189,8 @@
 	})
 	cl.SetNodes(9) // 100 reads a second for this node
 	clock.Advance(time.Minute)
-	want := map[store.Class]int64{store.Rest: 50, store.Table: 70, store.Journal: 90, store.Ownership: 100}
-	for _, class := range []store.Class{store.Rest, store.Table, store.Journal, store.Ownership} {
+	want := map[store.Class]int64{store.Other: 50, store.Table: 70, store.Journal: 90, store.Ownership: 100}
+	for _, class := range []store.Class{store.Other, store.Table, store.Journal, store.Ownership} {
 		for range 100 {
 			ctx, cancel := context.WithCancel(context.Background())
 			time.AfterFunc(5*time.Millisecond, cancel) // a call that has to wait gives up
@@ -212,7 +212,7 @@
 		"ownership": {store.Ownership, true},
 		"journal":   {store.Journal, true},
 		"table":     {store.Table, true},
-		"rest":      {store.Rest, false},
+		"rest":      {store.Other, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -227,13 +227,13 @@
 				Watch: func(ctx context.Context, _ storemsg.WatchRequest) (storemsg.ItemsResponse, store.Outcome, error) {
 					watched <- true
 					<-ctx.Done()
-					return storemsg.ItemsResponse{}, store.Lost, ctx.Err()
+					return storemsg.ItemsResponse{}, store.NoAnswer, ctx.Err()
 				},
 			}, store.Options{Writes: 100, Reads: 1000, Timeout: time.Second})
 			cl.SetNodes(9) // 100 reads a second for this node
 			clock.Advance(time.Minute)
 			for range 50 { // what the lowest class may spend
-				_, err := cl.Get(ctx, store.Rest, "k")
+				_, err := cl.Get(ctx, store.Other, "k")
 				is.NoErr(err)
 			}
 			go func() {
@@ -244,8 +244,8 @@
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				cl.Follow(ctx, store.Following{
-					Class: tc.class, All: func([]storemsg.Item, uint64) {}, Changed: func([]storemsg.Item) {},
+				cl.Follow(ctx, store.FollowOptions{
+					Class: tc.class, OnSnapshot: func([]storemsg.Item, uint64) {}, OnChange: func([]storemsg.Item) {},
 				})
 			}()
 			is.Equal(<-watched, tc.watches)
--- a/internal/table/edit.go
+++ b/internal/table/edit.go
@@ -81,7 +81,7 @@
 		}
 		item, ok, err := tb.store.Put(ctx, store.Table, store.Write{
 			Key: key, Value: raw, Version: item.Version,
-			Mine: func(value []byte) bool {
+			IsApplied: func(value []byte) bool {
 				kept, err := decodeRow(key, value, 0)
 				return err == nil && kept.wrote(ed.WriteID)
 			},
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -109,9 +109,9 @@
 
 // follow brings the rows of the store into force, until the context ends.
 func (tb *Table) follow(ctx context.Context) {
-	tb.store.Follow(ctx, store.Following{
-		Prefix: Prefix, Class: store.Table, Again: readAgain,
-		All: tb.applyAll, Changed: tb.applyItems,
+	tb.store.Follow(ctx, store.FollowOptions{
+		Prefix: Prefix, Class: store.Table, ResyncAfter: readAgain,
+		OnSnapshot: tb.applyAll, OnChange: tb.applyItems,
 	})
 }
 
--- a/internal/term/election.go
+++ b/internal/term/election.go
@@ -36,7 +36,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, tm.opts.TTL/2)
 	defer cancel()
-	revision, items, err := tm.store.Settle(call, kv.Settling{Clock: tm.clock, Hedge: campaignHedge}, kv.Txn{
+	revision, items, err := tm.store.Settle(call, kv.CommitOptions{Clock: tm.clock, HedgeDelay: campaignHedge}, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: held}},
 		Puts: []kv.Put{
 			{Key: joblog.Leader, Value: raw, Lease: lease},
@@ -48,7 +48,7 @@
 		tm.changed([]kv.Item{{Key: joblog.Leader, Value: raw, Revision: revision}}, false)
 	case errors.Is(err, kv.ErrConflict):
 		tm.changed(items, false)
-	case errors.Is(err, kv.ErrLeaseGone):
+	case errors.Is(err, kv.ErrLeaseExpired):
 		tm.dropLease(lease, "not found in the store")
 	default:
 		tm.log.Info("Election is open; the watch will tell.", "reason", err.Error())
@@ -133,7 +133,7 @@
 		tm.takeLeader(item)
 	case item.Key == joblog.Backlog:
 		tm.takeBacklog(item)
-	case item.Gone:
+	case item.Deleted:
 		delete(tm.members, item.Key)
 		tm.listed = tm.listed && item.Key != joblog.Nodes+tm.opts.Node
 	default:
@@ -151,7 +151,7 @@
 	if tm.opts.OnBacklog == nil {
 		return
 	}
-	if item.Gone {
+	if item.Deleted {
 		tm.opts.OnBacklog(joblog.BacklogSize{})
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 func (tm *Elector) takeLeader(item kv.Item) {
-	if item.Gone || item.Revision == 0 {
+	if item.Deleted || item.Revision == 0 {
 		if tm.leaderAt > 0 && (item.Revision == 0 || item.Revision >= tm.leaderAt) {
 			tm.leaderAt, tm.vacated = 0, tm.clock.Now()
 		}
@@ -255,13 +255,13 @@
 	}
 	call, cancel := context.WithTimeout(ctx, tm.opts.TTL/2)
 	defer cancel()
-	revision, items, err := tm.store.Settle(call, kv.Settling{Clock: tm.clock, Hedge: campaignHedge}, kv.Txn{
+	revision, items, err := tm.store.Settle(call, kv.CommitOptions{Clock: tm.clock, HedgeDelay: campaignHedge}, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: token}},
-		Removes:    []string{joblog.Leader},
+		Deletes:    []string{joblog.Leader},
 	})
 	switch {
 	case err == nil:
-		tm.changed([]kv.Item{{Key: joblog.Leader, Revision: revision, Gone: true}}, false)
+		tm.changed([]kv.Item{{Key: joblog.Leader, Revision: revision, Deleted: true}}, false)
 	case errors.Is(err, kv.ErrConflict):
 		tm.changed(items, false)
 	case ctx.Err() == nil:
--- a/internal/term/lease.go
+++ b/internal/term/lease.go
@@ -34,7 +34,7 @@
 	ttl := tm.wantedTTL()
 	lease, err := tm.store.Grant(call, ttl)
 	if err != nil {
-		return tm.retry.After(err)
+		return tm.retry.Next(err)
 	}
 	tm.mu.Lock()
 	tm.lease, tm.proof, tm.ttl, tm.listed = lease, sent, ttl, false
@@ -64,8 +64,8 @@
 	call, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	_, _, err = tm.store.Commit(call, kv.Txn{Puts: []kv.Put{{Key: joblog.Nodes + tm.opts.Node, Value: raw, Lease: lease}}})
-	tm.relist = tm.clock.Now().Add(tm.retry.After(err))
-	if errors.Is(err, kv.ErrLeaseGone) {
+	tm.relist = tm.clock.Now().Add(tm.retry.Next(err))
+	if errors.Is(err, kv.ErrLeaseExpired) {
 		tm.dropLease(lease, "not found in the store")
 		return
 	}
@@ -73,7 +73,7 @@
 		tm.log.Info("Node could not be listed yet.", "reason", err.Error())
 		return
 	}
-	tm.retry.Succeeded()
+	tm.retry.Reset()
 	tm.mu.Lock()
 	tm.listed = true
 	tm.mu.Unlock()
@@ -103,14 +103,14 @@
 func (tm *Elector) keep(ctx context.Context, lease uint64, sent time.Time) {
 	call, cancel := context.WithTimeout(ctx, tm.opts.TTL)
 	defer cancel()
-	err := tm.store.Keep(call, lease)
+	err := tm.store.Renew(call, lease)
 	tm.mu.Lock()
 	tm.renewing--
 	if err == nil && tm.lease == lease && sent.After(tm.proof) {
 		tm.proof = sent
 	}
 	tm.mu.Unlock()
-	if errors.Is(err, kv.ErrLeaseGone) {
+	if errors.Is(err, kv.ErrLeaseExpired) {
 		tm.dropLease(lease, "expired")
 	}
 	tm.wake.Give()
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -93,7 +93,7 @@
 	nonce  string
 	listed bool
 	// retry gives the pauses between tries to join, relist is when the node's key may be written again.
-	retry  kv.Retry
+	retry  kv.Backoff
 	relist time.Time
 	// crowded is when the node asks for a longer lease, since it learned of many others; zero before that.
 	crowded  time.Time
@@ -194,7 +194,7 @@
 	if lease == 0 {
 		return
 	}
-	if err := tm.store.End(ctx, lease); err != nil {
+	if err := tm.store.Revoke(ctx, lease); err != nil {
 		tm.log.Info("Lease could not be ended; it runs out.", "reason", err.Error())
 	}
 }
