--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -217,7 +217,7 @@
 	began := in.clock.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), settleFor)
 	defer cancel()
-	revision, _, err := in.store.Settle(ctx, kv.CommitOptions{Clock: in.clock, HedgeDelay: hedge, RefusedTimeout: refusedFor}, txn)
+	revision, _, err := in.store.CommitWithRetry(ctx, kv.CommitOptions{Clock: in.clock, HedgeDelay: hedge, RefusedTimeout: refusedFor}, txn)
 	age := in.clock.Since(began)
 	switch {
 	case err == nil || errors.Is(err, kv.ErrConflict): // only this batch uses the key
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -114,9 +114,9 @@
 	defer cancel()
 	mr.setCancel(cancel)
 	if mr.reading == nil {
-		mr.reading = mr.store.Read(mr.clock, mr.opts.Prefix)
+		mr.reading = mr.store.Scan(mr.clock, mr.opts.Prefix)
 	}
-	if err := mr.reading.On(call); err != nil {
+	if err := mr.reading.Continue(call); err != nil {
 		return 0, err
 	}
 	reading := mr.reading
@@ -140,8 +140,8 @@
 	}
 	mr.opts.OnChange(fresh, true)
 	mr.behind = false
-	mr.answered(reading.Began())
-	return reading.At(), nil
+	mr.answered(reading.StartedAt())
+	return reading.Revision(), nil
 }
 
 // watchSlack is what a watch may take beyond its wait before it counts as dropped: twice
--- a/internal/planner/backlog.go
+++ b/internal/planner/backlog.go
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithTimeout(ld.ctx, backlogEvery)
 	defer cancel()
 	settling := kv.CommitOptions{Clock: ld.clock, HedgeDelay: backlogEvery, RefusedTimeout: time.Millisecond}
-	if _, _, err := ld.parts.Store.Settle(ctx, settling, kv.Txn{
+	if _, _, err := ld.parts.Store.CommitWithRetry(ctx, settling, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
 		Puts:       []kv.Put{{Key: joblog.Backlog, Value: raw}},
 	}); err != nil {
--- a/internal/planner/collect.go
+++ b/internal/planner/collect.go
@@ -82,7 +82,7 @@
 	call, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	settling := kv.CommitOptions{Clock: ld.clock, HedgeDelay: collectHedge, RefusedTimeout: collectRefused}
-	_, _, err := ld.parts.Store.Settle(call, settling, kv.Txn{
+	_, _, err := ld.parts.Store.CommitWithRetry(call, settling, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
 		Deletes:    keys,
 	})
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -14,9 +14,9 @@
 
 // readRecords reads what earlier planners wrote.
 func (ld *lead) readRecords(ctx context.Context) ([]kv.Item, bool) {
-	reading := ld.parts.Store.Read(ld.clock, joblog.Records)
+	reading := ld.parts.Store.Scan(ld.clock, joblog.Records)
 	for {
-		if reading.On(ctx) == nil {
+		if reading.Continue(ctx) == nil {
 			return reading.Items(), true
 		}
 		if !loop.Pause(ctx, ld.clock, readPause) {
--- a/internal/planner/records.go
+++ b/internal/planner/records.go
@@ -117,7 +117,7 @@
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}, {Key: key}},
 		Puts:       []kv.Put{{Key: key, Value: raw}},
 	}
-	_, items, err := ld.parts.Store.Settle(ctx, kv.CommitOptions{Clock: ld.clock, HedgeDelay: commitHedge}, txn)
+	_, items, err := ld.parts.Store.CommitWithRetry(ctx, kv.CommitOptions{Clock: ld.clock, HedgeDelay: commitHedge}, txn)
 	switch {
 	case err == nil:
 		return true
--- a/internal/term/election.go
+++ b/internal/term/election.go
@@ -36,7 +36,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, tm.opts.TTL/2)
 	defer cancel()
-	revision, items, err := tm.store.Settle(call, kv.CommitOptions{Clock: tm.clock, HedgeDelay: campaignHedge}, kv.Txn{
+	revision, items, err := tm.store.CommitWithRetry(call, kv.CommitOptions{Clock: tm.clock, HedgeDelay: campaignHedge}, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: held}},
 		Puts: []kv.Put{
 			{Key: joblog.Leader, Value: raw, Lease: lease},
@@ -255,7 +255,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, tm.opts.TTL/2)
 	defer cancel()
-	revision, items, err := tm.store.Settle(call, kv.CommitOptions{Clock: tm.clock, HedgeDelay: campaignHedge}, kv.Txn{
+	revision, items, err := tm.store.CommitWithRetry(call, kv.CommitOptions{Clock: tm.clock, HedgeDelay: campaignHedge}, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: token}},
 		Deletes:    []string{joblog.Leader},
 	})
