--- a/internal/httpcall/attempts.go
+++ b/internal/httpcall/attempts.go
@@ -7,89 +7,89 @@
 	"github.com/pkg/errors"
 )
 
-// outcome is how a call ended.
+// outcome is the result of one attempt.
 type outcome struct {
 	res Response
 	err error
 }
 
-// tries are the tries of one call, the second beside the first or after it.
-type tries struct {
-	caller *Caller
-	ctx    context.Context
-	rq     Request
-	began  time.Time
-	done   chan outcome
-	// left is how many tries there may be yet, open how many wait for an answer.
-	left, open int
-	// lost is the error of a try that was sent.
-	lost error
+// attempts are the attempts of one call. The second one runs in parallel with the first or after it.
+type attempts struct {
+	caller    *Caller
+	ctx       context.Context
+	rq        Request
+	startedAt time.Time
+	done      chan outcome
+	// remaining is how many more attempts are allowed, pending how many have not ended.
+	remaining, pending int
+	// lostErr is the error of an attempt that was sent.
+	lostErr error
 }
 
-func (ts *tries) run() (Response, error) {
-	ts.begin()
-	timer := time.NewTimer(ts.rq.ServerWait + overdue)
+func (as *attempts) run() (Response, error) {
+	as.start()
+	timer := time.NewTimer(as.rq.ServerWait + overdueAfter)
 	defer timer.Stop()
-	given := ts.ctx.Done()
+	ctxDone := as.ctx.Done()
 	for {
 		select {
-		case out := <-ts.done:
-			ts.open--
+		case out := <-as.done:
+			as.pending--
 			if out.err == nil {
-				out.res.UnansweredAttempt = ts.open > 0 || ts.lost != nil
+				out.res.UnansweredAttempt = as.pending > 0 || as.lostErr != nil
 				return out.res, nil
 			}
-			if err := ts.failed(out.err); err != nil {
+			if err := as.handleError(out.err); err != nil {
 				return Response{}, err
 			}
 		case <-timer.C:
-			ts.again()
-		case <-given:
-			late := errors.Is(ts.ctx.Err(), context.DeadlineExceeded)
-			if late && ts.rq.flowing.Load() {
-				given = nil // it has its own end
+			as.retry()
+		case <-ctxDone:
+			deadlinePassed := errors.Is(as.ctx.Err(), context.DeadlineExceeded)
+			if deadlinePassed && as.rq.streaming.Load() {
+				ctxDone = nil // a streamed response has its own deadline
 				continue
 			}
-			if late {
-				ts.caller.host(ts.rq.Address).suspect(ts.began) // before the caller's next call
+			if deadlinePassed {
+				as.caller.host(as.rq.Address).markSuspect(as.startedAt) // takes effect before the caller's next call
 			}
-			return Response{}, errors.WithStack(ts.ctx.Err())
+			return Response{}, errors.WithStack(as.ctx.Err())
 		}
 	}
 }
 
-func (ts *tries) begin() {
-	ts.left--
-	ts.open++
+func (as *attempts) start() {
+	as.remaining--
+	as.pending++
 	go func() {
-		res, err := ts.caller.do(ts.ctx, ts.rq)
-		ts.done <- outcome{res, err}
+		res, err := as.caller.do(as.ctx, as.rq)
+		as.done <- outcome{res, err}
 	}()
 }
 
-// again begins another try, if there may be one, on a new connection: the others of the
-// address may be silent or ended as well.
-func (ts *tries) again() {
-	if ts.left == 0 {
+// retry starts another attempt, if allowed, on a new connection, since others to the address may be unresponsive or
+// closed as well.
+func (as *attempts) retry() {
+	if as.remaining == 0 {
 		return
 	}
-	ts.caller.host(ts.rq.Address).suspect(ts.began)
-	ts.begin()
+	as.caller.host(as.rq.Address).markSuspect(as.startedAt)
+	as.start()
 }
 
-// failed takes in the error of a try. It returns the call's error where no other try is
-// open or begins. A request that was sent on a connection that had ended is sent again at
-// once: kept connections end all together when the other side starts anew.
-func (ts *tries) failed(err error) error {
+// handleError processes the error of an attempt. It returns the call's error if no other attempt is pending or started.
+// If the request was sent on a closed connection, another attempt starts at once, because all idle connections are
+// closed together when the server restarts.
+func (as *attempts) handleError(err error) error {
 	if !errors.Is(err, ErrNotSent) {
-		ts.lost = err
-		ts.again()
+		as.lostErr = err
+		as.retry()
 	}
 	switch {
-	case ts.open > 0:
+	case as.pending > 0:
 		return nil
-	case ts.lost != nil:
-		return ts.lost
+	case as.lostErr != nil:
+		return as.lostErr
 	}
 	return err
 }
--- a/internal/httpcall/closed_test.go
+++ b/internal/httpcall/closed_test.go
@@ -13,18 +13,17 @@
 	"tackbeam.example/tackbeam/internal/httpcall"
 )
 
-// TestEndedConnection has the other side start anew behind its address while connections to
-// it are kept. Callers saw refusals for a while after each change of planners, since a call
-// that met the end of its kept connection was given up, and each freed only that one. A call
-// that may be carried out twice is now sent again at once, on a new connection; others tell
-// the error.
+// TestClosedConnections guards against failed calls after the server restarts at the same address, when all idle
+// connections to it are closed. Each failed call removed only its own connection, so that callers were refused for a
+// while after each change of the planner. Idempotent calls must be sent again at once on a new connection; others must
+// return the error.
 func TestEndedConnection(t *testing.T) {
 	tests := map[string]struct {
-		again  bool
-		failed int
+		idempotent bool
+		failed     int
 	}{
-		"may be carried out twice": {again: true, failed: 0},
-		"may not":                  {again: false, failed: 1},
+		"idempotent":     {idempotent: true, failed: 0},
+		"not idempotent": {idempotent: false, failed: 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,13 +37,13 @@
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 				defer cancel()
 				_, err := calls.Do(ctx, httpcall.Request{
-					Method: fasthttp.MethodPost, Address: ln.Addr().String(), Path: "/", LongPoll: true, Idempotent: tt.again,
+					Method: fasthttp.MethodPost, Address: ln.Addr().String(), Path: "/", LongPoll: true, Idempotent: tt.idempotent,
 				})
 				return err
 			}
-			const kept = 4
+			const idle = 4
 			var group sync.WaitGroup
-			for range kept {
+			for range idle {
 				group.Go(func() { _ = call() })
 			}
 			group.Wait()
@@ -57,8 +56,8 @@
 	}
 }
 
-// answerOnce answers the first request on each connection and closes it at the second, as a
-// process does that has ended in between.
+// answerOnce answers the first request on each connection and closes the connection at the second, like a process that
+// has exited in between.
 func answerOnce(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -71,7 +70,7 @@
 			if _, err := conn.Read(buf); err != nil {
 				return
 			}
-			time.Sleep(20 * time.Millisecond) // so that calls sent at once need a connection each
+			time.Sleep(20 * time.Millisecond) // makes concurrent calls use separate connections
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 			_, _ = conn.Read(buf)
 		}()
--- a/internal/httpcall/conn.go
+++ b/internal/httpcall/conn.go
@@ -8,68 +8,67 @@
 	"github.com/valyala/fasthttp"
 )
 
-// stall is the longest time in which nothing may come of an answer that may be of any size: a
-// lost packet is sent again after 0.2 s, and once more after 0.4 s. One limit for the whole answer
-// would have to know its size and the link: 1.07 MB takes 0.93 s at 10 Mbit/s and 0.05 s at
-// 200 Mbit/s, and nodes that gave it 1.1 s received 10.6 MB in 9 s without an answer. What tells
-// a silent connection from a slow one is that nothing comes.
-const stall = time.Second
+// stallTimeout is how long a response of any size may pause: a lost packet is sent again after 0.2 s, and once more
+// after 0.4 s. A single timeout for the whole response would depend on its size and the link: 1.07 MB takes 0.93 s at
+// 10 Mbit/s and 0.05 s at 200 Mbit/s, and nodes with a timeout of 1.1 s received 10.6 MB in 9 s without a complete
+// response. Unlike a slow connection, an unresponsive one delivers nothing at all.
+const stallTimeout = time.Second
 
-// longest bounds the time that an answer takes after its beginning.
-const longest = 10 * time.Second
+// maxStreamTime bounds the time from the first byte of a response to its end.
+const maxStreamTime = 10 * time.Second
 
-// flow is a connection during one call, with the deadline of what is to come next.
-type flow struct {
+// callConn is a connection during one call. It extends the read deadline while a streamed response arrives.
+type callConn struct {
 	net.Conn
 	rq Request
-	// until is the present deadline, end the last one of an answer that flows.
-	until, end time.Time
-	// began is called as soon as an answer that flows has begun.
-	began func()
-	// came counts the bytes of the answer.
-	came int
+	// deadline is the current deadline, maxDeadline the latest one for a streamed response.
+	deadline, maxDeadline time.Time
+	// onFirstByte is called when the first bytes of a streamed response arrive.
+	onFirstByte func()
+	// received is the number of bytes received.
+	received int
 }
 
-// Read reads what has come, which gives an answer that flows more time.
-func (fl *flow) Read(room []byte) (int, error) {
-	count, err := fl.Conn.Read(room)
-	if count == 0 || !fl.rq.Streamed {
+// Read reads from the connection, and extends the deadline if the response is streamed.
+func (cn *callConn) Read(buf []byte) (int, error) {
+	count, err := cn.Conn.Read(buf)
+	if count == 0 || !cn.rq.Streamed {
 		return count, err
 	}
-	if fl.came == 0 {
-		fl.begin()
+	if cn.received == 0 {
+		cn.start()
 	}
-	fl.came += count
-	fl.until = time.Now().Add(stall)
-	if fl.until.After(fl.end) {
-		fl.until = fl.end
+	cn.received += count
+	cn.deadline = time.Now().Add(stallTimeout)
+	if cn.deadline.After(cn.maxDeadline) {
+		cn.deadline = cn.maxDeadline
 	}
-	if err := fl.SetReadDeadline(fl.until); err != nil {
+	if err := cn.SetReadDeadline(cn.deadline); err != nil {
 		return count, errors.WithStack(err)
 	}
 	return count, err
 }
 
-func (fl *flow) begin() {
-	fl.end = time.Now().Add(longest)
-	fl.began()
-	if fl.rq.flowing != nil {
-		fl.rq.flowing.Store(true)
+func (cn *callConn) start() {
+	cn.maxDeadline = time.Now().Add(maxStreamTime)
+	cn.onFirstByte()
+	if cn.rq.streaming != nil {
+		cn.rq.streaming.Store(true)
 	}
 }
 
-// over reports whether the present deadline has passed.
-func (fl *flow) over() bool { return !time.Now().Before(fl.until) }
+// expired reports whether the current deadline has passed.
+func (cn *callConn) expired() bool { return !time.Now().Before(cn.deadline) }
 
-// explain returns an error that says how much of the answer had come, nil for nil.
-func (fl *flow) explain(err error) error {
+// wrapError adds to an error how much of the response was received. It returns nil for nil.
+func (cn *callConn) wrapError(err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return errors.Wrapf(ErrTooLarge, "over %d bytes", fl.rq.MaxBody)
-	case fl.came > 0:
-		return errors.Wrapf(err, "after %d bytes of the answer", fl.came)
+		return errors.Wrapf(ErrTooLarge, "limit of %d bytes", cn.rq.MaxBody)
+	case cn.received > 0:
+		return errors.Wrapf(err, "after %d bytes of the response", cn.received)
 	}
 	return errors.WithStack(err)
 }
--- a/internal/httpcall/host.go
+++ b/internal/httpcall/host.go
@@ -13,23 +13,23 @@
 	"tackbeam.example/tackbeam/internal/connlimit"
 )
 
-// host is the connections to one address.
+// host manages the connections to one address.
 type host struct {
 	pool     *fasthttp.HostClient
 	maxConns int
 	limit    *connlimit.Limit
 	noWait   bool
 	mu       sync.Mutex
-	// late is the number of calls that are overdue and still waited for.
-	late int
-	// doubt is when the latest call was sent that was overdue: connections that have not
-	// answered since then may be silent.
-	doubt time.Time
+	// overdueCalls is the number of calls that are overdue and not yet ended.
+	overdueCalls int
+	// suspectBefore is when the latest overdue call was sent. Connections that have not answered since then may be
+	// unresponsive.
+	suspectBefore time.Time
 }
 
 // dial opens a TCP connection with a user timeout, so that an unresponsive peer is detected.
-func dial(address string, within time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: within, Control: func(_, _ string, raw syscall.RawConn) error {
+func dial(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		if ctlErr := raw.Control(func(fd uintptr) {
 			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
@@ -45,17 +45,17 @@
 const minDialTimeout = 50 * time.Millisecond
 
 // dial opens a connection that counts against the limit. Unless noWait is set, it waits at the limit.
-func (ho *host) dial(address string, within time.Duration) (net.Conn, error) {
-	if within <= 0 || within > dialTimeout {
-		within = dialTimeout
+func (ho *host) dial(address string, timeout time.Duration) (net.Conn, error) {
+	if timeout <= 0 || timeout > dialTimeout {
+		timeout = dialTimeout
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if ho.noWait {
 		ho.limit.Add()
-	} else if err := ho.limit.Acquire(within); err != nil {
+	} else if err := ho.limit.Acquire(timeout); err != nil {
 		return nil, err
 	}
-	conn, err := dial(address, max(within-time.Since(began), minDialTimeout))
+	conn, err := dial(address, max(timeout-time.Since(startedAt), minDialTimeout))
 	if err != nil {
 		ho.limit.Release()
 		return nil, err
@@ -63,64 +63,64 @@
 	return ho.limit.ReleaseOnClose(conn), nil
 }
 
-// suspect puts the connections in doubt that have not answered since a time.
-func (ho *host) suspect(since time.Time) {
+// markSuspect marks the connections as suspect that have not answered since a time.
+func (ho *host) markSuspect(since time.Time) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
-	if since.After(ho.doubt) {
-		ho.doubt = since
+	if since.After(ho.suspectBefore) {
+		ho.suspectBefore = since
 	}
 }
 
-// addLate has the connections of overdue calls not count as those that there may be.
-func (ho *host) addLate(count int) {
+// addOverdue changes the number of overdue calls, whose connections do not count against the maximum.
+func (ho *host) addOverdue(count int) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
-	ho.late += count
-	ho.pool.SetMaxConns(min(ho.maxConns+max(ho.late, 0), mostTimes*ho.maxConns))
+	ho.overdueCalls += count
+	ho.pool.SetMaxConns(min(ho.maxConns+max(ho.overdueCalls, 0), maxConnsFactor*ho.maxConns))
 }
 
-// doubted reports whether a connection that was last used at a time is in doubt.
-func (ho *host) doubted(used time.Time) bool {
+// isSuspect reports whether a connection that was last used at a time is suspect.
+func (ho *host) isSuspect(lastUsed time.Time) bool {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
-	return !used.IsZero() && used.Before(ho.doubt) // a new one has not been used
+	return !lastUsed.IsZero() && lastUsed.Before(ho.suspectBefore) // zero for a new connection
 }
 
-// exchange sends a request on a connection that is not in doubt, and reads the answer.
+// exchange sends a request on a connection that is not suspect, and reads the response.
 func (ho *host) exchange(req *fasthttp.Request, res *fasthttp.Response, deadline time.Time, rq Request) error {
-	left := time.Until(deadline)
-	if left <= 0 {
-		return errors.Wrap(ErrNotSent, "the deadline is over")
+	remaining := time.Until(deadline)
+	if remaining <= 0 {
+		return errors.Wrap(ErrNotSent, "deadline passed")
 	}
-	cc, err := ho.pool.AcquireConn(left, false)
-	for err == nil && ho.doubted(cc.LastUseTime()) {
+	cc, err := ho.pool.AcquireConn(remaining, false)
+	for err == nil && ho.isSuspect(cc.LastUseTime()) {
 		ho.pool.CloseConn(cc)
-		cc, err = ho.pool.AcquireConn(left, false)
+		cc, err = ho.pool.AcquireConn(remaining, false)
 	}
 	if err != nil {
 		return acquireError(err)
 	}
 	sent := time.Now()
-	onTime := ho.watch(sent, min(rq.ServerWait+overdue, deadline.Sub(sent)))
-	defer onTime()
-	fl := &flow{Conn: cc.Conn(), until: deadline, rq: rq, began: onTime}
-	if err := fl.SetDeadline(deadline); err != nil {
+	stopTracking := ho.trackOverdue(sent, min(rq.ServerWait+overdueAfter, deadline.Sub(sent)))
+	defer stopTracking()
+	cn := &callConn{Conn: cc.Conn(), deadline: deadline, rq: rq, onFirstByte: stopTracking}
+	if err := cn.SetDeadline(deadline); err != nil {
 		ho.pool.CloseConn(cc)
 		return errors.Wrap(ErrNotSent, err.Error())
 	}
-	writer := ho.pool.AcquireWriter(fl)
+	writer := ho.pool.AcquireWriter(cn)
 	if err = req.Write(writer); err == nil {
 		err = writer.Flush()
 	}
 	ho.pool.ReleaseWriter(writer)
 	if err == nil {
-		reader := ho.pool.AcquireReader(fl)
+		reader := ho.pool.AcquireReader(cn)
 		err = res.ReadLimitBody(reader, rq.MaxBody)
 		ho.pool.ReleaseReader(reader)
 	}
-	if err != nil && fl.over() {
-		ho.suspect(sent) // whatever the error is called, and though the timer has not gone off yet
+	if err != nil && cn.expired() {
+		ho.markSuspect(sent) // for any kind of error, even if the timer has not fired yet
 	}
 	if err != nil || res.ConnectionClose() {
 		ho.pool.CloseConn(cc)
@@ -128,7 +128,7 @@
 		ho.pool.ReleaseConn(cc)
 		ho.limit.MarkIdle(ho.pool)
 	}
-	return fl.explain(err)
+	return cn.wrapError(err)
 }
 
 // acquireError returns the error of a call for which no connection could be acquired.
@@ -139,16 +139,16 @@
 	return errors.Wrap(ErrNotSent, err.Error())
 }
 
-// watch has a call that was sent at a time count as overdue after a while. The function that it
-// returns ends that.
-func (ho *host) watch(sent time.Time, after time.Duration) (end func()) {
-	late := time.AfterFunc(after, func() {
-		ho.suspect(sent)
-		ho.addLate(1)
+// trackOverdue counts a call sent at a time as overdue unless the returned function is called within a duration. That
+// function also ends the counting.
+func (ho *host) trackOverdue(sent time.Time, delay time.Duration) (stop func()) {
+	timer := time.AfterFunc(delay, func() {
+		ho.markSuspect(sent)
+		ho.addOverdue(1)
 	})
 	return sync.OnceFunc(func() {
-		if !late.Stop() {
-			ho.addLate(-1)
+		if !timer.Stop() {
+			ho.addOverdue(-1)
 		}
 	})
 }
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,10 +1,10 @@
-// Package httpcall makes HTTP calls over kept connections, with deadlines that hold
-// even where the other side is silent, and says whether a failed call was sent.
+// Package httpcall makes HTTP calls over persistent connections. Its deadlines hold even if the server is unresponsive,
+// and its errors tell whether a failed call was sent.
 //
-// A connection may go silent for good without a reset, and others of its address with it.
-// So a call that is overdue puts every connection in doubt that has not answered since that
-// call was sent: it is not used again. Of kept connections that are all silent at once, only
-// those are waited for that calls took before the first of them was overdue.
+// A connection may become unresponsive for good without a reset, along with others to the same address. If a call is
+// overdue, every connection that has not answered since the call was sent is therefore suspect and not used again. If
+// all connections become unresponsive at once, calls fail only on those that were in use before the first call was
+// overdue.
 package httpcall
 
 import (
@@ -21,80 +21,77 @@
 	"tackbeam.example/tackbeam/internal/connlimit"
 )
 
-// Request is one call.
+// Request is the request of a call.
 type Request struct {
 	Method  string
 	Address string
-	// Path with its query.
+	// Path includes the query.
 	Path string
-	// ContentType of the body; empty where there is none to tell.
+	// ContentType is the content type of the body, or empty for none.
 	ContentType string
-	// Header holds further names and values by turns.
+	// Header holds alternating names and values of further headers.
 	Header []string
 	Body   []byte
-	// LongPoll is set for calls whose answer may wait for an event: they are given up
-	// as soon as the context ends.
+	// LongPoll marks calls whose response may wait for an event. They return as soon as the context ends.
 	LongPoll bool
-	// ServerWait is how long the other side may hold its answer back before it is at work.
+	// ServerWait is how long the server may wait before it works on the request.
 	ServerWait time.Duration
-	// Idempotent is set for calls that may be carried out twice: one that is overdue is sent
-	// again beside the first, and the first answer counts.
+	// Idempotent marks calls that may be carried out twice. If one is overdue, it is sent again in parallel, and the
+	// first response counts.
 	Idempotent bool
-	// Streamed is set for calls whose answer may be of any size: it has to begin before the context's
-	// deadline, and is then waited for as long as it keeps coming.
+	// Streamed marks calls with a response of any size. It must begin before the context's deadline and may then take
+	// longer, as long as data keeps arriving.
 	Streamed bool
-	// MaxBody is the size of the largest body that is taken, in bytes; 0 is any. The connection of
-	// a larger one closes before it has come.
+	// MaxBody is the maximum size of the response body in bytes; 0 means no limit. The connection is closed without
+	// reading a larger body to its end.
 	MaxBody int
 
-	// flowing is set once an answer that flows has begun.
-	flowing *atomic.Bool
+	// streaming is set once a streamed response has begun.
+	streaming *atomic.Bool
 }
 
-// Response is the answer to a call.
+// Response is the response to a call.
 type Response struct {
 	Status int
 	Body   []byte
-	// UnansweredAttempt is set where another try of the call has no answer: it may have been carried
-	// out, or may be yet.
+	// UnansweredAttempt is set if another attempt of the call has no response: it may have been carried out, or may
+	// still be.
 	UnansweredAttempt bool
 }
 
 var (
-	// ErrNotSent means that the call surely did not reach the other side.
-	ErrNotSent = errors.New("the call was not sent")
-	// ErrNoDescriptor is an ErrUnsent caused by this process, not by the other side: it has reached its limit of
+	// ErrNotSent means that the call certainly did not reach the server.
+	ErrNotSent = errors.New("call not sent")
+	// ErrNoDescriptor is an ErrNotSent caused by this process, not by the server: it has reached its limit of
 	// connections or file descriptors.
 	ErrNoDescriptor = fmt.Errorf("%w: no file descriptor available", ErrNotSent)
-	// ErrTooLarge means that the answer is larger than the caller takes.
-	ErrTooLarge = errors.New("the answer is larger than asked for")
+	// ErrTooLarge means that the response is larger than MaxBody.
+	ErrTooLarge = errors.New("response larger than the limit")
 )
 
-// Times of connections.
 const (
-	// dialTimeout bounds the making of a connection: links take a few ms, a lost
-	// packet of the handshake is sent again after a second.
+	// dialTimeout bounds the opening of a connection. Links take a few ms; a lost packet of the handshake is sent again
+	// after a second.
 	dialTimeout = 600 * time.Millisecond
-	// userTimeout is how long sent bytes may stay without acknowledgement.
+	// userTimeout is how long sent data may remain unacknowledged.
 	userTimeout = 3 * time.Second
-	// idle is how long an unused connection is kept: new ones are dear.
-	idle = 2 * time.Minute
-	// forever stands in for a missing deadline.
-	forever = 10 * time.Second
-	// overdue is how long an answer may take, beyond the call's Waits, before the
-	// connection is in doubt: a slow store takes 0.25 s, a lost packet is sent again
-	// after 0.2 s.
-	overdue = 300 * time.Millisecond
-	// mostTimes is how many times the connections that an address may have there are at
-	// most, where those of overdue calls do not count as such.
-	mostTimes = 3
+	// idleTimeout is how long an unused connection is kept open, because opening a new one is expensive.
+	idleTimeout = 2 * time.Minute
+	// defaultTimeout applies if the context has no deadline.
+	defaultTimeout = 10 * time.Second
+	// overdueAfter is how long a response may take, in addition to ServerWait, before the connection is suspect. A slow
+	// store takes 0.25 s, and a lost packet is sent again after 0.2 s.
+	overdueAfter = 300 * time.Millisecond
+	// maxConnsFactor limits the connections to an address, including those of overdue calls, to a multiple of the
+	// maximum that applies without them.
+	maxConnsFactor = 3
 )
 
-// ServerIdleTimeout is how long the other side should keep an unused connection: somewhat longer than
-// this side, so that no call meets its end.
-const ServerIdleTimeout = idle + idle/2
+// ServerIdleTimeout is how long a server should keep an unused connection open. It exceeds the client's timeout, so
+// that no call meets a connection that the server is closing.
+const ServerIdleTimeout = idleTimeout + idleTimeout/2
 
-// Caller keeps the connections to any number of addresses.
+// Caller makes calls to any number of addresses and keeps connections to them.
 type Caller struct {
 	maxConns int
 	limit    *connlimit.Limit
@@ -123,7 +120,7 @@
 	return cl
 }
 
-// Forget closes the idle connections to an address that is gone.
+// Forget closes the idle connections to an address that is no longer used.
 func (cl *Caller) Forget(address string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -140,7 +137,7 @@
 	if !ok {
 		ho = &host{maxConns: cl.maxConns, limit: cl.limit, noWait: cl.noWait}
 		ho.pool = &fasthttp.HostClient{
-			Addr: address, MaxConns: cl.maxConns, MaxIdleConnDuration: idle, DialTimeout: ho.dial,
+			Addr: address, MaxConns: cl.maxConns, MaxIdleConnDuration: idleTimeout, DialTimeout: ho.dial,
 			NoDefaultUserAgentHeader: true, MaxConnWaitTimeout: dialTimeout,
 		}
 		cl.hosts[address] = ho
@@ -148,18 +145,18 @@
 	return ho
 }
 
-// Do makes a call and waits until its answer or the context's deadline.
+// Do makes a call and waits for its response or the context's deadline.
 func (cl *Caller) Do(ctx context.Context, rq Request) (Response, error) {
 	if !rq.LongPoll && !rq.Idempotent {
 		return cl.do(ctx, rq)
 	}
-	const most = 2
-	rq.flowing = &atomic.Bool{}
-	ts := &tries{caller: cl, ctx: ctx, rq: rq, began: time.Now(), done: make(chan outcome, most), left: 1}
+	const maxAttempts = 2
+	rq.streaming = &atomic.Bool{}
+	as := &attempts{caller: cl, ctx: ctx, rq: rq, startedAt: time.Now(), done: make(chan outcome, maxAttempts), remaining: 1}
 	if rq.Idempotent {
-		ts.left = most
+		as.remaining = maxAttempts
 	}
-	return ts.run()
+	return as.run()
 }
 
 func (cl *Caller) do(ctx context.Context, rq Request) (Response, error) {
@@ -180,7 +177,7 @@
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(forever)
+		deadline = time.Now().Add(defaultTimeout)
 	}
 	if err := cl.host(rq.Address).exchange(req, res, deadline, rq); err != nil {
 		return Response{}, err
@@ -188,12 +185,12 @@
 	return Response{Status: res.StatusCode(), Body: append([]byte(nil), res.Body()...)}, nil
 }
 
-// LibraryLogger returns a logger of the HTTP library that tells of nothing but oddities.
-func LibraryLogger(log logr.Logger) fasthttp.Logger { return quiet{log} }
+// LibraryLogger returns a logger for fasthttp that logs only at verbosity 1.
+func LibraryLogger(log logr.Logger) fasthttp.Logger { return libraryLogger{log} }
 
-type quiet struct{ log logr.Logger }
+type libraryLogger struct{ log logr.Logger }
 
-// Printf logs what the library says at the verbosity that operators do not need.
-func (qu quiet) Printf(format string, args ...any) {
-	qu.log.V(1).Info("HTTP library.", "says", errors.Errorf(format, args...).Error())
+// Printf logs a message of the library at verbosity 1, since operators rarely need it.
+func (ll libraryLogger) Printf(format string, args ...any) {
+	ll.log.V(1).Info("HTTP library reported a problem.", "says", errors.Errorf(format, args...).Error())
 }
--- a/internal/httpcall/limit_test.go
+++ b/internal/httpcall/limit_test.go
@@ -46,8 +46,8 @@
 }
 
 // call sends a request to the address with index at.
-func (ms *multiServer) call(calls *httpcall.Caller, at int, path string, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(ms.t.Context(), patience)
+func (ms *multiServer) call(calls *httpcall.Caller, at int, path string, callTimeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ms.t.Context(), callTimeout)
 	defer cancel()
 	_, err := calls.Do(ctx, httpcall.Request{Method: fasthttp.MethodGet, Address: ms.addresses[at], Path: path})
 	return err
@@ -63,20 +63,20 @@
 	calls := httpcall.New(16).WithLimit(limit)
 	for range 2 {
 		for at := range addresses {
-			is.NoErr(ms.call(calls, at, "/", patience))
+			is.NoErr(ms.call(calls, at, "/", callTimeout))
 			is.True(limit.Open() <= maxConns)
 		}
 	}
 	before := limit.Evicted()
 	for at := addresses - maxConns; at < addresses; at++ {
-		is.NoErr(ms.call(calls, at, "/", patience))
+		is.NoErr(ms.call(calls, at, "/", callTimeout))
 	}
 	is.Equal(limit.Evicted(), before) // the most recently used connections are still open
 	is.Equal(limit.Refused(), int64(0))
 }
 
-// TestWaitsAtLimit guards against calls that fail at the limit instead of waiting for a connection until their deadline.
-// Callers set up with CountAgainst must not wait.
+// TestWaitsAtLimit guards against calls that fail at the limit instead of waiting for a connection until their
+// deadline. Callers set up with CountAgainst must not wait.
 func TestWaitsAtLimit(t *testing.T) {
 	is := is.New(t)
 	const maxConns = 4
@@ -93,7 +93,7 @@
 	err := ms.call(calls, maxConns, "/", work/10)
 	is.True(errors.Is(err, httpcall.ErrNoDescriptor))
 	is.True(errors.Is(err, httpcall.ErrNotSent))
-	is.NoErr(ms.call(counted, maxConns, "/", patience))
+	is.NoErr(ms.call(counted, maxConns, "/", callTimeout))
 	time.AfterFunc(work, func() { close(ms.release) })
 	is.NoErr(ms.call(calls, maxConns+1, "/", 5*time.Second))
 	group.Wait()
--- a/internal/httpcall/streamed_test.go
+++ b/internal/httpcall/streamed_test.go
@@ -15,17 +15,16 @@
 )
 
 const (
-	// large is a body that takes 2 s at the rate of slowLink, in bytes a second.
+	// large is the size of a response that takes 2 s at slowLink, in bytes per second.
 	large    = 500_000
 	slowLink = large / 2
-	// firstByte and stall are the bounds of an answer that flows.
+	// firstByte is the deadline for a streamed response to begin, stall the longest pause within it.
 	firstByte = 500 * time.Millisecond
 	stall     = time.Second
 )
 
-// newStore is a far side that answers with a large body over a slow link, and holds "/held"
-// back for a while.
-func newStore(t *testing.T) *far {
+// newSlowRemote starts a server that sends a large response over a slow link, and delays the response to "/held".
+func newSlowRemote(t *testing.T) *remote {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +44,7 @@
 		}
 		rc.SetBody(make([]byte, large))
 	}}
-	go func() { _ = server.Serve(ln) }() // ends with the listener
+	go func() { _ = server.Serve(ln) }() // returns when the listener is closed
 	path, err := netpath.New(ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -55,39 +54,39 @@
 		_ = path.Close()
 		_ = ln.Close()
 	})
-	return &far{t: t, path: path, calls: httpcall.New(2), server: server}
+	return &remote{t: t, path: path, calls: httpcall.New(2), server: server}
 }
 
-// TestFlows waits for an answer as long as it keeps coming, however long that takes, and gives
-// up one that stops or does not begin.
-func TestFlows(t *testing.T) {
+// TestStreamed checks that a streamed response may take any time while data arrives, and that the call fails if it
+// stalls or does not begin in time.
+func TestStreamed(t *testing.T) {
 	cases := map[string]struct {
-		path    string
-		rq      httpcall.Request
-		silence time.Duration // after the sending; 0 is none
-		ok      bool
-		within  time.Duration
+		path       string
+		rq         httpcall.Request
+		stallAfter time.Duration // after the request is sent; 0 for none
+		ok         bool
+		within     time.Duration
 	}{
-		"slow and whole":      {"/", httpcall.Request{Streamed: true}, 0, true, 2 * time.Second},
-		"held, then slow":     {"/held", httpcall.Request{Streamed: true, ServerWait: time.Second}, 0, true, 3 * time.Second},
-		"silent midway":       {"/", httpcall.Request{Streamed: true}, 700 * time.Millisecond, false, 700*time.Millisecond + stall},
-		"silent at first":     {"/held", httpcall.Request{Streamed: true, ServerWait: time.Second}, 300 * time.Millisecond, false, time.Second + firstByte},
-		"held longer than is": {"/held", httpcall.Request{Streamed: true}, 0, false, firstByte},
+		"slow":               {"/", httpcall.Request{Streamed: true}, 0, true, 2 * time.Second},
+		"delayed, then slow": {"/held", httpcall.Request{Streamed: true, ServerWait: time.Second}, 0, true, 3 * time.Second},
+		"stalls midway":      {"/", httpcall.Request{Streamed: true}, 700 * time.Millisecond, false, 700*time.Millisecond + stall},
+		"no response":        {"/held", httpcall.Request{Streamed: true, ServerWait: time.Second}, 300 * time.Millisecond, false, time.Second + firstByte},
+		"delayed too long":   {"/held", httpcall.Request{Streamed: true}, 0, false, firstByte},
 	}
 	for name, tc := range cases {
-		for _, polls := range []bool{false, true} {
+		for _, longPoll := range []bool{false, true} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				fr := newStore(t)
-				if tc.silence > 0 {
-					time.AfterFunc(tc.silence, fr.path.Silence)
+				fr := newSlowRemote(t)
+				if tc.stallAfter > 0 {
+					time.AfterFunc(tc.stallAfter, fr.path.Silence)
 				}
 				rq := tc.rq
-				rq.LongPoll = polls
-				began := time.Now()
+				rq.LongPoll = longPoll
+				startedAt := time.Now()
 				err := fr.call(tc.path, rq, rq.ServerWait+firstByte)
-				took := time.Since(began)
+				took := time.Since(startedAt)
 				t.Logf("%v after %v", err, took)
 				is.Equal(err == nil, tc.ok)
 				is.True(took <= tc.within+2*margin)
@@ -96,45 +95,45 @@
 	}
 }
 
-// TestFlowIsGivenUp ends with its caller's interest, also while the answer comes.
-func TestFlowIsGivenUp(t *testing.T) {
+// TestStreamedIsCanceled checks that canceling the context ends a call also while its response arrives.
+func TestStreamedIsCanceled(t *testing.T) {
 	is := is.New(t)
-	fr := newStore(t)
+	fr := newSlowRemote(t)
 	ctx, cancel := context.WithTimeout(t.Context(), firstByte)
 	defer cancel()
 	const after = 300 * time.Millisecond
 	time.AfterFunc(after, cancel)
-	began := time.Now()
+	startedAt := time.Now()
 	_, err := fr.calls.Do(ctx, httpcall.Request{Method: fasthttp.MethodGet, Address: fr.path.Address(), Path: "/", LongPoll: true, Streamed: true})
 	is.True(err != nil)
-	is.True(time.Since(began) <= after+margin)
+	is.True(time.Since(startedAt) <= after+margin)
 }
 
-// TestMost does not take an answer that is too large: little of it has come by then, and the
-// next call goes through at once.
-func TestMost(t *testing.T) {
+// TestMaxBody guards against receiving too large a response in full: the call must fail before much of it has arrived,
+// and the next one must succeed at once.
+func TestMaxBody(t *testing.T) {
 	is := is.New(t)
-	fr := newStore(t)
-	const most = 64 << 10
-	began := time.Now()
-	err := fr.call("/", httpcall.Request{Streamed: true, LongPoll: true, MaxBody: most}, time.Second)
+	fr := newSlowRemote(t)
+	const maxBody = 64 << 10
+	startedAt := time.Now()
+	err := fr.call("/", httpcall.Request{Streamed: true, LongPoll: true, MaxBody: maxBody}, time.Second)
 	is.True(errors.Is(err, httpcall.ErrTooLarge))
-	is.True(time.Since(began) <= margin)
-	is.NoErr(fr.call("/short", httpcall.Request{Streamed: true, LongPoll: true, MaxBody: most}, time.Second))
+	is.True(time.Since(startedAt) <= margin)
+	is.NoErr(fr.call("/short", httpcall.Request{Streamed: true, LongPoll: true, MaxBody: maxBody}, time.Second))
 	time.Sleep(margin)
-	t.Log("carried", fr.path.Carried())
-	is.True(fr.path.Carried() <= most)
+	t.Log("bytes carried:", fr.path.Carried())
+	is.True(fr.path.Carried() <= maxBody)
 }
 
-// TestFlowIsNotOverdue leaves the idle connections of an address alone while an answer comes.
-func TestFlowIsNotOverdue(t *testing.T) {
+// TestStreamedIsNotOverdue guards against closing the idle connections of an address while a streamed response arrives.
+func TestStreamedIsNotOverdue(t *testing.T) {
 	is := is.New(t)
-	fr := newStore(t)
+	fr := newSlowRemote(t)
 	fr.open(2)
 	opened := fr.path.Opened()
 	done := make(chan error, 1)
 	go func() { done <- fr.call("/", httpcall.Request{Streamed: true}, 10*time.Second) }()
-	time.Sleep(time.Second) // more than an answer may take to begin
+	time.Sleep(time.Second) // longer than a response may take to begin
 	is.NoErr(fr.call("/short", httpcall.Request{}, time.Second))
 	is.Equal(fr.path.Opened(), opened)
 	is.NoErr(<-done)
--- a/internal/httpcall/unresponsive_test.go
+++ b/internal/httpcall/unresponsive_test.go
@@ -15,26 +15,25 @@
 	"tackbeam.example/tackbeam/internal/standin/netpath"
 )
 
-// Times of the other side.
 const (
-	// work is what a slow call takes there: calls sent at once need a connection each.
+	// work is how long the server takes for /slow, so that concurrent calls use separate connections.
 	work = 100 * time.Millisecond
-	// patience is the deadline of a call in these tests, as a start has it.
-	patience = 200 * time.Millisecond
-	// margin is added to bounds for the test machine itself.
+	// callTimeout is the deadline of a call, the same as for starting a task.
+	callTimeout = 200 * time.Millisecond
+	// margin is added to time limits for delays of the test machine.
 	margin = 150 * time.Millisecond
 )
 
-// far is another side behind a path that can go silent.
-type far struct {
+// remote is a server behind a network path that can become unresponsive.
+type remote struct {
 	t     *testing.T
 	path  *netpath.Path
 	calls *httpcall.Caller
-	// server counts its connections.
+	// server provides the number of its open connections.
 	server *fasthttp.Server
 }
 
-func newFar(t *testing.T, maxConns int) *far {
+func newRemote(t *testing.T, maxConns int) *remote {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +45,7 @@
 		}
 		rc.SetBodyString("done")
 	}}
-	go func() { _ = server.Serve(ln) }() // ends with the listener
+	go func() { _ = server.Serve(ln) }() // returns when the listener is closed
 	path, err := netpath.New(ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -55,19 +54,19 @@
 		_ = path.Close()
 		_ = ln.Close()
 	})
-	return &far{t: t, path: path, calls: httpcall.New(maxConns), server: server}
+	return &remote{t: t, path: path, calls: httpcall.New(maxConns), server: server}
 }
 
-func (fr *far) call(path string, rq httpcall.Request, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(fr.t.Context(), patience)
+func (fr *remote) call(path string, rq httpcall.Request, callTimeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(fr.t.Context(), callTimeout)
 	defer cancel()
 	rq.Method, rq.Address, rq.Path = fasthttp.MethodGet, fr.path.Address(), path
 	_, err := fr.calls.Do(ctx, rq)
 	return err
 }
 
-// open makes a number of calls at once, each on a connection of its own.
-func (fr *far) open(count int) {
+// open makes concurrent calls that use one connection each.
+func (fr *remote) open(count int) {
 	fr.t.Helper()
 	var group sync.WaitGroup
 	for range count {
@@ -80,107 +79,106 @@
 	group.Wait()
 }
 
-// TestSilence: a call on a kept connection that had gone silent failed at its deadline, and
-// the next call was given the next kept connection, silent as well. With eight of them, as
-// many calls were lost one after the other, each for its whole time.
+// TestUnresponsive guards against repeated failures on unresponsive connections. A call on such a connection failed at
+// its deadline, and the next call used the next one: with eight of them, eight calls in a row failed after their full
+// timeout.
 //
-// One call is lost, at its deadline; the next ones are answered.
-func TestSilence(t *testing.T) {
+// At most one call may fail, at its deadline.
+func TestUnresponsive(t *testing.T) {
 	cases := map[string]struct {
-		idle  int
-		busy  int
-		polls bool
+		idle     int
+		busy     int
+		longPoll bool
 	}{
-		"one idle":             {idle: 1},
-		"eight idle":           {idle: 8},
-		"eight idle, to polls": {idle: 8, polls: true},
-		"eight idle and busy":  {idle: 8, busy: 8},
+		"one idle":              {idle: 1},
+		"eight idle":            {idle: 8},
+		"eight idle, long poll": {idle: 8, longPoll: true},
+		"eight idle and busy":   {idle: 8, busy: 8},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			fr := newFar(t, 32)
+			fr := newRemote(t, 32)
 			fr.open(tc.idle + tc.busy)
 			var group sync.WaitGroup
 			for range tc.busy {
 				group.Go(func() {
-					if fr.call("/slow", httpcall.Request{}, patience) == nil {
-						t.Error("a call that the path has swallowed was answered")
+					if fr.call("/slow", httpcall.Request{}, callTimeout) == nil {
+						t.Error("a call on an unresponsive path was answered")
 					}
 				})
 			}
 			time.Sleep(work / 2)
 			fr.path.Silence()
-			began := time.Now()
-			lost := 0
-			for fr.call("/", httpcall.Request{LongPoll: tc.polls}, patience) != nil {
-				lost++
+			startedAt := time.Now()
+			failed := 0
+			for fr.call("/", httpcall.Request{LongPoll: tc.longPoll}, callTimeout) != nil {
+				failed++
 			}
-			took := time.Since(began)
+			took := time.Since(startedAt)
 			group.Wait()
-			t.Logf("%d calls lost, answered after %v", lost, took)
-			is.True(lost <= 1)
-			is.True(took <= patience+margin)
+			t.Logf("%d calls failed, then one succeeded after %v", failed, took)
+			is.True(failed <= 1)
+			is.True(took <= callTimeout+margin)
 		})
 	}
 }
 
-// TestSilenceAmongMany: calls that are made at once, each shortly after the last, took one
-// silent connection each and were all lost, long after the first of them was overdue.
+// TestUnresponsiveConcurrent guards against overlapping calls that each take another unresponsive connection and fail,
+// even long after the first of them is overdue.
 //
-// Those that are made once the first is overdue are answered.
-func TestSilenceAmongMany(t *testing.T) {
+// Calls made once the first is overdue must succeed.
+func TestUnresponsiveConcurrent(t *testing.T) {
 	const overdue = 300 * time.Millisecond
 	const step = 50 * time.Millisecond
 	const longPatience = 1200 * time.Millisecond
 	is := is.New(t)
-	fr := newFar(t, 64)
+	fr := newRemote(t, 64)
 	fr.open(24)
 	fr.path.Silence()
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	var lost time.Duration
-	began := time.Now()
+	var failed time.Duration
+	startedAt := time.Now()
 	for range 16 {
-		sent := time.Since(began)
+		sent := time.Since(startedAt)
 		group.Go(func() {
 			if fr.call("/", httpcall.Request{}, longPatience) != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				lost = max(lost, sent)
+				failed = max(failed, sent)
 			}
 		})
 		time.Sleep(step)
 	}
 	group.Wait()
-	t.Logf("the last call that was lost was sent after %v", lost)
-	is.True(lost <= overdue+step)
+	t.Logf("the last call that failed was sent after %v", failed)
+	is.True(failed <= overdue+step)
 }
 
-// TestProvenConnections: connections that have answered since the overdue call was sent are
-// kept, for new ones are dear.
-func TestProvenConnections(t *testing.T) {
+// TestResponsiveConnections guards against closing connections that have answered since the overdue call was sent,
+// because opening new ones is expensive.
+func TestResponsiveConnections(t *testing.T) {
 	is := is.New(t)
-	fr := newFar(t, 32)
+	fr := newRemote(t, 32)
 	fr.open(2)
 	var group sync.WaitGroup
 	group.Go(func() {
-		if fr.call("/slow", httpcall.Request{}, work/2) == nil { // gives a slow answer up
-			t.Error("an answer came before it was due")
+		if fr.call("/slow", httpcall.Request{}, work/2) == nil { // does not wait for the response
+			t.Error("call succeeded before the response was due")
 		}
 	})
 	time.Sleep(work / 4)
-	is.NoErr(fr.call("/", httpcall.Request{}, patience)) // on the other connection
+	is.NoErr(fr.call("/", httpcall.Request{}, callTimeout)) // on the other connection
 	group.Wait()
-	is.NoErr(fr.call("/", httpcall.Request{}, patience))
+	is.NoErr(fr.call("/", httpcall.Request{}, callTimeout))
 	is.Equal(fr.path.Opened(), 2)
 }
 
-// TestDeadlineWhileConnecting has calls wait for a connection: they end at their deadline,
-// and surely were not sent.
+// TestDeadlineWhileConnecting checks that calls that wait for a connection end at their deadline with ErrNotSent.
 func TestDeadlineWhileConnecting(t *testing.T) {
 	is := is.New(t)
-	fr := newFar(t, 1)
+	fr := newRemote(t, 1)
 	var group sync.WaitGroup
 	group.Go(func() {
 		if err := fr.call("/slow", httpcall.Request{}, time.Second); err != nil {
@@ -193,49 +191,48 @@
 	is.True(errors.Is(err, httpcall.ErrNotSent))
 }
 
-// TestSilenceOfAll: calls at once held every connection that an address may have, all silent.
-// Further calls found none free until the first gave theirs up, a second later; a lease was
-// over before that.
+// TestUnresponsiveMaxConns guards against calls that find no free connection because overdue calls hold all of them.
+// They waited a second for the first of those to end, while a lease expired.
 //
-// A connection whose call is overdue does not count as one of them: a call made then is
-// answered. There are not more than three times as many all the same.
-func TestSilenceOfAll(t *testing.T) {
+// Connections of overdue calls must not count against the maximum, but there may be at most three times as many in
+// total.
+func TestUnresponsiveMaxConns(t *testing.T) {
 	const (
 		overdue      = 300 * time.Millisecond
-		most         = 8
+		maxConns     = 8
 		longPatience = 1200 * time.Millisecond
 	)
 	is := is.New(t)
-	fr := newFar(t, most)
-	fr.open(most)
+	fr := newRemote(t, maxConns)
+	fr.open(maxConns)
 	fr.path.Silence()
 	var group sync.WaitGroup
-	for range most {
+	for range maxConns {
 		group.Go(func() {
 			if fr.call("/", httpcall.Request{}, longPatience) == nil {
-				t.Error("a call that the path has swallowed was answered")
+				t.Error("a call on an unresponsive path was answered")
 			}
 		})
 	}
 	time.Sleep(work)
-	began := time.Now()
+	startedAt := time.Now()
 	is.NoErr(fr.call("/", httpcall.Request{}, longPatience)) // waits for a connection
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	t.Logf("answered after %v", took)
 	is.True(took <= overdue+margin)
 	group.Wait()
 
-	// The silent ones have been given up here; the other side still has them.
+	// The client has given up the unresponsive connections, but they are still open on the server.
 	before, peak := int(fr.server.GetOpenConnectionsCount())-1, 0
 	for range 6 {
-		for range most {
+		for range maxConns {
 			group.Go(func() { _ = fr.call("/slow", httpcall.Request{ServerWait: -overdue}, longPatience) }) // overdue at once
 		}
 		time.Sleep(work / 10)
 		peak = max(peak, int(fr.server.GetOpenConnectionsCount())-before)
 	}
 	group.Wait()
-	t.Logf("at most %d connections for %d calls", peak, 6*most)
-	is.True(peak > most)
-	is.True(peak <= 3*most)
+	t.Logf("at most %d connections for %d calls", peak, 6*maxConns)
+	is.True(peak > maxConns)
+	is.True(peak <= 3*maxConns)
 }
