--- a/internal/advisor/advisor.go
+++ b/internal/advisor/advisor.go
@@ -1,5 +1,5 @@
-// Package advisor spreads questions to the advisor over the nodes: it serves the
-// calls of one node one after the other, so each node is a queue of its own.
+// Package advisor distributes requests to the advisor among the nodes. The advisor serves the calls of one node one at
+// a time, so that each node has a queue of its own.
 package advisor
 
 import (
@@ -19,99 +19,96 @@
 	"tackbeam.example/tackbeam/internal/planner"
 )
 
-// Options of a pool. The fields are seams.
+// Options are the dependencies of a pool. Tests replace them.
 type Options struct {
 	Clock clockwork.Clock
 	// Node is the name of this node.
 	Node string
-	// Members returns the nodes that are listed.
+	// Members returns the registered nodes.
 	Members func() []joblog.Member
-	// Local asks the advisor from this node.
-	Local func(ctx context.Context, qn cell.AdviceRequest) (planner.Advice, error)
-	// Call asks another node.
+	// Local sends a request to the advisor from this node.
+	Local func(ctx context.Context, rq cell.AdviceRequest) (planner.Advice, error)
+	// Call sends a request to another node.
 	Call func(ctx context.Context, address string, rq peerlink.Request) (peerlink.Reply, error)
 }
 
-// Pool chooses the node for each question.
+// Pool chooses the node that sends each request.
 type Pool struct {
-	parts Options
-	mu    sync.Mutex
-	// free is when each node's queue is expected to be empty.
-	free map[string]time.Time
+	opts Options
+	mu   sync.Mutex
+	// freeAt maps each node to the time at which its queue is expected to be empty.
+	freeAt map[string]time.Time
 }
 
-// New returns a pool whose queues are empty.
-func New(pt Options) *Pool {
-	return &Pool{parts: pt, free: map[string]time.Time{}}
+// New returns a pool with empty queues.
+func New(opts Options) *Pool {
+	return &Pool{opts: opts, freeAt: map[string]time.Time{}}
 }
 
-// Times of questions.
 const (
-	// slack is what an answer may take beyond the expected queue and work.
+	// slack is how long a response may take beyond the expected wait and processing time.
 	slack = 700 * time.Millisecond
-	// rest is how long a node that did not answer is left alone.
-	rest = time.Second
-	// longest is the longest queue that an urgent question is put into, patient that
-	// any other is: the longest questions take a second.
-	longest = 2500 * time.Millisecond
-	patient = 300 * time.Millisecond
-	// reserved says which part of the nodes is left to urgent questions: one in three, and
-	// mostReserved how many at most: 250 such questions a second of 12 ms each, which the
-	// largest site asks, keep three busy.
-	reserved     = 3
-	mostReserved = 6
+	// failurePause is how long a node is not used after a failed request.
+	failurePause = time.Second
+	// maxUrgentWait is the longest expected wait at which an urgent request is still queued, maxDeferrableWait the same
+	// for other requests. The longest requests take a second.
+	maxUrgentWait     = 2500 * time.Millisecond
+	maxDeferrableWait = 300 * time.Millisecond
+	// reservedDivisor is the reciprocal of the fraction of nodes that is reserved for urgent requests, maxReserved the
+	// maximum number of reserved nodes. The largest deployment sends 250 urgent requests a second of 12 ms each, which
+	// occupy three nodes.
+	reservedDivisor = 3
+	maxReserved     = 6
 )
 
-// Advise asks the advisor from the node that is free soonest.
-func (po *Pool) Advise(ctx context.Context, qn cell.AdviceRequest) (planner.Advice, error) {
-	mb, wait, ok := po.choose(qn)
+// Advise sends a request to the advisor from the node with the shortest queue.
+func (po *Pool) Advise(ctx context.Context, rq cell.AdviceRequest) (planner.Advice, error) {
+	mb, wait, ok := po.choose(rq)
 	if !ok {
 		return planner.Advice{}, fault.New(fault.Full, "the advisor's queues are full")
 	}
-	call, cancel := context.WithTimeout(ctx, wait+qn.Takes+slack)
+	call, cancel := context.WithTimeout(ctx, wait+rq.Takes+slack)
 	defer cancel()
-	if mb.Node == po.parts.Node {
-		answer, err := po.parts.Local(call, qn)
-		po.note(mb.Node, err)
-		return answer, err
+	if mb.Node == po.opts.Node {
+		advice, err := po.opts.Local(call, rq)
+		po.recordResult(mb.Node, err)
+		return advice, err
 	}
-	reply, err := po.parts.Call(call, mb.PeerAddr, peerlink.Request{Advise: &qn})
-	po.note(mb.Node, err)
+	reply, err := po.opts.Call(call, mb.PeerAddr, peerlink.Request{Advise: &rq})
+	po.recordResult(mb.Node, err)
 	return planner.Advice{Tickets: reply.Tickets, ValidFor: reply.ValidFor}, err
 }
 
-// choose takes the node whose queue is shortest, this one among equals. Questions that
-// are not urgent leave some nodes to the urgent ones, and wait for their turn rather
-// than fill the queues.
-func (po *Pool) choose(qn cell.AdviceRequest) (joblog.Member, time.Duration, bool) {
+// choose returns the node with the shortest queue, this node in case of a tie, and the expected wait. Requests that are
+// not urgent do not use the reserved nodes and are rejected early rather than fill the queues.
+func (po *Pool) choose(rq cell.AdviceRequest) (joblog.Member, time.Duration, bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	now := po.parts.Clock.Now()
+	now := po.opts.Clock.Now()
 	nodes := po.nodes()
-	most := longest
-	if !qn.Urgent {
-		nodes = nodes[min(len(nodes)/reserved, mostReserved):]
-		most = patient
+	maxWait := maxUrgentWait
+	if !rq.Urgent {
+		nodes = nodes[min(len(nodes)/reservedDivisor, maxReserved):]
+		maxWait = maxDeferrableWait
 	}
-	best, wait := nodes[0], max(po.free[nodes[0].Node].Sub(now), 0)
+	best, wait := nodes[0], max(po.freeAt[nodes[0].Node].Sub(now), 0)
 	for _, mb := range nodes[1:] {
-		if queue := max(po.free[mb.Node].Sub(now), 0); queue < wait {
+		if queue := max(po.freeAt[mb.Node].Sub(now), 0); queue < wait {
 			best, wait = mb, queue
 		}
 	}
-	if wait > most {
+	if wait > maxWait {
 		return best, wait, false
 	}
-	po.free[best.Node] = now.Add(wait + qn.Takes)
+	po.freeAt[best.Node] = now.Add(wait + rq.Takes)
 	return best, wait, true
 }
 
-// nodes returns the nodes that may ask, this one first and the others by name, so that
-// the ones left to urgent questions stay the same.
+// nodes returns this node, followed by the others ordered by name, so that the reserved nodes stay the same.
 func (po *Pool) nodes() []joblog.Member {
-	nodes := []joblog.Member{{Node: po.parts.Node}}
-	for _, mb := range po.parts.Members() {
-		if mb.Node != po.parts.Node {
+	nodes := []joblog.Member{{Node: po.opts.Node}}
+	for _, mb := range po.opts.Members() {
+		if mb.Node != po.opts.Node {
 			nodes = append(nodes, mb)
 		}
 	}
@@ -119,11 +116,11 @@
 	return nodes
 }
 
-func (po *Pool) note(node string, err error) {
+func (po *Pool) recordResult(node string, err error) {
 	if err == nil {
 		return
 	}
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.free[node] = po.parts.Clock.Now().Add(rest)
+	po.freeAt[node] = po.opts.Clock.Now().Add(failurePause)
 }
--- a/internal/cellnode/admission.go
+++ b/internal/cellnode/admission.go
@@ -9,22 +9,22 @@
 	"tackbeam.example/tackbeam/internal/joblog"
 )
 
-// noteBacklog takes in how far the planner is behind.
-func (nd *Node) noteBacklog(behind joblog.BacklogSize) {
-	nd.doorMu.Lock()
-	defer nd.doorMu.Unlock()
-	nd.door.Update(nd.clock.Since(nd.began), behind.Urgent, behind.Total)
+// updateBacklog passes the size of the planner's backlog on to admission control.
+func (nd *Node) updateBacklog(backlog joblog.BacklogSize) {
+	nd.admissionMu.Lock()
+	defer nd.admissionMu.Unlock()
+	nd.admission.Update(nd.clock.Since(nd.startedAt), backlog.Urgent, backlog.Total)
 }
 
-// admits returns the answer to a job that is refused, or nil for one that is taken.
-func (nd *Node) admits(jb *work.Job) error {
-	nd.doorMu.Lock()
-	defer nd.doorMu.Unlock()
-	comeBack, refuse := nd.door.Refuse(nd.clock.Since(nd.began), jb.Queue.Priority == 0)
+// admit returns an error if the job is refused because of the planner's backlog, or nil.
+func (nd *Node) admit(jb *work.Job) error {
+	nd.admissionMu.Lock()
+	defer nd.admissionMu.Unlock()
+	retryAfter, refuse := nd.admission.Refuse(nd.clock.Since(nd.startedAt), jb.Queue.Priority == 0)
 	if !refuse {
 		return nil
 	}
 	metrics.GetOrRegisterCounter("callers.refused_for_backlog", nd.meters).Inc(1)
-	nd.log.Info("Job is refused: too much waits.", "job", jb.ID, "queue", jb.Queue.Name, "come_back", comeBack.String())
-	return fault.New(fault.Full, "more waits than can be started soon; not run").After(comeBack)
+	nd.log.Info("Job refused because of the backlog.", "job", jb.ID, "queue", jb.Queue.Name, "come_back", retryAfter.String())
+	return fault.New(fault.Full, "backlog too long to start the job soon; not run").After(retryAfter)
 }
--- a/internal/cellnode/cellnode.go
+++ b/internal/cellnode/cellnode.go
@@ -1,5 +1,5 @@
-// Package cellnode is a node that keeps nothing: it accepts jobs into the store's
-// journal, answers callers, and plans for the cell while it is elected.
+// Package cellnode implements a stateless node: it writes jobs to the journal in the store, answers callers, and acts
+// as the planner while it is elected.
 package cellnode
 
 import (
@@ -31,83 +31,82 @@
 	"tackbeam.example/tackbeam/internal/term"
 )
 
-// Adapter is what a platform's adapter provides. The fields are seams.
+// Adapter is what a platform provides to a node. Tests replace its fields.
 type Adapter struct {
 	Site   *site.Site
 	Store  *kv.Store
 	Agents *agent.Agents
 	// Limit bounds the node's connections; nil means no limit.
 	Limit *connlimit.Limit
-	// WorkersPrefix is where the store lists the workers.
+	// WorkersPrefix is the prefix of the workers' keys in the store.
 	WorkersPrefix string
 	DecodeWorker  func(item kv.Item) (planner.WorkerEntry, error)
-	// ConfigKey is where the store has the configuration.
+	// ConfigKey is the key of the configuration in the store.
 	ConfigKey    string
 	DecodeConfig func(item kv.Item) (*routes.Config, error)
-	// Advise asks the advisor from this node; nil where there is none.
-	Advise func(ctx context.Context, qn cell.AdviceRequest) (planner.Advice, error)
+	// Advise sends a request to the advisor; nil if the deployment has no advisor.
+	Advise func(ctx context.Context, rq cell.AdviceRequest) (planner.Advice, error)
 }
 
-// Times of a node.
 const (
-	// termTTL is how long the planner's place stays taken after it died. A store that
-	// answers 60 times slower than its 4 ms still lets two renewals in time.
+	// termTTL is how long the planner's lease outlives a planner that crashed. It leaves time for two renewals with a
+	// store that takes 60 times its usual 4 ms.
 	termTTL = 1200 * time.Millisecond
-	// comeBack is when a caller should ask again.
-	comeBack = time.Second
+	// retryAfter is the time after which a caller should retry.
+	retryAfter = time.Second
 )
 
-// Node is one node.
+// Node is one node of a deployment.
 type Node struct {
-	adapter Adapter
-	clock   clockwork.Clock
-	log     logr.Logger
-	meters  metrics.Registry
-	health  *kvhealth.Health
-	table   *routes.Table
-	config  *feed.Feed
-	intake  *intake.Intake
-	term    *term.Elector
-	planner *planner.Planner
-	link    *peerlink.Link
-	pool    *advisor.Pool
-	relay   *relay.Relay
-	began   time.Time
-	doorMu  sync.Mutex
-	door    admission.Controller
+	adapter     Adapter
+	clock       clockwork.Clock
+	log         logr.Logger
+	meters      metrics.Registry
+	health      *kvhealth.Health
+	table       *routes.Table
+	config      *feed.Feed
+	intake      *intake.Intake
+	term        *term.Elector
+	planner     *planner.Planner
+	link        *peerlink.Link
+	pool        *advisor.Pool
+	relay       *relay.Relay
+	startedAt   time.Time
+	admissionMu sync.Mutex
+	admission   admission.Controller
 
 	stopping chan struct{}
 }
 
-// New assembles a node.
+// New returns a node that is started through its Services.
 func New(clock clockwork.Clock, log logr.Logger, ad Adapter) *Node {
 	nd := &Node{
 		adapter: ad, clock: clock, log: log, meters: metrics.NewRegistry(),
-		began: clock.Now(), table: &routes.Table{}, stopping: make(chan struct{}),
+		startedAt: clock.Now(), table: &routes.Table{}, stopping: make(chan struct{}),
 	}
 	nd.health = kvhealth.New(clock, log, nd.meters)
 	st := nd.health.Wrap(ad.Store)
 	nd.term = term.New(clock, log, st, term.Options{
 		Node: ad.Site.Node, PeerAddr: ad.Site.Peers, Hall: ad.Site.Hall, Processors: ad.Site.Processors, Link: ad.Site.Link,
 		TTL: max(termTTL, ad.Site.Bounds.MinLease), ReadRate: ad.Site.Reads,
-		OnBacklog: nd.noteBacklog,
-		Lead:      func(ctx context.Context, reign term.Term) { nd.planner.Lead(ctx, reign) },
+		OnBacklog: nd.updateBacklog,
+		Lead:      func(ctx context.Context, tm term.Term) { nd.planner.Lead(ctx, tm) },
 	})
 	nd.intake = intake.New(clock, log, st, intake.Options{
 		Node: ad.Site.Node, WriteRate: ad.Site.Writes, StoreDown: nd.health.Down,
-		NodeCount: func() int { return len(nd.term.Members()) }, OnWritten: nd.written,
+		NodeCount: func() int { return len(nd.term.Members()) }, OnWritten: nd.onWritten,
 	})
 	nd.link = peerlink.New(log, nd.handle).WithLimit(ad.Limit)
 	nd.registerConnectionGauges()
 	nd.config = feed.New(clock, log, st, feed.Options{
-		Key: ad.ConfigKey, Decode: ad.DecodeConfig, Activate: nd.configure,
-		Node: ad.Site.Node, Link: ad.Site.Link, Members: nd.term.Members, Request: nd.askConfig,
+		Key: ad.ConfigKey, Decode: ad.DecodeConfig, Activate: nd.activate,
+		Node: ad.Site.Node, Link: ad.Site.Link, Members: nd.term.Members, Request: nd.requestConfig,
 	})
 	nd.pool = advisor.New(advisor.Options{
 		Clock: clock, Node: ad.Site.Node, Members: nd.term.Members, Local: nd.advise, Call: nd.link.Call,
 	})
 	nd.health.OnRecovery(nd.config.Refresh)
-	nd.measureConfig()
+	nd.registerConfigGauges()
 	nd.relay = &relay.Relay{Node: ad.Site.Node, Members: nd.term.Members, Call: nd.link.Call}
 	nd.planner = planner.New(planner.Options{
 		Clock: clock, Log: log, Store: st, Agents: ad.Agents, Site: ad.Site, Meters: nd.meters,
@@ -127,19 +126,19 @@
 	}
 }
 
-// Meters returns the node's measures.
+// Meters returns the registry of the node's metrics.
 func (nd *Node) Meters() metrics.Registry { return nd.meters }
 
-// Table returns the configuration in force.
+// Table returns the routing table with the active configuration.
 func (nd *Node) Table() *routes.Table { return nd.table }
 
-// Services lists what the kernel starts, in order.
+// Services returns the services for the kernel, in start order.
 func (nd *Node) Services() []*kernel.Service {
 	return []*kernel.Service{
 		{
 			Name: "link", Build: func(*kernel.Kernel) (any, error) { return nd.link, nil },
 			Start: func(context.Context) error { return nd.link.Serve(nd.adapter.Site.Peers) },
-			Stop:  func(context.Context) error { return nil }, // ends with the process: others may be waiting
+			Stop:  func(context.Context) error { return nil }, // runs until the process exits: other nodes may be waiting
 		},
 		nd.background("config", nd.config, nd.config.Run),
 		nd.background("intake", nd.intake, nd.intake.Run),
@@ -147,7 +146,7 @@
 	}
 }
 
-// background makes a service of a loop that runs until the node stops.
+// background returns a service that runs a loop until it is stopped.
 func (nd *Node) background(name string, value any, run func(ctx context.Context)) *kernel.Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -172,7 +171,7 @@
 	}
 }
 
-// Stop makes the node leave: callers go elsewhere, and another node plans.
+// Stop makes the node refuse callers and give up its part in the election, so that another node becomes the planner.
 func (nd *Node) Stop(ctx context.Context) {
 	close(nd.stopping)
 	nd.term.Resign(ctx)
@@ -188,15 +187,15 @@
 	}
 }
 
-// Ready reports why the node takes no callers, or nil.
+// Ready returns why the node does not accept callers, or nil.
 func (nd *Node) Ready() error {
 	switch {
 	case nd.Stopping():
-		return fault.New(fault.Draining, "the node stops")
+		return fault.New(fault.Draining, "node is stopping")
 	case nd.table.Config() == nil:
-		return fault.New(fault.Unavailable, "no configuration yet")
+		return fault.New(fault.Unavailable, "no configuration loaded")
 	case nd.health.Down():
-		return fault.New(fault.Unavailable, "the store is away")
+		return fault.New(fault.Unavailable, "store unavailable")
 	}
 	return nil
 }
--- a/internal/cellnode/cellnode_test.go
+++ b/internal/cellnode/cellnode_test.go
@@ -33,10 +33,10 @@
 	configKey     = "config"
 )
 
-// queue is the only one; each entry of the configuration's value names a version.
+// queue is the only queue. The configuration's value is a version followed by API keys.
 var queue = work.Queue{Name: "q", Service: "svc", Attempts: 3, Stretch: 2}
 
-// deployment is some nodes on one store and one fleet.
+// deployment is a set of nodes with one store and one set of workers.
 type deployment struct {
 	t     *testing.T
 	store *memkv.Store
@@ -53,7 +53,7 @@
 	return dp
 }
 
-// start starts a node that reaches others at a port given by the kernel.
+// start starts a node that listens for other nodes on a free port.
 func (dp *deployment) start(name string) *cellnode.Node {
 	dp.t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -75,7 +75,7 @@
 		},
 		DecodeConfig: func(item kv.Item) (*routes.Config, error) {
 			cf := &routes.Config{Version: item.Revision, Routes: []routes.Route{{Host: "h", Prefix: "/", Queue: queue}}}
-			for at, key := range strings.Fields(string(item.Value))[1:] { // after the version
+			for at, key := range strings.Fields(string(item.Value))[1:] { // skips the version
 				cf.KeyRequired = true
 				cf.Workspaces = append(cf.Workspaces, routes.Workspace{
 					Workspace: work.Workspace{Name: "ws" + strconv.Itoa(at), Limit: size.New(4000, 0, 0)},
@@ -99,7 +99,7 @@
 	return nd
 }
 
-// silenceReads has the store answer no read and no watch from now on. Writes and leases go on.
+// silenceReads makes the store leave all reads and watches unanswered. Writes and leases still work.
 func (dp *deployment) silenceReads() {
 	dp.store.SetFault(func(_, call string) memkv.Fault {
 		switch call {
@@ -110,7 +110,7 @@
 	})
 }
 
-// until waits for something that must come, without a bound but the test's own.
+// until waits for a condition that must become true, with no time limit of its own.
 func (dp *deployment) until(what string, reached func() bool) {
 	dp.t.Helper()
 	const step = 10 * time.Millisecond
@@ -123,10 +123,10 @@
 	}
 }
 
-// TestCutOffNode cuts one node off from the store: its callers' jobs are accepted
-// through the other node, and it still tells what became of them. Once both are cut
-// off, jobs are refused as surely not run.
-func TestCutOffNode(t *testing.T) {
+// TestDisconnectedNode guards against a node that loses its callers' jobs while it cannot reach the store. It must
+// relay them through the other node and still report their phases. If neither node reaches the store, jobs must be
+// refused as not run.
+func TestDisconnectedNode(t *testing.T) {
 	is := is.New(t)
 	dp := newDeployment(t)
 	first, second := dp.start("n1"), dp.start("n2")
@@ -134,17 +134,17 @@
 		return &work.Job{ID: id, Spec: id, Queue: queue, Steps: []work.Step{{Count: 1, Need: size.New(1000, 1000, 0)}}}
 	}
 	is.NoErr(second.Submit(t.Context(), routes.Caller{}, job("before")))
-	cut := map[string]bool{"n2": true}
+	disconnected := map[string]bool{"n2": true}
 	dp.store.SetFault(func(client, _ string) memkv.Fault {
-		if cut[client] {
+		if disconnected[client] {
 			return memkv.Refused
 		}
 		return memkv.None
 	})
-	dp.until("the second node sees that it is cut off", func() bool { return second.Ready() != nil })
+	dp.until("the second node notices that it cannot reach the store", func() bool { return second.Ready() != nil })
 	is.NoErr(second.Submit(t.Context(), routes.Caller{}, job("after")))
 	is.NoErr(second.Cancel(t.Context(), routes.Caller{}, "before"))
-	dp.until("the job that was relayed succeeds", func() bool {
+	dp.until("the relayed job succeeds", func() bool {
 		phase, err := second.State(t.Context(), routes.Caller{}, "after")
 		return err == nil && phase == cell.Succeeded
 	})
@@ -156,13 +156,13 @@
 		}
 		return memkv.None
 	})
-	dp.until("the first node sees it too", func() bool { return first.Ready() != nil })
-	is.True(fault.Is(second.Submit(t.Context(), routes.Caller{}, job("never")), fault.Unavailable)) // surely not run
+	dp.until("the first node notices it too", func() bool { return first.Ready() != nil })
+	is.True(fault.Is(second.Submit(t.Context(), routes.Caller{}, job("never")), fault.Unavailable)) // not run
 }
 
-// TestPlannerIsTold keeps everything that is read of the store from the planner, as a slow
-// store does for half a second: jobs that any node accepts begin all the same.
-func TestPlannerIsTold(t *testing.T) {
+// TestNotifiesPlanner guards against jobs that wait for the planner's copy of the journal. The planner's reads are
+// blocked, as a slow store delays them by half a second; jobs accepted by any node must start nevertheless.
+func TestNotifiesPlanner(t *testing.T) {
 	dp := newDeployment(t)
 	planner := dp.start("n1")
 	dp.until("the first node plans", func() bool {
@@ -186,12 +186,12 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			is.NoErr(nd.Submit(t.Context(), routes.Caller{}, &work.Job{ID: name, Spec: "s", Queue: queue, Steps: []work.Step{{Count: 1, Need: size.New(1000, 1000, 0)}}}))
-			const patience = 10 * time.Second // a bound for a test that fails
-			over := time.After(patience)
+			const timeout = 10 * time.Second // only reached if the test fails
+			timedOut := time.After(timeout)
 			for phase := cell.Queued; phase != cell.Succeeded; phase, _ = nd.State(t.Context(), routes.Caller{}, name) {
 				select {
-				case <-over:
-					t.Fatalf("the job is %q", phase)
+				case <-timedOut:
+					t.Fatalf("job phase is %q", phase)
 				case <-time.After(10 * time.Millisecond):
 				}
 			}
--- a/internal/cellnode/config.go
+++ b/internal/cellnode/config.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// defaultApply is within how long a change of the configuration has to be in force where the
-	// settings do not tell.
-	defaultApply = 2 * time.Second
-	// applyMargin is kept of that time for the request's way and work. The copy is 1.7 s old at
-	// the most while a slow store answers, which 2 s less this leave room for.
+	// defaultApplyTime is the time within which a configuration change must be active if the settings do not specify
+	// it.
+	defaultApplyTime = 2 * time.Second
+	// applyMargin is the part of that time that is reserved for transmitting and processing a request. With a slow
+	// store, the copy is at most 1.7 s old, which is still within 2 s less this margin.
 	applyMargin = 200 * time.Millisecond
 )
 
-// configure puts a configuration in force, and reports whether it is later than the one before.
-func (nd *Node) configure(cf *routes.Config) bool {
+// activate makes a configuration the active one, and reports whether it is newer than the previous one.
+func (nd *Node) activate(cf *routes.Config) bool {
 	if !nd.table.Set(cf) {
 		return false
 	}
@@ -30,46 +30,46 @@
 	return true
 }
 
-// staleAfter is the age of the configuration's copy beyond which a node cannot know what is in
-// force: a change that it lacks may have been confirmed longer ago than it may take.
+// staleAfter returns the age beyond which the copy of the configuration may miss a change that was confirmed longer ago
+// than the time that the node has to apply it.
 func (nd *Node) staleAfter() time.Duration {
 	apply := nd.adapter.Site.Bounds.Apply
 	if apply == 0 {
-		apply = defaultApply
+		apply = defaultApplyTime
 	}
 	return max(apply-applyMargin, 0)
 }
 
-// knows reports why the node cannot tell which routes are in force, or nil. Its callers are
-// refused at once then: a job on a route that was removed would run, and a count on it would be
+// checkConfigAge returns an error if the copy of the configuration is too old to know the current routes, or nil.
+// Callers are then refused at once: otherwise jobs on a removed route would still run, and counts on it would still be
 // answered, for as long as the copy is old.
-func (nd *Node) knows() error {
+func (nd *Node) checkConfigAge() error {
 	age, loaded := nd.config.Age()
 	switch {
 	case !loaded || nd.table.Config() == nil:
-		return fault.New(fault.Unavailable, "no configuration yet").After(comeBack)
+		return fault.New(fault.Unavailable, "no configuration loaded").After(retryAfter)
 	case age > nd.staleAfter() && nd.health.Down():
-		return fault.New(fault.Unavailable, "the store is away, the configuration here %s old; not run", age.Round(time.Millisecond)).After(comeBack)
+		return fault.New(fault.Unavailable, "store unavailable, configuration %s old; not run", age.Round(time.Millisecond)).After(retryAfter)
 	case age > nd.staleAfter():
-		return fault.New(fault.Stale, "the configuration here is %s old; not run", age.Round(time.Millisecond)).After(comeBack)
+		return fault.New(fault.Stale, "configuration is %s old; not run", age.Round(time.Millisecond)).After(retryAfter)
 	}
 	return nil
 }
 
-// CheckConfig reports why routes that are not in the table may exist all the same.
+// CheckConfig returns an error if a route that is missing from the table may exist nevertheless, or nil.
 func (nd *Node) CheckConfig() error {
-	if err := nd.knows(); err != nil {
+	if err := nd.checkConfigAge(); err != nil {
 		return err
 	}
 	if nd.config.Behind() {
-		return fault.New(fault.Stale, "a later configuration is on its way here").After(comeBack)
+		return fault.New(fault.Stale, "newer configuration not loaded yet").After(retryAfter)
 	}
 	return nil
 }
 
-// measureConfig has the node's measures tell which configuration is in force, how old the copy may
-// be, and how many routes there are.
-func (nd *Node) measureConfig() {
+// registerConfigGauges adds gauges for the active configuration's version, the maximum age of its copy, and the number
+// of its routes.
+func (nd *Node) registerConfigGauges() {
 	gauges := map[string]func() int64{
 		"config.age_ms": func() int64 {
 			if age, loaded := nd.config.Age(); loaded {
@@ -77,41 +77,41 @@
 			}
 			return -1
 		},
-		"config.version": func() int64 { return int64(nd.inForce().Version) },
-		"config.routes":  func() int64 { return int64(len(nd.inForce().Routes)) },
+		"config.version": func() int64 { return int64(nd.activeConfig().Version) },
+		"config.routes":  func() int64 { return int64(len(nd.activeConfig().Routes)) },
 	}
 	for name, value := range gauges {
 		if err := nd.meters.Register(name, metrics.NewFunctionalGauge(value)); err != nil {
-			nd.log.Error(err, "Measure is not told.", "name", name)
+			nd.log.Error(err, "Metric could not be registered.", "name", name)
 		}
 	}
 }
 
-// inForce returns the configuration in force, an empty one before the first.
-func (nd *Node) inForce() *routes.Config {
+// activeConfig returns the active configuration, or an empty one if none is loaded.
+func (nd *Node) activeConfig() *routes.Config {
 	if cf := nd.table.Config(); cf != nil {
 		return cf
 	}
 	return &routes.Config{}
 }
 
-// askConfig asks another node for the configuration.
-func (nd *Node) askConfig(ctx context.Context, address string, qn feed.Request) (feed.Response, error) {
-	reply, err := nd.link.Call(ctx, address, peerlink.Request{Config: &qn})
+// requestConfig requests the configuration from another node.
+func (nd *Node) requestConfig(ctx context.Context, address string, rq feed.Request) (feed.Response, error) {
+	reply, err := nd.link.Call(ctx, address, peerlink.Request{Config: &rq})
 	switch {
 	case err != nil:
 		return feed.Response{}, err
 	case reply.Config == nil:
-		return feed.Response{}, fault.New(fault.Internal, "node %s did not tell of the configuration", address)
+		return feed.Response{}, fault.New(fault.Internal, "node %s did not return the configuration", address)
 	}
 	return *reply.Config, nil
 }
 
-// tellConfig tells another node of the configuration.
-func (nd *Node) tellConfig(ctx context.Context, qn feed.Request) (peerlink.Reply, error) {
-	an, err := nd.config.Serve(ctx, qn)
+// serveConfig answers another node's request for the configuration.
+func (nd *Node) serveConfig(ctx context.Context, rq feed.Request) (peerlink.Reply, error) {
+	res, err := nd.config.Serve(ctx, rq)
 	if err != nil {
 		return peerlink.Reply{}, err
 	}
-	return peerlink.Reply{Config: &an}, nil
+	return peerlink.Reply{Config: &res}, nil
 }
--- a/internal/cellnode/config_test.go
+++ b/internal/cellnode/config_test.go
@@ -9,8 +9,8 @@
 	"tackbeam.example/tackbeam/internal/metricsrv"
 )
 
-// TestConfigMeasures tells which configuration is in force and how old the copy may be.
-func TestConfigMeasures(t *testing.T) {
+// TestConfigGauges checks the metrics for the active configuration and the age of its copy.
+func TestConfigGauges(t *testing.T) {
 	is := is.New(t)
 	dp := newDeployment(t)
 	nd := dp.start("n1")
--- a/internal/cellnode/keys_test.go
+++ b/internal/cellnode/keys_test.go
@@ -17,7 +17,7 @@
 	"tackbeam.example/tackbeam/internal/standin/memkv"
 )
 
-// caller waits until a node knows a key, and returns its caller.
+// caller waits until a node knows an API key, and returns its caller.
 func (dp *deployment) caller(nd *cellnode.Node, key string) routes.Caller {
 	dp.t.Helper()
 	var cr routes.Caller
@@ -32,43 +32,43 @@
 	return &work.Job{ID: id, Spec: id, Queue: queue, Steps: []work.Step{step}}
 }
 
-// TestKeyTakenAwayWhileCutOff: nodes that are cut off from the store pass their callers' calls on. By their own
-// copy of the configuration, callers whose keys had been taken away were served on.
-func TestKeyTakenAwayWhileCutOff(t *testing.T) {
+// TestRevokedKeyThroughRelay guards against nodes without access to the store that relay calls with revoked API keys,
+// because the keys are still valid in their own copy of the configuration.
+func TestRevokedKeyThroughRelay(t *testing.T) {
 	is := is.New(t)
 	dp := newDeployment(t)
 	dp.store.Set(configKey, []byte("1 first second"))
-	near, cut := dp.start("n1"), dp.start("n2")
-	stays, goes := dp.caller(cut, "second"), dp.caller(cut, "first")
+	connected, disconnected := dp.start("n1"), dp.start("n2")
+	valid, revoked := dp.caller(disconnected, "second"), dp.caller(disconnected, "first")
 	step := work.Step{Count: 1, Need: size.New(1000, 1000, 0)}
-	dp.until("jobs are taken", func() bool { return cut.Submit(t.Context(), goes, jobOf("before", step)) == nil })
+	dp.until("jobs are accepted", func() bool { return disconnected.Submit(t.Context(), revoked, jobOf("before", step)) == nil })
 	dp.store.SetFault(func(client, _ string) memkv.Fault {
 		if client == "n2" {
 			return memkv.Refused
 		}
 		return memkv.None
 	})
-	dp.until("the second node sees that it is cut off", func() bool { return cut.Ready() != nil })
+	dp.until("the second node notices that it cannot reach the store", func() bool { return disconnected.Ready() != nil })
 	dp.store.Set(configKey, []byte("2 third second"))
-	dp.caller(near, "third")
-	is.True(fault.Is(cut.Submit(t.Context(), goes, jobOf("after", step)), fault.Unauthorized))
-	is.True(fault.Is(cut.Cancel(t.Context(), goes, "before"), fault.Unauthorized))
-	_, err := cut.State(t.Context(), goes, "before")
+	dp.caller(connected, "third")
+	is.True(fault.Is(disconnected.Submit(t.Context(), revoked, jobOf("after", step)), fault.Unauthorized))
+	is.True(fault.Is(disconnected.Cancel(t.Context(), revoked, "before"), fault.Unauthorized))
+	_, err := disconnected.State(t.Context(), revoked, "before")
 	is.True(fault.Is(err, fault.Unauthorized))
-	_, err = cut.Pending(t.Context(), goes, queue.Name)
+	_, err = disconnected.Pending(t.Context(), revoked, queue.Name)
 	is.True(fault.Is(err, fault.Unauthorized))
-	is.NoErr(cut.Submit(t.Context(), stays, jobOf("other", step)))
+	is.NoErr(disconnected.Submit(t.Context(), valid, jobOf("other", step)))
 }
 
-// TestOldCopyKnowsNoKeys: a node whose copy of the configuration is old cannot know whether a key is still good,
-// and refuses each call with it.
-func TestOldCopyKnowsNoKeys(t *testing.T) {
+// TestStaleConfigRefusesKeys guards against accepting API keys by a stale copy of the configuration, which cannot tell
+// whether a key is still valid.
+func TestStaleConfigRefusesKeys(t *testing.T) {
 	dp := newDeployment(t)
 	dp.store.Set(configKey, []byte("1 first"))
 	nd := dp.start("n1")
 	cr := dp.caller(nd, "first")
 	step := work.Step{Count: 1, Need: size.New(1000, 1000, 0)}
-	dp.until("jobs are taken", func() bool { return nd.Submit(t.Context(), cr, jobOf("before", step)) == nil })
+	dp.until("jobs are accepted", func() bool { return nd.Submit(t.Context(), cr, jobOf("before", step)) == nil })
 	dp.silenceReads()
 	time.Sleep(3 * time.Second)
 	calls := map[string]func() error{
@@ -80,29 +80,30 @@
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
 			if err := call(); !fault.Is(err, fault.Stale) || fault.From(err).RetryAfter <= 0 {
-				t.Errorf("answer %v, want one that the copy is old and when to come back", err)
+				t.Errorf("got %v, want a stale configuration error with a retry time", err)
 			}
 		})
 	}
 }
 
-// TestWorkspaceOfAJob keeps a job from callers of other workspaces, and refuses at once what can never run.
-func TestWorkspaceOfAJob(t *testing.T) {
+// TestWorkspaceOfJob checks that jobs are hidden from callers of other workspaces, and that jobs above the workspace's
+// limit are refused at once.
+func TestWorkspaceOfJob(t *testing.T) {
 	is := is.New(t)
 	dp := newDeployment(t)
 	dp.store.Set(configKey, []byte("1 first second"))
 	nd := dp.start("n1")
 	owner, other := dp.caller(nd, "first"), dp.caller(nd, "second")
 	step := work.Step{Count: 3, Need: size.New(2000, 1000, 0)}
-	dp.until("jobs are taken", func() bool { return nd.Submit(t.Context(), owner, jobOf("a", step)) == nil })
+	dp.until("jobs are accepted", func() bool { return nd.Submit(t.Context(), owner, jobOf("a", step)) == nil })
 	dp.until("the planner knows the job", func() bool { _, err := nd.State(t.Context(), owner, "a"); return err == nil })
 	_, err := nd.State(t.Context(), other, "a")
 	is.True(fault.Is(err, fault.NotFound))
-	is.NoErr(nd.Cancel(t.Context(), other, "a")) // tells nothing, does nothing
+	is.NoErr(nd.Cancel(t.Context(), other, "a")) // succeeds without effect, to reveal nothing
 	dp.until("the job succeeds", func() bool {
 		phase, err := nd.State(t.Context(), owner, "a")
 		return err == nil && phase == cell.Succeeded
 	})
-	step.Gang = true // six cores at once, where four may run
+	step.Gang = true // needs six cores at once, with a limit of four
 	is.True(fault.Is(nd.Submit(t.Context(), owner, jobOf("b", step)), fault.NeverFits))
 }
--- a/internal/cellnode/requests.go
+++ b/internal/cellnode/requests.go
@@ -23,26 +23,25 @@
 	return err
 }
 
-// Cancel accepts a caller's cancel. It has no effect on a job of another workspace.
+// Cancel accepts a caller's request to cancel a job. It has no effect on a job of another workspace.
 func (nd *Node) Cancel(ctx context.Context, cr routes.Caller, id string) error {
 	_, err := nd.serve(ctx, peerlink.Request{Cancel: id, Caller: cr})
 	return err
 }
 
-// State asks the planner for the phase of a caller's job. One of another workspace is not known.
+// State requests the phase of a caller's job from the planner. A job of another workspace counts as unknown.
 func (nd *Node) State(ctx context.Context, cr routes.Caller, id string) (cell.Phase, error) {
 	reply, err := nd.serve(ctx, peerlink.Request{State: id, Caller: cr})
 	return reply.Phase, err
 }
 
-// Pending asks the planner how many jobs of a queue have not begun.
+// Pending requests the number of a queue's jobs that have not started from the planner.
 func (nd *Node) Pending(ctx context.Context, cr routes.Caller, queue string) (int, error) {
 	reply, err := nd.serve(ctx, peerlink.Request{Pending: queue, Caller: cr})
 	return reply.Pending, err
 }
 
-// serve answers a caller's request, through another node while this one is cut off from
-// the store.
+// serve answers a caller's request, through another node if this one cannot reach the store.
 func (nd *Node) serve(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
 	if nd.health.Down() {
 		if reply, ok, err := nd.relay.Do(ctx, rq); ok {
@@ -50,13 +49,13 @@
 			return reply, err
 		}
 	}
-	return nd.answer(ctx, rq)
+	return nd.serveLocally(ctx, rq)
 }
 
-// answer answers a caller's request by what this node can do.
-func (nd *Node) answer(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
-	if rq.Submit != nil || rq.Pending != "" || rq.Caller != (routes.Caller{}) { // the others are about a job, whatever its route is
-		if err := nd.knows(); err != nil {
+// serveLocally answers a caller's request without relaying it.
+func (nd *Node) serveLocally(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
+	if rq.Submit != nil || rq.Pending != "" || rq.Caller != (routes.Caller{}) { // others concern an existing job on any route
+		if err := nd.checkConfigAge(); err != nil {
 			return peerlink.Reply{}, err
 		}
 	}
@@ -64,7 +63,7 @@
 		if err := rq.Submit.CheckLimit(); err != nil {
 			return peerlink.Reply{}, fault.New(fault.NeverFits, "%v; not run", err)
 		}
-		if err := nd.admits(rq.Submit); err != nil {
+		if err := nd.admit(rq.Submit); err != nil {
 			return peerlink.Reply{}, err
 		}
 	}
@@ -74,67 +73,67 @@
 	case rq.Cancel != "":
 		return peerlink.Reply{}, nd.intake.Cancel(ctx, rq.Cancel, rq.Caller.Workspace.Name)
 	case nd.term.Leading():
-		return nd.fromPlanner(ctx, rq)
+		return nd.servePlannerRequest(ctx, rq)
 	}
-	return nd.ask(ctx, rq)
+	return nd.askPlanner(ctx, rq)
 }
 
-// askTimeout bounds a question to the planner: it answers from memory, after a wait of 150 ms at most.
-const askTimeout = 500 * time.Millisecond
+// plannerTimeout bounds a request to the planner, which answers from memory after waiting at most 150 ms.
+const plannerTimeout = 500 * time.Millisecond
 
-func (nd *Node) ask(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
-	el, ok := nd.term.Leader()
+func (nd *Node) askPlanner(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
+	leader, ok := nd.term.Leader()
 	if !ok {
-		return peerlink.Reply{}, fault.New(fault.Unavailable, "no planner is known").After(comeBack)
+		return peerlink.Reply{}, fault.New(fault.Unavailable, "no planner known").After(retryAfter)
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, plannerTimeout)
 	defer cancel()
-	return nd.link.Call(ctx, el.PeerAddr, rq)
+	return nd.link.Call(ctx, leader.PeerAddr, rq)
 }
 
-// tellTimeout bounds the telling of a batch: later the planner's copy of the journal shows it,
-// within half a second where the store answers a hundred times as slowly as it should.
-const tellTimeout = 300 * time.Millisecond
+// notifyTimeout bounds the notification of a batch. After that time the planner soon finds the batch in its copy of the
+// journal: within 0.5 s even if the store is a hundred times slower than usual.
+const notifyTimeout = 300 * time.Millisecond
 
-// written tells the planner of a batch that the journal has. Its copy of the journal shows
-// the batch an answer of the store later, which takes 4 ms, or 0.4 s from a slow store.
-func (nd *Node) written(wr joblog.WrittenBatch) {
-	err := nd.tell(wr)
+// onWritten notifies the planner of a batch in the journal. Otherwise, the planner finds it in its copy of the journal
+// one response of the store later, which takes 4 ms, or 0.4 s if the store is slow.
+func (nd *Node) onWritten(bt joblog.WrittenBatch) {
+	err := nd.notifyPlanner(bt)
 	if err != nil {
-		nd.log.Info("Planner was not told of a batch; it sees it in the journal.", "key", wr.Key, "reason", err.Error())
+		nd.log.Info("Planner could not be notified of a batch; it will find it in the journal.", "key", bt.Key, "reason", err.Error())
 	}
 }
 
-func (nd *Node) tell(wr joblog.WrittenBatch) error {
+func (nd *Node) notifyPlanner(bt joblog.WrittenBatch) error {
 	if nd.term.Leading() {
-		return nd.planner.AddBatch(wr)
+		return nd.planner.AddBatch(bt)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	_, err := nd.ask(ctx, peerlink.Request{Batch: &wr})
+	_, err := nd.askPlanner(ctx, peerlink.Request{Batch: &bt})
 	return err
 }
 
-// handle answers other nodes.
+// handle serves requests of other nodes.
 func (nd *Node) handle(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
 	switch {
 	case rq.Relayed:
 		rq.Relayed = false
 		return nd.handleRelayed(ctx, rq)
 	case rq.Config != nil:
-		return nd.tellConfig(ctx, *rq.Config)
+		return nd.serveConfig(ctx, *rq.Config)
 	case rq.Advise != nil:
-		answer, err := nd.advise(ctx, *rq.Advise)
-		return peerlink.Reply{Tickets: answer.Tickets, ValidFor: answer.ValidFor}, err
+		advice, err := nd.advise(ctx, *rq.Advise)
+		return peerlink.Reply{Tickets: advice.Tickets, ValidFor: advice.ValidFor}, err
 	}
-	return nd.fromPlanner(ctx, rq)
+	return nd.servePlannerRequest(ctx, rq)
 }
 
-// handleRelayed answers a request of another node's caller. The other node's
-// configuration may be old, so a job gets the queue's settings of this one if they are later, and
-// a count is refused where the route is gone, a call where no workspace has the API key any more.
+// handleRelayed serves a request that another node relayed for its caller. The other node's configuration may be
+// outdated: a job gets this node's queue settings if they are newer, a count is refused if the route was removed, and a
+// call is refused if its API key was revoked.
 func (nd *Node) handleRelayed(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
-	if err := nd.recheck(&rq.Caller); err != nil {
+	if err := nd.refreshCaller(&rq.Caller); err != nil {
 		return peerlink.Reply{}, err
 	}
 	name := rq.Pending
@@ -143,19 +142,19 @@
 	}
 	qu, ok := nd.table.Queue(name)
 	if name != "" && !ok {
-		return peerlink.Reply{}, fault.New(fault.Unavailable, "no queue %s here; not run", name)
+		return peerlink.Reply{}, fault.New(fault.Unavailable, "no queue %s on this node; not run", name)
 	}
 	if rq.Submit != nil {
 		rq.Submit.Queue = rq.Submit.Queue.Later(qu)
 		rq.Submit.Workspace = rq.Caller.Workspace
 	}
-	return nd.answer(ctx, rq)
+	return nd.serveLocally(ctx, rq)
 }
 
-// recheck replaces what another node knows of a caller by what this one does, unless the other one's
-// configuration is the later.
-func (nd *Node) recheck(cr *routes.Caller) error {
-	if *cr == (routes.Caller{}) || cr.Workspace.Version > nd.inForce().Version {
+// refreshCaller replaces the caller's data from another node by this node's, unless the other node's configuration is
+// newer.
+func (nd *Node) refreshCaller(cr *routes.Caller) error {
+	if *cr == (routes.Caller{}) || cr.Workspace.Version > nd.activeConfig().Version {
 		return nil
 	}
 	present, ok := nd.table.Caller(cr.Key)
@@ -166,8 +165,8 @@
 	return nil
 }
 
-// fromPlanner answers questions for the planner, where this node is it.
-func (nd *Node) fromPlanner(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
+// servePlannerRequest answers requests to the planner if this node is the planner.
+func (nd *Node) servePlannerRequest(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
 	switch {
 	case rq.State != "":
 		phase, err := nd.planner.JobPhase(ctx, rq.State, rq.Caller.Workspace.Name)
@@ -178,12 +177,12 @@
 	case rq.Batch != nil:
 		return peerlink.Reply{}, nd.planner.AddBatch(*rq.Batch)
 	}
-	return peerlink.Reply{}, fault.New(fault.BadRequest, "request asks for nothing")
+	return peerlink.Reply{}, fault.New(fault.BadRequest, "request contains no operation")
 }
 
-func (nd *Node) advise(ctx context.Context, qn cell.AdviceRequest) (planner.Advice, error) {
+func (nd *Node) advise(ctx context.Context, rq cell.AdviceRequest) (planner.Advice, error) {
 	if nd.adapter.Advise == nil {
 		return planner.Advice{}, fault.New(fault.Unavailable, "the deployment has no advisor")
 	}
-	return nd.adapter.Advise(ctx, qn)
+	return nd.adapter.Advise(ctx, rq)
 }
--- a/internal/cellnode/stale_config_test.go
+++ b/internal/cellnode/stale_config_test.go
@@ -14,18 +14,17 @@
 	"tackbeam.example/tackbeam/internal/standin/memkv"
 )
 
-// TestOldCopyRefuses: a node whose copy of the configuration was 7 s old said so to callers
-// of routes that it lacked, and answered the others by the old copy, though their routes had
-// been removed. Its other calls to the store were answered meanwhile.
+// TestStaleConfigRefuses guards against a node that serves removed routes from a stale copy of the configuration while
+// its other calls to the store are answered. Such a node reported that its copy was 7 s old only to callers of routes
+// that the copy lacked.
 //
-// A node that cannot know what is in force refuses at once, says when to come back, and takes
-// callers as soon as it knows again.
-func TestOldCopyRefuses(t *testing.T) {
+// It must refuse at once, with a time to retry, and accept callers as soon as the copy is current again.
+func TestStaleConfigRefuses(t *testing.T) {
 	is := is.New(t)
 	dp := newDeployment(t)
 	nd := dp.start("n1")
 	job := func(id string) *work.Job { return jobOf(id, work.Step{Count: 1, Need: size.New(1000, 1000, 0)}) }
-	dp.until("the node plans", func() bool { _, err := nd.Pending(t.Context(), routes.Caller{}, queue.Name); return err == nil })
+	dp.until("the node is the planner", func() bool { _, err := nd.Pending(t.Context(), routes.Caller{}, queue.Name); return err == nil })
 	is.NoErr(nd.Submit(t.Context(), routes.Caller{}, job("before")))
 	dp.silenceReads()
 	time.Sleep(3 * time.Second)
@@ -36,13 +35,13 @@
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			began := time.Now()
+			startedAt := time.Now()
 			err := call()
-			is.True(time.Since(began) < 100*time.Millisecond) // at once
+			is.True(time.Since(startedAt) < 100*time.Millisecond) // does not wait for the store
 			is.True(fault.Is(err, fault.Stale))
 			is.True(fault.From(err).RetryAfter > 0)
 		})
 	}
 	dp.store.SetFault(func(string, string) memkv.Fault { return memkv.None })
-	dp.until("the node knows again", func() bool { return nd.Submit(t.Context(), routes.Caller{}, job("after")) == nil })
+	dp.until("the node has a current configuration again", func() bool { return nd.Submit(t.Context(), routes.Caller{}, job("after")) == nil })
 }
--- a/internal/kvhealth/kvhealth_test.go
+++ b/internal/kvhealth/kvhealth_test.go
@@ -14,7 +14,7 @@
 	"tackbeam.example/tackbeam/internal/kvhealth"
 )
 
-// TestDown calls a store that fails, answers, and has old calls fail after that.
+// TestDown checks when a store that fails for a while and then answers counts as unavailable.
 func TestDown(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
@@ -30,15 +30,15 @@
 		is.Equal(st.Renew(t.Context(), 1), err)
 	}
 	call(300*time.Millisecond, kv.ErrNoAnswer)
-	is.True(!he.Down()) // a single lost answer is no outage
+	is.True(!he.Down()) // a single unanswered call is no outage
 	call(500*time.Millisecond, kv.ErrRefused)
 	is.True(he.Down())
 	call(time.Millisecond, kv.ErrLeaseExpired)
-	is.True(!he.Down()) // it has answered
+	is.True(!he.Down()) // an expired lease is an answer
 }
 
-// TestOldFailure has a call fail that was sent before one that was answered.
-func TestOldFailure(t *testing.T) {
+// TestEarlierFailure checks that a failed call does not count if a call that was sent later was answered.
+func TestEarlierFailure(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	he := kvhealth.New(clock, logr.Discard(), metrics.NewRegistry())
@@ -46,7 +46,7 @@
 	st = he.Wrap(&kv.Store{
 		Renew: func(ctx context.Context, _ uint64) error {
 			clock.Advance(2 * time.Second)
-			is.NoErr(st.Revoke(ctx, 1)) // answered meanwhile
+			is.NoErr(st.Revoke(ctx, 1)) // answered in the meantime
 			return kv.ErrNoAnswer
 		},
 		Revoke: func(context.Context, uint64) error { return nil },
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -1,5 +1,5 @@
-// Package peerlink carries calls between the nodes of a deployment: questions for
-// the planner, and the planner's requests for help. Calls are HTTP with CBOR bodies.
+// Package peerlink carries calls between the nodes of a deployment, such as requests to the planner and the planner's
+// requests for advice. Calls are HTTP requests with CBOR bodies.
 package peerlink
 
 import (
@@ -23,28 +23,28 @@
 	"tackbeam.example/tackbeam/internal/routes"
 )
 
-// Request is a call to another node; one field is set, beside Relayed.
+// Request is a call to another node. Exactly one field is set, apart from Relayed and Caller.
 type Request struct {
-	// State asks for the phase of a job.
+	// State requests the phase of a job.
 	State string `cbor:"1,keyasint,omitempty"`
-	// Pending asks for the number of a queue's jobs that have not begun.
+	// Pending requests the number of a queue's jobs that have not started.
 	Pending string `cbor:"2,keyasint,omitempty"`
-	// Advise asks the node to put a question to the advisor.
+	// Advise asks the node to send a request to the advisor.
 	Advise *cell.AdviceRequest `cbor:"3,keyasint,omitempty"`
-	// Submit is a job to accept, Cancel the id of a job to cancel.
+	// Submit is a job to accept, Cancel the ID of a job to cancel.
 	Submit *work.Job `cbor:"4,keyasint,omitempty"`
 	Cancel string    `cbor:"5,keyasint,omitempty"`
-	// Relayed has the node answer as it would answer a caller of its own.
+	// Relayed makes the node answer as if one of its own callers had sent the request.
 	Relayed bool `cbor:"6,keyasint,omitempty"`
-	// Batch tells the planner of a batch that the journal has.
+	// Batch notifies the planner of a batch in the journal.
 	Batch *joblog.WrittenBatch `cbor:"7,keyasint,omitempty"`
-	// Config asks for the configuration.
+	// Config requests the configuration.
 	Config *feed.Request `cbor:"8,keyasint,omitempty"`
-	// Caller is whose call State, Pending, Submit or Cancel is.
+	// Caller is the caller that sent State, Pending, Submit or Cancel.
 	Caller routes.Caller `cbor:"9,keyasint,omitzero"`
 }
 
-// writes reports whether a request that gets no answer may have changed something.
+// writes reports whether the request may change something.
 func (rq *Request) writes() bool { return rq.Submit != nil || rq.Cancel != "" }
 
 // Reply is the answer to a request.
@@ -52,19 +52,19 @@
 	Phase   cell.Phase    `cbor:"1,keyasint,omitempty"`
 	Pending int           `cbor:"2,keyasint,omitempty"`
 	Tickets []cell.Ticket `cbor:"3,keyasint,omitempty"`
-	// ValidFor is how long the tickets are good from the answer on.
+	// ValidFor is how long the tickets are valid, counted from the response.
 	ValidFor time.Duration `cbor:"4,keyasint,omitempty"`
 	Fault    *fault.Error  `cbor:"5,keyasint,omitempty"`
-	// Config is what the node knows of the configuration.
+	// Config holds changes of the configuration.
 	Config *feed.Response `cbor:"6,keyasint,omitempty"`
 }
 
-// writeWait is what a slow store takes for a write.
+// writeWait is how long a write to a slow store takes.
 const writeWait = 250 * time.Millisecond
 
-// waits is how long another node may lawfully work on a request. A question to the advisor
-// may queue there until its caller gives it up.
-func (rq *Request) waits(ctx context.Context) time.Duration {
+// serverWait returns how long another node may take before the call can be overdue. A request to the advisor may be
+// queued there until the caller's deadline.
+func (rq *Request) serverWait(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	switch {
 	case rq.Advise != nil && ok:
@@ -77,19 +77,18 @@
 	return 0
 }
 
-// unanswered is the kind of a call's error without an answer: Timeout where it may have
-// been carried out.
-func (rq *Request) unanswered(err error) fault.Kind {
+// noAnswerKind returns the kind of error for a call without an answer: Timeout if it may have been carried out.
+func (rq *Request) noAnswerKind(err error) fault.Kind {
 	if rq.writes() && !errors.Is(err, httpcall.ErrNotSent) {
 		return fault.Timeout
 	}
 	return fault.Unavailable
 }
 
-// path of all calls.
+// path is the URL path of all calls.
 const path = "/peer"
 
-// Link is a node's end of the links to the others.
+// Link makes and serves calls between this node and the others.
 type Link struct {
 	log    logr.Logger
 	limit  *connlimit.Limit
@@ -98,14 +97,14 @@
 	server *fasthttp.Server
 }
 
-// maxConns is the most connections to one node: the planner is asked by all others, and
-// asks each for advice, of which a node may have 32 questions waiting.
+// maxConns is the maximum number of connections to one node. All others call the planner, and the planner calls each
+// node for advice, with up to 32 requests queued there.
 const maxConns = 48
 
-// callTimeout bounds a handler's work; the longest question to the advisor takes 2 s.
+// callTimeout bounds the handling of a request. The longest request to the advisor takes 2 s.
 const callTimeout = 4 * time.Second
 
-// New returns a link that answers with handle.
+// New returns a link that serves requests with handle.
 func New(log logr.Logger, handle func(ctx context.Context, rq Request) (Reply, error)) *Link {
 	li := &Link{log: log.WithName("peers"), calls: httpcall.New(maxConns), handle: handle}
 	li.server = &fasthttp.Server{
@@ -123,7 +122,7 @@
 	return li
 }
 
-// Serve answers other nodes at an address until Close.
+// Serve serves requests of other nodes at an address until Close.
 func (li *Link) Serve(address string) error {
 	ln, err := accept.Listen(li.log, "tcp4", address)
 	if err != nil {
@@ -131,19 +130,18 @@
 	}
 	go func() {
 		if err := li.server.Serve(ln.CountAgainst(li.limit)); err != nil {
-			li.log.Error(err, "Link to other nodes has ended.")
+			li.log.Error(err, "Server for other nodes has stopped.")
 		}
 	}()
 	return nil
 }
 
-// Close ends the serving.
 func (li *Link) Close() error { return errors.Wrap(li.server.Shutdown(), "close link") }
 
 func (li *Link) serve(rc *fasthttp.RequestCtx) {
 	var rq Request
 	if err := cbor.Unmarshal(rc.PostBody(), &rq); err != nil {
-		rc.Error("request cannot be read", fasthttp.StatusBadRequest)
+		rc.Error("cannot decode request", fasthttp.StatusBadRequest)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -152,36 +150,36 @@
 	reply.Fault = fault.From(err)
 	raw, err := cbor.Marshal(reply)
 	if err != nil {
-		li.log.Error(err, "Reply to another node cannot be written.")
-		rc.Error("reply cannot be written", fasthttp.StatusInternalServerError)
+		li.log.Error(err, "Reply to another node could not be encoded.")
+		rc.Error("cannot encode reply", fasthttp.StatusInternalServerError)
 		return
 	}
 	rc.SetBody(raw)
 }
 
-// Call asks another node.
+// Call sends a request to another node.
 func (li *Link) Call(ctx context.Context, address string, rq Request) (Reply, error) {
 	raw, err := cbor.Marshal(rq)
 	if err != nil {
 		return Reply{}, errors.Wrap(err, "encode request")
 	}
 	res, err := li.calls.Do(ctx, httpcall.Request{
-		Method: fasthttp.MethodPost, Address: address, Path: path, Body: raw, LongPoll: true, ServerWait: rq.waits(ctx),
-		// A job or a cancel is one by its id, however often it comes; a question would cost
-		// the advisor's time twice, and a configuration the links'.
+		Method: fasthttp.MethodPost, Address: address, Path: path, Body: raw, LongPoll: true, ServerWait: rq.serverWait(ctx),
+		// Submitting or canceling a job twice has the same effect as once, because of its ID. A second request for
+		// advice would cost the advisor's time, one for the configuration the bandwidth of the link.
 		Idempotent: rq.Advise == nil && rq.Config == nil,
 		Streamed:   rq.Config != nil,
 	})
 	if err != nil {
-		return Reply{}, fault.New(rq.unanswered(err), "node %s did not answer: %v", address, err)
+		return Reply{}, fault.New(rq.noAnswerKind(err), "node %s did not answer: %v", address, err)
 	}
 	var reply Reply
 	if err := cbor.Unmarshal(res.Body, &reply); err != nil {
-		return Reply{}, fault.New(rq.unanswered(err), "node %s answered %d: %v", address, res.Status, err)
+		return Reply{}, fault.New(rq.noAnswerKind(err), "node %s answered %d: %v", address, res.Status, err)
 	}
 	switch {
 	case reply.Fault != nil && res.UnansweredAttempt && rq.writes():
-		return Reply{}, fault.New(fault.Timeout, "node %s may have done it on an earlier try: %v", address, reply.Fault)
+		return Reply{}, fault.New(fault.Timeout, "node %s may have carried out an earlier attempt: %v", address, reply.Fault)
 	case reply.Fault != nil:
 		return Reply{}, reply.Fault
 	}
--- a/internal/peerlink/unresponsive_test.go
+++ b/internal/peerlink/unresponsive_test.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	// margin is added to bounds for the test machine itself.
+	// margin is added to time limits for delays of the test machine.
 	margin = 150 * time.Millisecond
-	// idle is how many idle connections a node has to another after a busy time.
+	// idle is the number of idle connections between the nodes, as after a period of high load.
 	idle = 20
-	// overdue is when a question without an answer is sent again.
+	// overdue is the time after which a request without an answer is sent again.
 	overdue = 300 * time.Millisecond
-	// writeOverdue is the same for a write: a slow store takes 250 ms for it.
+	// writeOverdue is the same for a write, which takes a slow store 250 ms.
 	writeOverdue = overdue + 250*time.Millisecond
 )
 
-// slow is the job that a node takes a while to tell of: calls at once need a connection each.
+// slow is a job whose phase takes a while to answer, so that concurrent calls use separate connections.
 const slow = "slow"
 
-// pair is a node that calls another behind a path that can go silent.
+// pair is a node that calls another one over a path that can become unresponsive.
 type pair struct {
-	t     *testing.T
-	path  *netpath.Path
-	near  *peerlink.Link
-	mu    sync.Mutex
-	asked int
-	// answer, where set, is what the far node makes of each request.
+	t           *testing.T
+	path        *netpath.Path
+	near        *peerlink.Link
+	mu          sync.Mutex
+	adviceCalls int
+	// answer, if set, produces the far node's error for each request.
 	answer func() error
 }
 
@@ -83,12 +83,12 @@
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	if rq.Advise != nil {
-		pr.asked++
+		pr.adviceCalls++
 	}
 	return peerlink.Reply{Phase: cell.Running, Pending: 7}, nil
 }
 
-// open leaves a number of idle connections behind.
+// open leaves a number of idle connections.
 func (pr *pair) open(count int) {
 	pr.t.Helper()
 	var group sync.WaitGroup
@@ -104,14 +104,13 @@
 	group.Wait()
 }
 
-// TestSilentCalls: all open connections between two nodes went silent at once, without a
-// reset. Each question to the planner was given the next of the kept ones and was lost, and
-// its caller with it.
+// TestUnresponsiveConnections guards against failed calls when all open connections between two nodes become
+// unresponsive without a reset. Each request to the planner used the next idle connection and failed, as did its
+// caller's.
 //
-// A question is answered within its half second, and a write within a relay's second: they
-// are sent again on a new connection when they are overdue, 300 ms after they were sent, or
-// 550 ms where a store writes in between.
-func TestSilentCalls(t *testing.T) {
+// A request must be answered within its timeout of 0.5 s, a relayed write within 1 s. Both are sent again on a new
+// connection when they are overdue: after 300 ms, or 550 ms if they include a write to the store.
+func TestUnresponsiveConnections(t *testing.T) {
 	cases := map[string]struct {
 		within time.Duration
 		bound  time.Duration
@@ -132,11 +131,11 @@
 			pr.open(idle)
 			pr.path.Silence()
 			for range 3 {
-				began := time.Now()
+				startedAt := time.Now()
 				ctx, cancel := context.WithTimeout(t.Context(), tc.within)
 				reply, err := pr.near.Call(ctx, pr.path.Address(), tc.rq)
 				cancel()
-				took := time.Since(began)
+				took := time.Since(startedAt)
 				t.Logf("answered after %v", took)
 				is.NoErr(err)
 				is.Equal(reply.Pending, 7)
@@ -146,9 +145,9 @@
 	}
 }
 
-// TestSilentRelay: a node that was cut off from the store relayed its callers' requests on
-// connections that had gone silent, and its callers were told that nothing is known.
-func TestSilentRelay(t *testing.T) {
+// TestRelayUnresponsive guards against relayed requests that fail on unresponsive connections, so that callers of a
+// node without access to the store get no definite answer.
+func TestRelayUnresponsive(t *testing.T) {
 	is := is.New(t)
 	pr := newPair(t)
 	pr.open(idle)
@@ -157,39 +156,38 @@
 		Node: "near", Call: pr.near.Call,
 		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", PeerAddr: pr.path.Address()}} },
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	_, done, err := re.Do(t.Context(), peerlink.Request{Submit: &work.Job{ID: "j"}})
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	t.Logf("relayed within %v", took)
 	is.NoErr(err)
 	is.True(done)
 	is.True(took <= writeOverdue+margin)
 }
 
-// TestRefusedSecondTry: a job that was sent a second time, because the first try was overdue,
-// was refused, and its caller was told that it surely does not run. The first try was carried
-// out all the same.
+// TestRefusedSecondAttempt guards against reporting a job as not run when only the second attempt to submit it, sent
+// because the first was overdue, was refused. The first attempt may have been carried out.
 //
-// A refusal of the second try says nothing of the first: the outcome is not known.
-func TestRefusedSecondTry(t *testing.T) {
+// The outcome must be reported as unknown.
+func TestRefusedSecondAttempt(t *testing.T) {
 	cases := map[string]struct {
 		rq   peerlink.Request
 		want fault.Kind
 	}{
-		"submit":             {peerlink.Request{Submit: &work.Job{ID: "j"}}, fault.Timeout},
-		"cancel":             {peerlink.Request{Cancel: "j"}, fault.Timeout},
-		"a question is lost": {peerlink.Request{State: "j"}, fault.Unavailable},
+		"submit":        {peerlink.Request{Submit: &work.Job{ID: "j"}}, fault.Timeout},
+		"cancel":        {peerlink.Request{Cancel: "j"}, fault.Timeout},
+		"state request": {peerlink.Request{State: "j"}, fault.Unavailable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			pr := newPair(t)
-			tries := make(chan struct{}, 2)
+			attempts := make(chan struct{}, 2)
 			pr.answer = func() error {
-				tries <- struct{}{}
-				if len(tries) == 1 {
-					time.Sleep(writeOverdue + margin) // and is carried out
+				attempts <- struct{}{}
+				if len(attempts) == 1 {
+					time.Sleep(writeOverdue + margin) // the first attempt is carried out
 					return nil
 				}
 				return fault.New(fault.Unavailable, "the store refused the write; not run")
@@ -197,18 +195,18 @@
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			_, err := pr.near.Call(ctx, pr.path.Address(), tc.rq)
-			is.Equal(len(tries), 2)
+			is.Equal(len(attempts), 2)
 			is.True(fault.Is(err, tc.want))
 		})
 	}
 }
 
-// TestSilentAdvice: questions to the advisor through another node were lost on one silent
-// connection after the other.
+// TestAdviceUnresponsive guards against advice requests through another node that fail on one unresponsive connection
+// after another.
 //
-// One question is lost, after its work and 0.7 s; the next is answered. None is put twice:
-// the advisor serves the calls of a node one after the other.
-func TestSilentAdvice(t *testing.T) {
+// One request may fail, after its processing time and 0.7 s; the next one must succeed. No request is sent twice,
+// because the advisor serves the calls of a node one at a time.
+func TestAdviceUnresponsive(t *testing.T) {
 	const takes = 20 * time.Millisecond
 	is := is.New(t)
 	pr := newPair(t)
@@ -218,16 +216,16 @@
 		Clock: clockwork.NewRealClock(), Node: "near", Call: pr.near.Call,
 		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", PeerAddr: pr.path.Address()}} },
 		Local: func(ctx context.Context, _ cell.AdviceRequest) (planner.Advice, error) {
-			<-ctx.Done() // another node is to answer
+			<-ctx.Done() // makes the pool use the other node
 			return planner.Advice{}, ctx.Err()
 		},
 	})
-	began := time.Now()
+	startedAt := time.Now()
 	answered := 0
-	for answered == 0 && time.Since(began) < 20*time.Second {
+	for answered == 0 && time.Since(startedAt) < 20*time.Second {
 		var group sync.WaitGroup
 		var mu sync.Mutex
-		for range 2 { // the first goes to this node, which is left alone then
+		for range 2 { // the first one uses this node, which is not used for a while then
 			group.Go(func() {
 				if _, err := pool.Advise(t.Context(), cell.AdviceRequest{Takes: takes, Urgent: true}); err == nil {
 					mu.Lock()
@@ -238,11 +236,11 @@
 		}
 		group.Wait()
 	}
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	t.Logf("answered after %v", took)
-	const rest = time.Second
-	is.True(took <= 2*(takes+700*time.Millisecond)+rest+margin)
+	const failurePause = time.Second
+	is.True(took <= 2*(takes+700*time.Millisecond)+failurePause+margin)
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	is.Equal(pr.asked, answered)
+	is.Equal(pr.adviceCalls, answered)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay passes callers' requests on to other nodes while this node is cut off
-// from the store: its callers stay on their connections, and others reach the store.
+// Package relay forwards callers' requests to other nodes while this node cannot reach the store. Callers keep their
+// connections, and other nodes may still reach the store.
 package relay
 
 import (
@@ -12,41 +12,39 @@
 	"tackbeam.example/tackbeam/internal/peerlink"
 )
 
-// Limits of a relayed request.
 const (
-	// tries is the number of nodes that are asked: where a third of them is cut off, two
-	// fail in one of nine cases, and a request that nobody can serve is soon refused.
-	tries = 2
-	// timeout bounds one try: a node that reaches the store answers in 20 ms, one that
-	// does not in 0.8 s at most.
-	timeout = time.Second
+	// maxAttempts is the maximum number of nodes to try. If a third of the nodes cannot reach the store, two fail in
+	// one of nine cases, and a request that no node can serve is refused soon.
+	maxAttempts = 2
+	// attemptTimeout bounds one attempt. A node that reaches the store answers in 20 ms, one that does not in 0.8 s at
+	// most.
+	attemptTimeout = time.Second
 )
 
-// Relay chooses the nodes to pass requests on to. The fields are seams.
+// Relay forwards requests to other nodes. Tests replace its fields.
 type Relay struct {
 	// Node is the name of this node.
 	Node string
-	// Members returns the nodes that are listed, as far as this node knows.
+	// Members returns the registered nodes that are known to this node.
 	Members func() []joblog.Member
-	// Call asks another node.
+	// Call sends a request to another node.
 	Call func(ctx context.Context, address string, rq peerlink.Request) (peerlink.Reply, error)
 }
 
-// Do passes a request on. It returns false where no node has answered it and it surely
-// was not carried out. A request without an answer is not sent to another node: it may have
-// been.
+// Do forwards a request. It returns false if no node has answered it and it was certainly not carried out. A request
+// without an answer is not sent to another node, because it may have been carried out.
 func (re *Relay) Do(ctx context.Context, rq peerlink.Request) (peerlink.Reply, bool, error) {
 	rq.Relayed = true
 	members := re.Members()
 	rand.Shuffle(len(members), func(a, b int) { members[a], members[b] = members[b], members[a] })
-	left := tries
+	remaining := maxAttempts
 	for _, mb := range members {
-		if mb.Node == re.Node || left == 0 {
+		if mb.Node == re.Node || remaining == 0 {
 			continue
 		}
-		left--
+		remaining--
 		reply, err := re.try(ctx, mb, rq)
-		if !unable(err) {
+		if !retryable(err) {
 			return reply, true, err
 		}
 	}
@@ -54,13 +52,13 @@
 }
 
 func (re *Relay) try(ctx context.Context, mb joblog.Member, rq peerlink.Request) (peerlink.Reply, error) {
-	call, cancel := context.WithTimeout(ctx, timeout)
+	call, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return re.Call(call, mb.PeerAddr, rq)
 }
 
-// unable reports whether a node surely has not carried a request out, for a reason that another
-// node may not have.
-func unable(err error) bool {
+// retryable reports whether a node has certainly not carried out a request, for a reason that may not apply to other
+// nodes.
+func retryable(err error) bool {
 	return fault.Is(err, fault.Unavailable) || fault.Is(err, fault.Draining) || fault.Is(err, fault.Stale)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -12,10 +12,10 @@
 	"tackbeam.example/tackbeam/internal/relay"
 )
 
-// TestDo passes a request on to nodes that answer as the case says, one after the other.
+// TestDo checks how many nodes are tried, and what is returned, depending on their answers.
 func TestDo(t *testing.T) {
-	refused := fault.New(fault.Unavailable, "the store is away")
-	stale := fault.New(fault.Stale, "the configuration here is old; not run")
+	refused := fault.New(fault.Unavailable, "store unavailable")
+	stale := fault.New(fault.Stale, "configuration is old; not run")
 	unknown := fault.New(fault.Timeout, "no answer")
 	notThere := fault.New(fault.NotFound, "no such job")
 	tests := map[string]struct {
@@ -25,14 +25,14 @@
 		done    bool
 		want    fault.Kind
 	}{
-		"first node takes it":                    {nodes: 4, answers: []error{nil}, calls: 1, done: true},
-		"second node takes it":                   {nodes: 4, answers: []error{refused, nil}, calls: 2, done: true},
-		"first node cannot know the routes":      {nodes: 4, answers: []error{stale, nil}, calls: 2, done: true},
-		"nobody can":                             {nodes: 4, answers: []error{refused, refused}, calls: 2},
-		"without an answer it may have been":     {nodes: 4, answers: []error{unknown}, calls: 1, done: true, want: fault.Timeout},
-		"an answer that is a fault is passed on": {nodes: 4, answers: []error{notThere}, calls: 1, done: true, want: fault.NotFound},
-		"no other node":                          {nodes: 1},
-		"one other node, and it cannot":          {nodes: 2, answers: []error{refused}, calls: 1},
+		"first node answers":                   {nodes: 4, answers: []error{nil}, calls: 1, done: true},
+		"second node answers":                  {nodes: 4, answers: []error{refused, nil}, calls: 2, done: true},
+		"first node has a stale configuration": {nodes: 4, answers: []error{stale, nil}, calls: 2, done: true},
+		"both nodes fail":                      {nodes: 4, answers: []error{refused, refused}, calls: 2},
+		"no answer, may have been carried out": {nodes: 4, answers: []error{unknown}, calls: 1, done: true, want: fault.Timeout},
+		"error of the job is returned":         {nodes: 4, answers: []error{notThere}, calls: 1, done: true, want: fault.NotFound},
+		"no other node":                        {nodes: 1},
+		"only other node fails":                {nodes: 2, answers: []error{refused}, calls: 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 					return list[:tt.nodes]
 				},
 				Call: func(_ context.Context, address string, rq peerlink.Request) (peerlink.Reply, error) {
-					is.True(address != "a") // a node does not ask itself
+					is.True(address != "a") // a node does not call itself
 					is.True(rq.Relayed)
 					calls++
 					if err := tt.answers[calls-1]; err != nil {
