--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,10 +1,9 @@
-// Package journal keeps records in the platform's store by group commit: one
-// write carries all records of the last moments.
+// Package journal stores records by group commit: one write to the platform's store carries all records of the last few
+// milliseconds.
 //
-// A journal is a ring of keys. Each write replaces the key after the former
-// one by compare-and-swap, and first copies forward what still stands in it. The
-// successor of a dead node seals its journal by winning the next key; whatever
-// the dead node, perhaps only paused, writes afterwards is refused.
+// A journal is a ring of keys. Each write replaces the next key in the ring by compare-and-swap, and carries along the
+// records in it that are still current. The successor of a failed node seals the node's journal by winning the
+// compare-and-swap on the next key. All later writes by the failed node are refused, even if it was only paused.
 package journal
 
 import (
@@ -28,15 +27,14 @@
 // Prefix is the prefix of all journals in the store.
 const Prefix = "journal/"
 
-// Sizes of a journal.
 const (
 	// slots is the number of keys in the ring.
 	slots = 64
-	// maxBatch is the size of new records in one write.
+	// maxBatch is the maximum size of new records in one write.
 	maxBatch = 256 << 10
-	// maxWrite leaves room for the encoding within the store's largest value.
+	// maxWrite leaves space for the encoding within the store's maximum value size.
 	maxWrite = 900 << 10
-	// maxLive bounds what a journal keeps.
+	// maxLive limits the size of all current records in a journal.
 	maxLive = 24 << 20
 	// linger is how long the first record of a batch waits for others.
 	linger = 4 * time.Millisecond
@@ -48,61 +46,61 @@
 	WriteID string           `cbor:"2,keyasint"`
 	Sealed  bool             `cbor:"3,keyasint,omitempty"`
 	Records []nodemsg.Record `cbor:"4,keyasint,omitempty"`
-	// Was is the number of the batch whose records a seal carries on.
-	Was uint64 `cbor:"5,keyasint,omitempty"`
+	// ReplacedSeq is the number of the batch that a seal replaced and whose records it carries.
+	ReplacedSeq uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// order is the place of the batch's records in the journal's order.
+// order returns the position of the batch's records in the journal.
 func (bt batch) order() uint64 {
 	if bt.Sealed {
-		return bt.Was
+		return bt.ReplacedSeq
 	}
 	return bt.Seq
 }
 
-// place is where the newest copy of a record stands.
-type place struct {
+// location is the slot with the latest version of a record.
+type location struct {
 	slot   int
 	record nodemsg.Record
 }
 
-// Pending is an append under way.
+// Pending is an append that is in progress.
 type Pending struct {
 	records []nodemsg.Record
 	done    chan struct{}
 	err     error
 }
 
-// Done is closed when the records are kept or surely refused.
+// Done returns a channel that is closed when the records are stored or certainly refused.
 func (pd *Pending) Done() <-chan struct{} { return pd.done }
 
-// Err returns why the records are not kept; it is valid after Done.
+// Err returns the error of the append, or nil. It is valid once Done is closed.
 func (pd *Pending) Err() error { return pd.err }
 
-// Journal is the journal that this node writes.
+// Journal is the journal written by this node.
 type Journal struct {
 	clock clockwork.Clock
 	log   logr.Logger
 	store *store.Client
 	name  string
 
-	mu       sync.Mutex
-	queue    []*Pending
-	places   map[string]place
-	live     int
-	versions [slots]uint64
-	seq      uint64
-	fenced   bool
-	wake     wake.Signal
-	cancel   context.CancelFunc
-	wg       sync.WaitGroup
+	mu        sync.Mutex
+	queue     []*Pending
+	locations map[string]location
+	liveBytes int
+	versions  [slots]uint64
+	seq       uint64
+	fenced    bool
+	wake      wake.Signal
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
 }
 
-// New returns an empty journal of a fresh name.
+// New returns an empty journal with a name that was not used before.
 func New(clock clockwork.Clock, log logr.Logger, cl *store.Client, name string) *Journal {
 	jr := &Journal{
 		clock: clock, log: log.WithName("journal"), store: cl, name: name,
-		places: map[string]place{}, wake: wake.New(),
+		locations: map[string]location{}, wake: wake.New(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	jr.cancel = cancel
@@ -112,10 +110,9 @@
 	return jr
 }
 
-// Name returns the journal's name.
 func (jr *Journal) Name() string { return jr.name }
 
-// Stop ends the writing; appends that are still under way fail as unknown.
+// Stop stops writing. The outcome of an append that is in progress remains unknown.
 func (jr *Journal) Stop() {
 	jr.cancel()
 	jr.wg.Wait()
@@ -123,7 +120,7 @@
 
 func key(name string, slot int) string { return fmt.Sprintf("%s%s/%02d", Prefix, name, slot) }
 
-// Append puts records in line. A record without a value ends its key.
+// Append queues records to be written. A record without a value deletes its key.
 func (jr *Journal) Append(records ...nodemsg.Record) *Pending {
 	pd := &Pending{records: records, done: make(chan struct{})}
 	jr.mu.Lock()
@@ -131,8 +128,8 @@
 	switch {
 	case jr.fenced:
 		pd.fail(errFenced(jr.name))
-	case jr.live > maxLive:
-		pd.fail(fault.New(fault.Full, "the journal is full; come back when jobs have ended"))
+	case jr.liveBytes > maxLive:
+		pd.fail(fault.New(fault.Full, "journal full; retry when jobs have ended"))
 	default:
 		jr.queue = append(jr.queue, pd)
 		jr.wake.Give()
@@ -149,9 +146,8 @@
 	return fault.New(fault.Unavailable, "journal %s was taken over by another node", name)
 }
 
-// Wait waits for an append. When the context ends first, records that were
-// not yet sent are withdrawn and the error says that nothing was kept; otherwise
-// the error is marked as begun.
+// Wait waits for an append. If the context ends first, records that were not sent are withdrawn, and the error means
+// that nothing was stored. If they were sent, the error is marked with AfterStart.
 func (jr *Journal) Wait(ctx context.Context, pd *Pending) error {
 	select {
 	case <-pd.Done():
@@ -163,19 +159,19 @@
 	for i, waiting := range jr.queue {
 		if waiting == pd {
 			jr.queue = append(jr.queue[:i:i], jr.queue[i+1:]...)
-			pd.fail(fault.New(fault.Unavailable, "the store did not take the record in time"))
+			pd.fail(fault.New(fault.Unavailable, "store did not accept the record in time"))
 			return pd.err
 		}
 	}
-	return fault.New(fault.Unavailable, "the store has not confirmed the record in time").AfterStart()
+	return fault.New(fault.Unavailable, "store has not confirmed the record in time").AfterStart()
 }
 
-// run writes one batch after another.
+// run writes batches until the context ends.
 func (jr *Journal) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
-			jr.failAll(fault.New(fault.Unavailable, "the node is stopping"))
+			jr.failAll(fault.New(fault.Unavailable, "node is stopping"))
 			return
 		case <-jr.wake:
 		}
@@ -194,9 +190,9 @@
 	jr.queue = nil
 }
 
-// writeNext writes the next batch and reports whether there may be more.
+// writeNext writes the next batch and reports whether there may be another one.
 func (jr *Journal) writeNext(ctx context.Context) bool {
-	bt, taken, slot, version := jr.next()
+	bt, appends, slot, version := jr.next()
 	if bt == nil {
 		return false
 	}
@@ -205,13 +201,14 @@
 		err = jr.put(ctx, slot, version, raw)
 	}
 	jr.commit(bt, slot, err)
-	for _, pd := range taken {
+	for _, pd := range appends {
 		pd.fail(err)
 	}
 	return err == nil
 }
 
-// next takes what fits from the queue and adds what must be copied forward.
+// next builds the next batch from the records that must be carried along and as many queued appends as fit. It also
+// returns these appends, the slot and the version of its key.
 func (jr *Journal) next() (*batch, []*Pending, int, uint64) {
 	jr.mu.Lock()
 	defer jr.mu.Unlock()
@@ -221,38 +218,38 @@
 	slot := int(jr.seq % slots)
 	bt := &batch{Seq: jr.seq + 1, WriteID: ids.Random(8)}
 	size := 0
-	for _, pl := range jr.places {
-		if pl.slot == slot {
-			bt.Records = append(bt.Records, pl.record)
-			size += weight(pl.record)
+	for _, loc := range jr.locations {
+		if loc.slot == slot {
+			bt.Records = append(bt.Records, loc.record)
+			size += approxSize(loc.record)
 		}
 	}
 	sort.Slice(bt.Records, func(i, j int) bool { return bt.Records[i].Key < bt.Records[j].Key })
-	var taken []*Pending
-	fresh := 0
+	var appends []*Pending
+	newSize := 0
 	for len(jr.queue) > 0 {
-		more := 0
+		appendSize := 0
 		for _, rec := range jr.queue[0].records {
-			more += weight(rec)
+			appendSize += approxSize(rec)
 		}
-		if size+fresh+more > maxWrite || fresh > 0 && fresh+more > maxBatch {
+		if size+newSize+appendSize > maxWrite || newSize > 0 && newSize+appendSize > maxBatch {
 			break
 		}
-		fresh += more
+		newSize += appendSize
 		bt.Records = append(bt.Records, jr.queue[0].records...)
-		taken = append(taken, jr.queue[0])
+		appends = append(appends, jr.queue[0])
 		jr.queue = jr.queue[1:]
 	}
-	return bt, taken, slot, jr.versions[slot]
+	return bt, appends, slot, jr.versions[slot]
 }
 
-// weight is the size of a record in the store, roughly.
-func weight(rec nodemsg.Record) int {
+// approxSize returns the approximate size of a record in the store.
+func approxSize(rec nodemsg.Record) int {
 	const overhead = 24
 	return len(rec.Key) + len(rec.Value) + overhead
 }
 
-// put writes a slot, for as long as it takes, until the store has answered.
+// put writes a slot and retries until the store has answered.
 func (jr *Journal) put(ctx context.Context, slot int, version uint64, raw []byte) error {
 	item, ok, err := jr.store.Put(ctx, store.Journal, store.Write{
 		Key: key(jr.name, slot), Value: raw, Version: version,
@@ -269,24 +266,24 @@
 	return nil
 }
 
-// commit notes where the records of a written batch stand now.
+// commit records the locations of a written batch's records.
 func (jr *Journal) commit(bt *batch, slot int, err error) {
 	jr.mu.Lock()
 	defer jr.mu.Unlock()
 	if err != nil {
 		jr.fenced = true
-		jr.log.Error(err, "Journal cannot be written any more.", "journal", jr.name)
+		jr.log.Error(err, "Journal can no longer be written.", "journal", jr.name)
 		return
 	}
 	jr.seq = bt.Seq
 	for _, rec := range bt.Records {
-		if old, ok := jr.places[rec.Key]; ok {
-			jr.live -= weight(old.record)
-			delete(jr.places, rec.Key)
+		if old, ok := jr.locations[rec.Key]; ok {
+			jr.liveBytes -= approxSize(old.record)
+			delete(jr.locations, rec.Key)
 		}
 		if len(rec.Value) > 0 {
-			jr.places[rec.Key] = place{slot: slot, record: rec}
-			jr.live += weight(rec)
+			jr.locations[rec.Key] = location{slot: slot, record: rec}
+			jr.liveBytes += approxSize(rec)
 		}
 	}
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestLapsKeepWhatStands writes many laps of the ring. Records that stand are
-// copied forward, ended ones are gone, and lost replies change nothing.
-func TestLapsKeepWhatStands(t *testing.T) {
+// TestWrapAroundKeepsRecords guards against losing records when the ring wraps around. Current records are carried
+// along, deleted ones disappear, and lost responses change nothing.
+func TestWrapAroundKeepsRecords(t *testing.T) {
 	is := is.New(t)
 	st, cl := start(t)
 	st.SetFaults(standinstore.Faults{LoseEvery: 7})
@@ -66,14 +66,14 @@
 	got, err := journal.Seal(context.Background(), cl, "n1-a")
 	is.NoErr(err)
 	is.Equal(len(got), 2)
-	is.Equal(got[0], record("hot", 150)) // the newest state
-	is.Equal(got[1], record("old", 1))   // two laps old, still there
+	is.Equal(got[0], record("hot", 150)) // the latest version
+	is.Equal(got[1], record("old", 1))   // carried along in two rounds of the ring
 	is.True(st.Counts().Lost > 0)
 }
 
-// TestSealFencesAPausedWriter seals a journal whose writer still believes it is
-// alive: its next append must fail, and sealing again changes nothing.
-func TestSealFencesAPausedWriter(t *testing.T) {
+// TestSealFencesPausedWriter guards against a paused writer that still owns its journal as far as it knows. Its next
+// append must fail after the journal is sealed. Sealing it again changes nothing.
+func TestSealFencesPausedWriter(t *testing.T) {
 	is := is.New(t)
 	_, cl := start(t)
 	jr := open(t, cl)
@@ -81,7 +81,7 @@
 	first, err := journal.Seal(context.Background(), cl, "n1-a")
 	is.NoErr(err)
 	err = jr.Wait(context.Background(), jr.Append(record("b", 1)))
-	is.True(err != nil) // the writer is fenced
+	is.True(err != nil)
 	is.True(jr.Fenced())
 	second, err := journal.Seal(context.Background(), cl, "n1-a")
 	is.NoErr(err)
@@ -90,15 +90,15 @@
 	is.NoErr(journal.Erase(context.Background(), cl, "n1-a"))
 	items, _, err := cl.List(context.Background(), store.Other, journal.Prefix)
 	is.NoErr(err)
-	is.Equal(len(items), 1) // the seal stays, see TestWriterWakesAfterErase
+	is.Equal(len(items), 1) // only the seal, see TestPausedWriterAfterErase
 	left, err := journal.Seal(context.Background(), cl, "n1-a")
 	is.NoErr(err)
-	is.Equal(len(left), 0) // and holds no record
+	is.Equal(len(left), 0) // the seal holds no record
 }
 
-// TestSealKeepsTheOrder seals onto a slot with an old record of a key whose
-// newest record stands elsewhere.
-func TestSealKeepsTheOrder(t *testing.T) {
+// TestSealKeepsOrder guards against a seal that brings back an old record. It seals a slot with an old record of a key
+// whose latest record is in another slot.
+func TestSealKeepsOrder(t *testing.T) {
 	is := is.New(t)
 	_, cl := start(t)
 	jr := open(t, cl)
@@ -110,7 +110,7 @@
 	is.Equal(got, []nodemsg.Record{record("hot", 66)})
 }
 
-// TestOutage tells appends that were not sent from those that may be in.
+// TestOutage checks that the error of an append tells whether it was sent and may have been stored.
 func TestOutage(t *testing.T) {
 	is := is.New(t)
 	st, cl := start(t)
@@ -119,18 +119,18 @@
 	sent := jr.Append(record("sent", 1))
 	short, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	is.True(fault.From(jr.Wait(short, sent)).Begun) // it may be in
+	is.True(fault.From(jr.Wait(short, sent)).Begun) // may be stored
 	behind := jr.Append(record("behind", 1))
-	is.True(!fault.From(jr.Wait(short, behind)).Begun) // it is surely not
+	is.True(!fault.From(jr.Wait(short, behind)).Begun) // certainly not stored
 	st.SetFaults(standinstore.Faults{})
 	<-sent.Done()
-	is.NoErr(sent.Err()) // once the store is back, what was sent is settled
+	is.NoErr(sent.Err()) // stored once the store answers again
 }
 
-// TestWriterWakesAfterErase erases a journal while its writer is paused. The writer
-// may not go on, whether it had used the next slot of the ring or not.
-func TestWriterWakesAfterErase(t *testing.T) {
-	for name, before := range map[string]uint64{"before its first write": 0, "within the first lap": 3, "in a later lap": 150} {
+// TestPausedWriterAfterErase guards against a writer that was paused while its journal was erased and then continues.
+// It must be fenced, whether or not it has used the next slot of the ring.
+func TestPausedWriterAfterErase(t *testing.T) {
+	for name, before := range map[string]uint64{"before its first write": 0, "in the first round": 3, "in a later round": 150} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, cl := start(t)
@@ -141,7 +141,7 @@
 			_, err := journal.Seal(t.Context(), cl, "n1-a")
 			is.NoErr(err)
 			is.NoErr(journal.Erase(t.Context(), cl, "n1-a"))
-			is.NoErr(journal.Erase(t.Context(), cl, "n1-a")) // another node may do the same
+			is.NoErr(journal.Erase(t.Context(), cl, "n1-a")) // another node may erase it as well
 			is.True(jr.Wait(t.Context(), jr.Append(record("late", 1))) != nil)
 		})
 	}
--- a/internal/journal/seal.go
+++ b/internal/journal/seal.go
@@ -14,7 +14,7 @@
 	"tackbeam.example/tackbeam/internal/wire"
 )
 
-// read returns the batches of a journal by slot, and the versions of their keys.
+// read returns a journal's batches and the versions of its keys, both by slot.
 func read(ctx context.Context, cl *store.Client, name string) (map[int]batch, map[int]uint64, error) {
 	items, _, err := cl.List(ctx, store.Ownership, Prefix+name+"/")
 	if err != nil {
@@ -35,8 +35,8 @@
 	return batches, versions, nil
 }
 
-// Seal makes sure that nothing more is written to a journal and returns the
-// newest record of each key. Sealing a sealed journal only reads it.
+// Seal prevents further writes to a journal and returns the latest record of each key. It only reads a journal that is
+// already sealed.
 func Seal(ctx context.Context, cl *store.Client, name string) ([]nodemsg.Record, error) {
 	for {
 		batches, versions, err := read(ctx, cl, name)
@@ -49,8 +49,8 @@
 		}
 		slot := int(head.Seq % slots)
 		seal := batch{Seq: head.Seq + 1, WriteID: ids.Random(8), Sealed: true}
-		// What stands in the slot must outlive the seal.
-		seal.Records, seal.Was = batches[slot].Records, batches[slot].Seq
+		// The seal replaces the slot's batch, so it must carry the batch's records.
+		seal.Records, seal.ReplacedSeq = batches[slot].Records, batches[slot].Seq
 		raw, err := wire.Encode(seal)
 		if err != nil {
 			return nil, err
@@ -78,7 +78,7 @@
 	return head
 }
 
-// newestRecords returns of each key the record that was written last.
+// newestRecords returns the latest record of each key.
 func newestRecords(batches map[int]batch) []nodemsg.Record {
 	ordered := make([]batch, 0, len(batches))
 	for _, bt := range batches {
@@ -101,9 +101,8 @@
 	return records
 }
 
-// Erase deletes what a journal holds that nobody needs any more. Its seal stays: a
-// writer that was paused all the while would find an empty slot otherwise, take it
-// for one that it has not used yet, and go on.
+// Erase deletes a journal's records, which must no longer be needed. The seal remains: a writer that was paused all the
+// time would otherwise take the empty slot for one that it has not used yet, and continue.
 func Erase(ctx context.Context, cl *store.Client, name string) error {
 	if _, err := Seal(ctx, cl, name); err != nil {
 		return err
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -11,11 +11,10 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// Class orders the users of the store's call budget. A lower class leaves a
-// reserve for the higher ones.
+// Class is the priority of a call within the node's budget. Each class leaves a reserve for the higher ones.
 type Class int
 
-// The classes, most important first.
+// The classes, highest priority first.
 const (
 	Ownership Class = iota
 	Journal
@@ -24,37 +23,37 @@
 	classes
 )
 
-// reserves is the part of the burst that each class leaves untouched.
+// reserves is the fraction of the burst that each class must leave unused.
 var reserves = [classes]float64{0, 0.1, 0.3, 0.5}
 
-// minimumBurst lets a node with a small share still write a membership change.
+// minimumBurst allows a node with a small share to write a membership change.
 const minimumBurst = 4
 
-// budget is this node's share of the store's calls of one kind.
+// budget limits the rate of this node's reads or writes to its share of the store's rate limit.
 type budget struct {
-	clock clockwork.Clock
-	mu    sync.Mutex
-	limit *rate.Limiter
+	clock   clockwork.Clock
+	mu      sync.Mutex
+	limiter *rate.Limiter
 }
 
 func newBudget(clock clockwork.Clock, perSecond float64) *budget {
 	bg := &budget{clock: clock}
-	bg.limit = rate.NewLimiter(rate.Limit(perSecond), burst(perSecond))
+	bg.limiter = rate.NewLimiter(rate.Limit(perSecond), burst(perSecond))
 	return bg
 }
 
 func burst(perSecond float64) int { return max(minimumBurst, int(perSecond)) }
 
-// set changes the calls a second that this node may spend.
+// set changes the number of calls per second.
 func (bg *budget) set(perSecond float64) {
 	bg.mu.Lock()
 	defer bg.mu.Unlock()
 	now := bg.clock.Now()
-	bg.limit.SetLimitAt(now, rate.Limit(perSecond))
-	bg.limit.SetBurstAt(now, burst(perSecond))
+	bg.limiter.SetLimitAt(now, rate.Limit(perSecond))
+	bg.limiter.SetBurstAt(now, burst(perSecond))
 }
 
-// wait takes one call of the class, or fails when the context ends first.
+// wait takes one call of a class from the budget, or fails if the context ends first.
 func (bg *budget) wait(ctx context.Context, cl Class) error {
 	for {
 		pause := bg.take(cl)
@@ -63,31 +62,31 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.Unavailable, "store budget is spent; come back later").After(pause)
+			return fault.New(fault.Unavailable, "store call budget exhausted; retry later").After(pause)
 		case <-bg.clock.After(pause):
 		}
 	}
 }
 
-// take takes one call if the class may, or returns how long to wait.
+// take takes one call of a class from the budget and returns 0, or returns how long to wait before the next attempt.
 func (bg *budget) take(cl Class) time.Duration {
 	bg.mu.Lock()
 	defer bg.mu.Unlock()
 	now := bg.clock.Now()
-	reserve := reserves[cl] * float64(bg.limit.Burst())
-	have := bg.limit.TokensAt(now)
-	if have >= reserve+1 && bg.limit.AllowN(now, 1) {
+	reserve := reserves[cl] * float64(bg.limiter.Burst())
+	available := bg.limiter.TokensAt(now)
+	if available >= reserve+1 && bg.limiter.AllowN(now, 1) {
 		return 0
 	}
-	const atLeast = time.Millisecond
-	missing := (reserve + 1 - have) / float64(bg.limit.Limit())
-	return max(atLeast, time.Duration(missing*float64(time.Second)))
+	const minPause = time.Millisecond
+	missing := (reserve + 1 - available) / float64(bg.limiter.Limit())
+	return max(minPause, time.Duration(missing*float64(time.Second)))
 }
 
-// spent returns the part of the burst in use, 0 to 1.
+// spent returns the fraction of the burst that is in use, from 0 to 1.
 func (bg *budget) spent() float64 {
 	bg.mu.Lock()
 	defer bg.mu.Unlock()
-	have := bg.limit.TokensAt(bg.clock.Now())
-	return 1 - max(0, have)/float64(bg.limit.Burst())
+	available := bg.limiter.TokensAt(bg.clock.Now())
+	return 1 - max(0, available)/float64(bg.limiter.Burst())
 }
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -8,59 +8,58 @@
 	"tackbeam.example/tackbeam/internal/storemsg"
 )
 
-// watchWait is how long one watch of the store waits.
+// watchWait is how long a watch waits for changes.
 const watchWait = 20 * time.Second
 
-// FollowOptions says what to do with the keys under a prefix.
+// FollowOptions specify the keys to follow and the functions that are called with them.
 type FollowOptions struct {
 	Prefix string
 	Class  Class
-	// ResyncAfter is the time after which everything is read anew, besides after a
-	// failure; zero is never.
+	// ResyncAfter is the time after which all keys are read again even without a failure; 0 means never.
 	ResyncAfter time.Duration
-	// OnSnapshot takes every key and the store's revision at that moment.
+	// OnSnapshot is called with all keys and the store's revision at which they were read.
 	OnSnapshot func(items []storemsg.Item, revision uint64)
-	// OnChange takes keys that have changed since, in order; it may be empty.
+	// OnChange is called with the keys that have changed since, in order. There may be none.
 	OnChange func(items []storemsg.Item)
 }
 
-// Follow reads everything under a prefix and then its changes, until the context
-// ends. After a failure it reads everything again.
-func (cl *Client) Follow(ctx context.Context, fw FollowOptions) {
-	revision, synced, fails := uint64(0), false, 0
-	var read time.Time
+// Follow reads all keys with a prefix and then watches for changes, until the context ends. After a failure, it reads
+// all keys again.
+func (cl *Client) Follow(ctx context.Context, opts FollowOptions) {
+	revision, synced, failures := uint64(0), false, 0
+	var lastRead time.Time
 	for ctx.Err() == nil {
 		var err error
-		if !synced || fw.ResyncAfter > 0 && cl.clock.Since(read) > fw.ResyncAfter {
-			revision, err = cl.readAll(ctx, fw)
-			synced, read = err == nil, cl.clock.Now()
+		if !synced || opts.ResyncAfter > 0 && cl.clock.Since(lastRead) > opts.ResyncAfter {
+			revision, err = cl.readAll(ctx, opts)
+			synced, lastRead = err == nil, cl.clock.Now()
 		} else {
-			revision, synced, err = cl.follow(ctx, fw, revision)
+			revision, synced, err = cl.watchOnce(ctx, opts, revision)
 		}
 		if err == nil {
-			fails = 0
+			failures = 0
 			continue
 		}
 		synced = false
-		fails++
-		loop.Pause(ctx, cl.clock, Backoff(fails))
+		failures++
+		loop.Pause(ctx, cl.clock, Backoff(failures))
 	}
 }
 
-func (cl *Client) readAll(ctx context.Context, fw FollowOptions) (uint64, error) {
-	items, revision, err := cl.List(ctx, fw.Class, fw.Prefix)
+func (cl *Client) readAll(ctx context.Context, opts FollowOptions) (uint64, error) {
+	items, revision, err := cl.List(ctx, opts.Class, opts.Prefix)
 	if err == nil {
-		fw.OnSnapshot(items, revision)
+		opts.OnSnapshot(items, revision)
 	}
 	return revision, err
 }
 
-// follow waits for changes once; it reports false where the store forgot some.
-func (cl *Client) follow(ctx context.Context, fw FollowOptions, after uint64) (uint64, bool, error) {
-	res, err := cl.Watch(ctx, fw.Class, fw.Prefix, after, watchWait)
+// watchOnce waits once for changes. It reports false if some changes are missing because the store has compacted them.
+func (cl *Client) watchOnce(ctx context.Context, opts FollowOptions, after uint64) (uint64, bool, error) {
+	res, err := cl.Watch(ctx, opts.Class, opts.Prefix, after, watchWait)
 	if err != nil || res.Compacted {
 		return after, false, err
 	}
-	fw.OnChange(res.Items)
+	opts.OnChange(res.Items)
 	return res.Revision, true, nil
 }
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -12,8 +12,8 @@
 	"tackbeam.example/tackbeam/internal/storemsg"
 )
 
-// HTTP returns the transport for a service that speaks JSON over HTTP at the
-// addresses. A call goes to the first address; after a failure, to the next.
+// HTTP returns a transport for a store that serves JSON over HTTP at the given addresses. Each call goes to the first
+// address, or to the next one if the call was refused.
 func HTTP(addrs []string) Transport {
 	ht := &httpTransport{addrs: addrs, client: &fasthttp.Client{
 		MaxIdemponentCallAttempts: 1,
@@ -21,10 +21,10 @@
 		MaxResponseBodySize:       64 * storemsg.MaxValue,
 	}}
 	return Transport{
-		Get:   caller[storemsg.GetRequest, storemsg.ItemsResponse](ht, storemsg.GetPath),
-		Put:   caller[storemsg.PutRequest, storemsg.PutResponse](ht, storemsg.PutPath),
-		Lease: caller[storemsg.LeaseRequest, storemsg.LeaseResponse](ht, storemsg.LeasePath),
-		Watch: caller[storemsg.WatchRequest, storemsg.ItemsResponse](ht, storemsg.WatchPath),
+		Get:   postFunc[storemsg.GetRequest, storemsg.ItemsResponse](ht, storemsg.GetPath),
+		Put:   postFunc[storemsg.PutRequest, storemsg.PutResponse](ht, storemsg.PutPath),
+		Lease: postFunc[storemsg.LeaseRequest, storemsg.LeaseResponse](ht, storemsg.LeasePath),
+		Watch: postFunc[storemsg.WatchRequest, storemsg.ItemsResponse](ht, storemsg.WatchPath),
 	}
 }
 
@@ -33,8 +33,8 @@
 	client *fasthttp.Client
 }
 
-// caller returns a function that posts requests of one type to one path.
-func caller[Req, Res any](ht *httpTransport, path string) func(context.Context, Req) (Res, Outcome, error) {
+// postFunc returns a function that posts requests of one type to a path.
+func postFunc[Req, Res any](ht *httpTransport, path string) func(context.Context, Req) (Res, Outcome, error) {
 	return func(ctx context.Context, req Req) (Res, Outcome, error) {
 		var res Res
 		body, err := json.Marshal(req)
@@ -52,41 +52,40 @@
 	}
 }
 
-// post makes one call. Only an answer that says so, a connection that was never
-// made, or a call that was over before it was sent counts as refused; everything
-// else may have taken effect.
+// post makes one call. It counts as refused only if the response says so, if no connection could be opened, or if its
+// time was over before it was sent. In all other cases, it may have taken effect.
 func (ht *httpTransport) post(ctx context.Context, url string, body []byte, res any) (Outcome, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(defaultTimeout)
 	}
-	// The context's timer may lag behind its deadline.
+	// The context's timer may fire later than its deadline.
 	if ctx.Err() != nil || !time.Now().Before(deadline) {
-		return Refused, errors.New("call store: its time was over before it was sent")
+		return Refused, errors.New("call store: canceled or past its deadline before it was sent")
 	}
-	done := make(chan answer, 1)
+	done := make(chan httpResponse, 1)
 	go func() { done <- ht.exchange(url, body, deadline) }()
 	select {
-	case an := <-done:
-		if an.err != nil {
-			return dialOutcome(an.err), errors.Wrap(an.err, "call store")
+	case hr := <-done:
+		if hr.err != nil {
+			return dialOutcome(hr.err), errors.Wrap(hr.err, "call store")
 		}
-		return readAnswer(an, res)
+		return decodeResponse(hr, res)
 	case <-ctx.Done():
 		return NoAnswer, errors.Wrap(ctx.Err(), "call store")
 	}
 }
 
-// answer is what came back from one exchange.
-type answer struct {
+// httpResponse is the result of one HTTP request.
+type httpResponse struct {
 	status int
 	body   []byte
 	err    error
 }
 
-// exchange sends one request. The library cannot be interrupted, so a caller
-// that gives up leaves it to end by its deadline.
-func (ht *httpTransport) exchange(url string, body []byte, deadline time.Time) answer {
+// exchange sends one request. The library cannot cancel requests, so that a request abandoned by its caller continues
+// until the deadline.
+func (ht *httpTransport) exchange(url string, body []byte, deadline time.Time) httpResponse {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	rsp := fasthttp.AcquireResponse()
@@ -96,10 +95,10 @@
 	req.Header.SetContentType("application/json")
 	req.SetBody(body)
 	err := ht.client.DoDeadline(req, rsp, deadline)
-	return answer{status: rsp.StatusCode(), body: bytes.Clone(rsp.Body()), err: err}
+	return httpResponse{status: rsp.StatusCode(), body: bytes.Clone(rsp.Body()), err: err}
 }
 
-// defaultTimeout bounds a call whose context has no deadline.
+// defaultTimeout applies to calls whose context has no deadline.
 const defaultTimeout = time.Second
 
 func dialOutcome(err error) Outcome {
@@ -110,9 +109,9 @@
 	return NoAnswer
 }
 
-func readAnswer(an answer, res any) (Outcome, error) {
+func decodeResponse(hr httpResponse, res any) (Outcome, error) {
 	outcome := Answered
-	switch an.status {
+	switch hr.status {
 	case fasthttp.StatusOK:
 	case fasthttp.StatusConflict:
 		outcome = Conflicted
@@ -120,12 +119,12 @@
 		return Gone, nil
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable,
 		fasthttp.StatusBadRequest, fasthttp.StatusNotFound, fasthttp.StatusRequestEntityTooLarge:
-		return Refused, errors.Errorf("store answered %d: %s", an.status, an.body)
+		return Refused, errors.Errorf("store answered %d: %s", hr.status, hr.body)
 	default:
-		return NoAnswer, errors.Errorf("store answered %d", an.status)
+		return NoAnswer, errors.Errorf("store answered %d", hr.status)
 	}
-	if err := json.Unmarshal(an.body, res); err != nil {
-		return NoAnswer, errors.Wrap(err, "decode store answer")
+	if err := json.Unmarshal(hr.body, res); err != nil {
+		return NoAnswer, errors.Wrap(err, "decode store response")
 	}
 	return outcome, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the client of the platform's key-value service. It keeps to a
-// share of the service's calls, settles replies that were lost, and never says
-// that a write failed unless it surely did.
+// Package store is the client of the platform's key-value store. It limits the node's calls to a share of the store's
+// rate limit, determines the outcome of writes whose response was lost, and reports a write as failed only if it
+// certainly had no effect.
 package store
 
 import (
@@ -19,11 +19,10 @@
 	"tackbeam.example/tackbeam/internal/storemsg"
 )
 
-// Outcome of one call as the transport saw it.
+// Outcome is the outcome of a call as seen by the transport.
 type Outcome int
 
-// The outcomes. Refused means that the call surely had no effect; NoAnswer, that it
-// may have had.
+// The outcomes. Refused means that the call certainly had no effect, NoAnswer that it may have had one.
 const (
 	Answered Outcome = iota
 	Conflicted
@@ -32,8 +31,7 @@
 	NoAnswer
 )
 
-// Transport carries calls to the service. The fields are seams: an adapter sets
-// them for a wire format, a test for a fault.
+// Transport makes calls to the store. Adapters set its fields for a protocol, tests replace them to inject faults.
 type Transport struct {
 	Get   func(context.Context, storemsg.GetRequest) (storemsg.ItemsResponse, Outcome, error)
 	Put   func(context.Context, storemsg.PutRequest) (storemsg.PutResponse, Outcome, error)
@@ -41,22 +39,22 @@
 	Watch func(context.Context, storemsg.WatchRequest) (storemsg.ItemsResponse, Outcome, error)
 }
 
-// Options of a client.
+// Options configure a client.
 type Options struct {
-	// Writes and Reads are the service's calls a second, for all nodes together.
+	// Writes and Reads are the store's rate limits in calls per second, for all nodes together.
 	Writes float64
 	Reads  float64
-	// Timeout bounds one call.
+	// Timeout bounds a single call.
 	Timeout time.Duration
 }
 
-// Client is one node's client. It is safe for concurrent use.
+// Client is the store's client of one node. It is safe for concurrent use.
 type Client struct {
-	opts   Options
-	clock  clockwork.Clock
-	via    Transport
-	reads  *budget
-	writes *budget
+	opts      Options
+	clock     clockwork.Clock
+	transport Transport
+	reads     *budget
+	writes    *budget
 
 	calls  [2]atomic.Int64
 	failed atomic.Int64
@@ -65,21 +63,21 @@
 	down   bool
 }
 
-// share is the part of the service's rate that the nodes plan to use.
+// share is the fraction of the store's rate limits that the nodes use.
 const share = 0.9
 
-// New returns a client that, until told otherwise, takes a seventh of the rates.
-func New(clock clockwork.Clock, via Transport, opts Options) *Client {
+// New returns a client that assumes seven nodes until SetNodes is called.
+func New(clock clockwork.Clock, transport Transport, opts Options) *Client {
 	const nodes = 7
 	cl := &Client{
-		opts: opts, clock: clock, via: via,
+		opts: opts, clock: clock, transport: transport,
 		reads:  newBudget(clock, opts.Reads*share/nodes),
 		writes: newBudget(clock, opts.Writes*share/nodes),
 	}
 	return cl
 }
 
-// SetNodes divides the service's rates by the number of live nodes.
+// SetNodes divides the store's rate limits by the number of live nodes.
 func (cl *Client) SetNodes(n int) {
 	n = max(n, 1)
 	cl.reads.set(cl.opts.Reads * share / float64(n))
@@ -93,20 +91,20 @@
 	return cl.down
 }
 
-// LastOK returns when the service last answered.
+// LastOK returns when the store last answered.
 func (cl *Client) LastOK() time.Time {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return cl.lastOK
 }
 
-// Calls returns the reads, the writes and the failed calls so far, and how much
-// of the write budget is in use, 0 to 1.
+// Calls returns the number of reads, writes and failed calls so far, and the fraction of the write budget that is in
+// use, from 0 to 1.
 func (cl *Client) Calls() (reads, writes, failed int64, spent float64) {
 	return cl.calls[0].Load(), cl.calls[1].Load(), cl.failed.Load(), cl.writes.spent()
 }
 
-func (cl *Client) note(oc Outcome) {
+func (cl *Client) record(oc Outcome) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.down = oc == NoAnswer || oc == Refused
@@ -129,7 +127,7 @@
 	return nil
 }
 
-// Get reads one key; an absent one has version 0.
+// Get reads one key. A missing key has version 0.
 func (cl *Client) Get(ctx context.Context, class Class, key string) (storemsg.Item, error) {
 	res, err := cl.get(ctx, class, storemsg.GetRequest{Key: key})
 	if err != nil {
@@ -141,7 +139,7 @@
 	return res.Items[0], nil
 }
 
-// List reads all keys with a prefix, and the store's revision at that moment.
+// List reads all keys with a prefix and returns them with the store's revision.
 func (cl *Client) List(ctx context.Context, class Class, prefix string) ([]storemsg.Item, uint64, error) {
 	res, err := cl.get(ctx, class, storemsg.GetRequest{Prefix: prefix})
 	return res.Items, res.Revision, err
@@ -155,8 +153,8 @@
 	}
 	call, cancel := context.WithTimeout(ctx, cl.opts.Timeout)
 	defer cancel()
-	res, oc, err := cl.via.Get(call, req)
-	cl.note(oc)
+	res, oc, err := cl.transport.Get(call, req)
+	cl.record(oc)
 	if oc != Answered {
 		return res, unavailable("read", err)
 	}
@@ -164,23 +162,23 @@
 }
 
 func unavailable(what string, err error) *fault.Error {
-	const comeBack = time.Second
-	return fault.New(fault.Unavailable, "store did not answer a %s: %v", what, err).After(comeBack)
+	const retryAfter = time.Second
+	return fault.New(fault.Unavailable, "store did not answer a %s: %v", what, err).After(retryAfter)
 }
 
-// Write is one compare-and-swap.
+// Write is a compare-and-swap of one key.
 type Write struct {
 	Key     string
 	Value   []byte
 	Version uint64
 	Delete  bool
 	Lease   string
-	// IsApplied reports whether a value found in the store shows that this write took
-	// effect, perhaps under later ones. Nil compares the bytes.
+	// IsApplied reports whether a value found in the store shows that this write took effect, perhaps followed by later
+	// ones. If it is nil, the values are compared.
 	IsApplied func(value []byte) bool
 }
 
-func (wr Write) mine(item storemsg.Item) bool {
+func (wr Write) isApplied(item storemsg.Item) bool {
 	if wr.Delete {
 		return item.Version == 0
 	}
@@ -193,37 +191,36 @@
 	return bytes.Equal(item.Value, wr.Value)
 }
 
-// Put carries a write out. It reports true and the key as written, or false and
-// the key as somebody else left it. A lost reply is settled by reading back and
-// repeating the same compare-and-swap. An error with Begun set means that the
-// write may yet have taken effect.
+// Put executes a write. It returns true and the written key, or false and the current key if another write was first.
+// If the response is lost, it reads the key and repeats the same compare-and-swap until the outcome is known. An error
+// with Begun set means that the write may have taken effect, or may still do so.
 func (cl *Client) Put(ctx context.Context, class Class, wr Write) (storemsg.Item, bool, error) {
 	req := storemsg.PutRequest{
 		Key: wr.Key, Value: wr.Value, Version: wr.Version, Delete: wr.Delete, Lease: wr.Lease,
 	}
-	begun := false
-	for try := 0; ; try++ {
+	mayHaveApplied := false
+	for attempt := 0; ; attempt++ {
 		res, oc, err := cl.put(ctx, class, req)
 		switch oc {
 		case Answered:
 			return res.Item, true, nil
 		case Conflicted:
-			return res.Item, wr.mine(res.Item), nil
+			return res.Item, wr.isApplied(res.Item), nil
 		case Gone:
-			return res.Item, false, fault.New(fault.Conflict, "lease of key %s has lapsed", wr.Key)
+			return res.Item, false, fault.New(fault.Conflict, "lease of key %s has expired", wr.Key)
 		case NoAnswer:
-			begun = true
+			mayHaveApplied = true
 		}
-		more := cl.pause(ctx, try)
-		if begun && more {
+		retry := cl.pause(ctx, attempt)
+		if mayHaveApplied && retry {
 			item, err := cl.Get(ctx, class, wr.Key)
-			if err == nil && (wr.mine(item) || item.Version != wr.Version) {
-				return item, wr.mine(item), nil
+			if err == nil && (wr.isApplied(item) || item.Version != wr.Version) {
+				return item, wr.isApplied(item), nil
 			}
 		}
-		if !more {
+		if !retry {
 			er := unavailable("write", err)
-			er.Begun = begun
+			er.Begun = mayHaveApplied
 			return storemsg.Item{}, false, er
 		}
 	}
@@ -237,32 +234,30 @@
 	}
 	call, cancel := context.WithTimeout(ctx, cl.opts.Timeout)
 	defer cancel()
-	res, oc, err := cl.via.Put(call, req)
-	cl.note(oc)
+	res, oc, err := cl.transport.Put(call, req)
+	cl.record(oc)
 	return res, oc, err
 }
 
-var pauses = backoff.Backoff{Initial: 20 * time.Millisecond, Max: 2 * time.Second}
+var retryPauses = backoff.Backoff{Initial: 20 * time.Millisecond, Max: 2 * time.Second}
 
-// Backoff returns the pause before try n, doubled each time up to two seconds,
-// with jitter.
-func Backoff(n int) time.Duration { return pauses.Jittered(n) }
+// Backoff returns the pause before retry n. It doubles each time, up to two seconds, and is jittered.
+func Backoff(n int) time.Duration { return retryPauses.Jittered(n) }
 
-// pause waits before the next try; it reports false when the context ends first.
-func (cl *Client) pause(ctx context.Context, try int) bool {
-	return loop.Pause(ctx, cl.clock, Backoff(try))
+// pause waits before the next attempt. It reports false if the context ends first.
+func (cl *Client) pause(ctx context.Context, attempt int) bool {
+	return loop.Pause(ctx, cl.clock, Backoff(attempt))
 }
 
-// Grant makes a lease of the store, or renews the one of the id. It reports
-// false where that one has lapsed.
+// Grant creates a lease, or renews the one with the given ID. It reports false if that lease has expired.
 func (cl *Client) Grant(ctx context.Context, id string, ttl time.Duration) (string, bool, error) {
 	if err := cl.spend(ctx, cl.writes, Ownership); err != nil {
 		return "", false, err
 	}
 	call, cancel := context.WithTimeout(ctx, cl.opts.Timeout)
 	defer cancel()
-	res, oc, err := cl.via.Lease(call, storemsg.LeaseRequest{ID: id, TTL: ttl.Milliseconds()})
-	cl.note(oc)
+	res, oc, err := cl.transport.Lease(call, storemsg.LeaseRequest{ID: id, TTL: ttl.Milliseconds()})
+	cl.record(oc)
 	switch oc {
 	case Answered:
 		return res.ID, true, nil
@@ -272,7 +267,7 @@
 	return "", false, unavailable("lease", err)
 }
 
-// Watch waits for changes under the prefix after the revision.
+// Watch waits for changes after a revision to keys with a prefix.
 func (cl *Client) Watch(
 	ctx context.Context, class Class, prefix string, after uint64, wait time.Duration,
 ) (storemsg.ItemsResponse, error) {
@@ -281,10 +276,10 @@
 	}
 	call, cancel := context.WithTimeout(ctx, wait+cl.opts.Timeout)
 	defer cancel()
-	res, oc, err := cl.via.Watch(call, storemsg.WatchRequest{
+	res, oc, err := cl.transport.Watch(call, storemsg.WatchRequest{
 		Prefix: prefix, After: after, Wait: wait.Milliseconds(),
 	})
-	cl.note(oc)
+	cl.record(oc)
 	if oc != Answered {
 		return res, unavailable("watch", err)
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// patience bounds calls that are answered; it is no measure.
-	patience = 60 * time.Second
-	// hung is how long a call that hangs is waited for; any time will do.
+	// callTimeout is a generous timeout for calls that are answered.
+	callTimeout = 60 * time.Second
+	// hung is the timeout of calls to a store that hangs; any value would do.
 	hung = 50 * time.Millisecond
 )
 
-// pair starts a stand-in and a client of it.
+// pair starts a stand-in store and returns it with a client.
 func pair(t *testing.T) (*standinstore.Store, *store.Client) {
 	t.Helper()
 	st, err := standinstore.New(standinstore.Options{Writes: 1000, Reads: 1000})
@@ -45,19 +45,19 @@
 	is.True(ok)
 	_, ok, err = cl.Put(ctx, store.Other, store.Write{Key: "k", Value: []byte("2")})
 	is.NoErr(err)
-	is.True(!ok) // a key that is there cannot be made
+	is.True(!ok) // the key already exists
 	now, ok, err := cl.Put(ctx, store.Other, store.Write{Key: "k", Value: []byte("2"), Version: first.Version})
 	is.NoErr(err)
 	is.True(ok)
 	late, ok, err := cl.Put(ctx, store.Other, store.Write{Key: "k", Value: []byte("3"), Version: first.Version})
 	is.NoErr(err)
-	is.True(!ok)                        // an old version loses
-	is.Equal(late.Version, now.Version) // and learns what is there
+	is.True(!ok)                        // the version is outdated
+	is.Equal(late.Version, now.Version) // and the current item is returned
 }
 
-// TestLostReplies loses the answer to every write after it took effect. Each
-// write is settled as the one that it was.
-func TestLostReplies(t *testing.T) {
+// TestLostResponses guards against writes that are reported wrongly or applied twice because their responses are lost
+// after they took effect.
+func TestLostResponses(t *testing.T) {
 	is := is.New(t)
 	st, cl := pair(t)
 	st.SetFaults(standinstore.Faults{LoseEvery: 1})
@@ -75,19 +75,19 @@
 		version = item.Version
 	}
 	is.Equal(st.Counts().Revision, int64(5)) // each write took effect once
-	is.True(st.Counts().Lost > 0)            // replies were lost indeed
+	is.True(st.Counts().Lost > 0)            // responses were lost
 }
 
-// TestOutageSaysWhetherTheWriteMayBeIn gives a write up between two of its tries, when
-// none is under way: of one that is, nobody can say whether it is in.
-func TestOutageSaysWhetherTheWriteMayBeIn(t *testing.T) {
+// TestOutageError checks that the error of a write that is canceled during an outage tells whether it may have taken
+// effect. The write is canceled between two attempts, because the outcome of an attempt in progress is unknown.
+func TestOutageError(t *testing.T) {
 	cases := map[string]struct {
-		faults  standinstore.Faults
-		timeout time.Duration
-		begun   bool
+		faults         standinstore.Faults
+		timeout        time.Duration
+		mayHaveApplied bool
 	}{
-		"down: surely not written":  {standinstore.Faults{Down: true}, patience, false},
-		"hangs: may be written yet": {standinstore.Faults{Hang: true}, hung, true},
+		"down: certainly not written": {standinstore.Faults{Down: true}, callTimeout, false},
+		"hangs: may be written":       {standinstore.Faults{Hang: true}, hung, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -100,46 +100,45 @@
 			})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			const tries = 4
+			const attempts = 4
 			go func() {
-				for try := 1; clock.BlockUntilContext(ctx, 1) == nil; try++ { // the pause after a try
-					if try == tries {
+				for attempt := 1; clock.BlockUntilContext(ctx, 1) == nil; attempt++ { // the pause after an attempt
+					if attempt == attempts {
 						cancel()
 						return
 					}
-					clock.Advance(time.Minute) // over any pause
+					clock.Advance(time.Minute) // longer than any pause
 				}
 			}()
 			_, ok, err := cl.Put(ctx, store.Ownership, store.Write{Key: "k", Value: []byte("1")})
 			is.True(!ok)
 			is.Equal(fault.From(err).Kind, fault.Unavailable)
-			is.Equal(fault.From(err).Begun, tc.begun)
+			is.Equal(fault.From(err).Begun, tc.mayHaveApplied)
 			is.True(cl.Down())
 			_, writes, failed, _ := cl.Calls()
-			is.Equal(writes, int64(tries))
-			is.True(failed >= tries)                 // the reads that settle a write fail too
-			is.Equal(st.Counts().Revision, int64(0)) // neither fault lets a write take effect
+			is.Equal(writes, int64(attempts))
+			is.True(failed >= attempts)              // the reads that determine the outcome fail too
+			is.Equal(st.Counts().Revision, int64(0)) // no write takes effect with either fault
 		})
 	}
 }
 
-// lagging is a context whose deadline has passed, but whose timer has not fired.
+// lagging is a context whose deadline has passed but whose timer has not fired.
 type lagging struct{ context.Context }
 
-// Deadline returns a time that has passed.
 func (lagging) Deadline() (time.Time, bool) { return time.Now().Add(-time.Millisecond), true }
 
-// TestCallPastItsTime makes a write whose time is over before it is sent. The write
-// is not sent, and the caller is told that it surely is not in.
-func TestCallPastItsTime(t *testing.T) {
+// TestExpiredCall guards against sending a write whose time is over, and against reporting that it may have taken
+// effect.
+func TestExpiredCall(t *testing.T) {
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	expired, cancelExpired := context.WithDeadline(t.Context(), time.Now().Add(-time.Second))
 	defer cancelExpired()
 	cases := map[string]context.Context{
-		"the caller gave up":        cancelled,
-		"the deadline has passed":   expired,
-		"the deadline's timer lags": lagging{t.Context()},
+		"canceled":                   cancelled,
+		"deadline passed":            expired,
+		"timer lags behind deadline": lagging{t.Context()},
 	}
 	for name, ctx := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -154,14 +153,14 @@
 	}
 }
 
-// TestLeaseLapses lets a lease run out; its key goes, and a watch tells.
-func TestLeaseLapses(t *testing.T) {
+// TestLeaseExpires checks that the key of an expired lease is deleted, and that a watch reports it.
+func TestLeaseExpires(t *testing.T) {
 	is := is.New(t)
 	_, cl := pair(t)
 	ctx := context.Background()
 	var id string
 	var item storemsg.Item
-	for ok := false; !ok; { // a slow machine may let the lease lapse before its use
+	for ok := false; !ok; { // on a slow machine, the lease may expire before it is used
 		var err error
 		id, _, err = cl.Grant(ctx, "", 200*time.Millisecond)
 		is.NoErr(err)
@@ -173,11 +172,10 @@
 	is.True(res.Items[0].Deleted)
 	_, ok, err := cl.Grant(ctx, id, time.Second)
 	is.NoErr(err)
-	is.True(!ok) // a lapsed lease is not renewed
+	is.True(!ok) // an expired lease cannot be renewed
 }
 
-// TestBudget spends the calls of one moment, class by class. What a lower class
-// must leave, a higher one may still spend.
+// TestBudget checks that each class leaves its reserve of the burst to the higher classes.
 func TestBudget(t *testing.T) {
 	is := is.New(t)
 	st, err := standinstore.New(standinstore.Options{})
@@ -193,7 +191,7 @@
 	for _, class := range []store.Class{store.Other, store.Table, store.Journal, store.Ownership} {
 		for range 100 {
 			ctx, cancel := context.WithCancel(context.Background())
-			time.AfterFunc(5*time.Millisecond, cancel) // a call that has to wait gives up
+			time.AfterFunc(5*time.Millisecond, cancel) // cancels a call that has to wait
 			_, _ = cl.Get(ctx, class, "k")
 			cancel()
 		}
@@ -202,9 +200,9 @@
 	}
 }
 
-// TestFollowSpendsInItsClass follows keys, class by class, once the lowest class has
-// spent its calls. Whoever follows in a higher class reads and watches all the same.
-func TestFollowSpendsInItsClass(t *testing.T) {
+// TestFollowUsesItsClass guards against followers of higher classes that wait for budget once the lowest class has used
+// up its part.
+func TestFollowUsesItsClass(t *testing.T) {
 	cases := map[string]struct {
 		class   store.Class
 		watches bool
@@ -212,7 +210,7 @@
 		"ownership": {store.Ownership, true},
 		"journal":   {store.Journal, true},
 		"table":     {store.Table, true},
-		"rest":      {store.Other, false},
+		"other":     {store.Other, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -232,13 +230,13 @@
 			}, store.Options{Writes: 100, Reads: 1000, Timeout: time.Second})
 			cl.SetNodes(9) // 100 reads a second for this node
 			clock.Advance(time.Minute)
-			for range 50 { // what the lowest class may spend
+			for range 50 { // uses up the part of the lowest class
 				_, err := cl.Get(ctx, store.Other, "k")
 				is.NoErr(err)
 			}
 			go func() {
 				if clock.BlockUntilContext(ctx, 1) == nil {
-					watched <- false // it waits for calls that only time brings
+					watched <- false // waits for more budget
 				}
 			}()
 			done := make(chan struct{})
