--- a/internal/advisor/advisor.go
+++ b/internal/advisor/advisor.go
@@ -67,14 +67,14 @@
 	if !ok {
 		return planner.Advice{}, fault.New(fault.Full, "the advisor's queues are full")
 	}
-	call, cancel := context.WithTimeout(ctx, wait+rq.Takes+slack)
+	callCtx, cancel := context.WithTimeout(ctx, wait+rq.Takes+slack)
 	defer cancel()
 	if mb.Node == po.opts.Node {
-		advice, err := po.opts.Local(call, rq)
+		advice, err := po.opts.Local(callCtx, rq)
 		po.recordResult(mb.Node, err)
 		return advice, err
 	}
-	reply, err := po.opts.Call(call, mb.PeerAddr, peerlink.Request{Advise: &rq})
+	reply, err := po.opts.Call(callCtx, mb.PeerAddr, peerlink.Request{Advise: &rq})
 	po.recordResult(mb.Node, err)
 	return planner.Advice{Tickets: reply.Tickets, ValidFor: reply.ValidFor}, err
 }
--- a/internal/cellnode/admission_test.go
+++ b/internal/cellnode/admission_test.go
@@ -31,12 +31,12 @@
 	is.NoErr(submit("before"))
 	report(20 * time.Second)
 	var err error
-	dp.until("a job is refused", func() bool { err = submit("meanwhile"); return err != nil })
+	dp.waitFor("a job is refused", func() bool { err = submit("meanwhile"); return err != nil })
 	is.True(fault.Is(err, fault.Full))
 	is.True(fault.From(err).RetryAfter >= 10*time.Second)
 	report(0)
-	dp.until("jobs are accepted", func() bool { return submit("after") == nil })
+	dp.waitFor("jobs are accepted", func() bool { return submit("after") == nil })
 	report(20 * time.Second)
-	dp.until("a job is refused again", func() bool { return submit("again") != nil })
-	dp.until("jobs are accepted once the report is old", func() bool { return submit("last") == nil })
+	dp.waitFor("a job is refused again", func() bool { return submit("again") != nil })
+	dp.waitFor("jobs are accepted once the report is old", func() bool { return submit("last") == nil })
 }
--- a/internal/cellnode/cellnode_test.go
+++ b/internal/cellnode/cellnode_test.go
@@ -95,7 +95,7 @@
 			}
 		})
 	}
-	dp.until("node "+name+" is ready", func() bool { return nd.Ready() == nil })
+	dp.waitFor("node "+name+" is ready", func() bool { return nd.Ready() == nil })
 	return nd
 }
 
@@ -110,8 +110,8 @@
 	})
 }
 
-// until waits for a condition that must become true, with no time limit of its own.
-func (dp *deployment) until(what string, reached func() bool) {
+// waitFor waits for a condition that must become true, with no time limit of its own.
+func (dp *deployment) waitFor(what string, reached func() bool) {
 	dp.t.Helper()
 	const step = 10 * time.Millisecond
 	for !reached() {
@@ -141,10 +141,10 @@
 		}
 		return memkv.None
 	})
-	dp.until("the second node notices that it cannot reach the store", func() bool { return second.Ready() != nil })
+	dp.waitFor("the second node notices that it cannot reach the store", func() bool { return second.Ready() != nil })
 	is.NoErr(second.Submit(t.Context(), routes.Caller{}, job("after")))
 	is.NoErr(second.Cancel(t.Context(), routes.Caller{}, "before"))
-	dp.until("the relayed job succeeds", func() bool {
+	dp.waitFor("the relayed job succeeds", func() bool {
 		phase, err := second.State(t.Context(), routes.Caller{}, "after")
 		return err == nil && phase == cell.Succeeded
 	})
@@ -156,7 +156,7 @@
 		}
 		return memkv.None
 	})
-	dp.until("the first node notices it too", func() bool { return first.Ready() != nil })
+	dp.waitFor("the first node notices it too", func() bool { return first.Ready() != nil })
 	is.True(fault.Is(second.Submit(t.Context(), routes.Caller{}, job("never")), fault.Unavailable)) // not run
 }
 
@@ -165,13 +165,13 @@
 func TestNotifiesPlanner(t *testing.T) {
 	dp := newDeployment(t)
 	planner := dp.start("n1")
-	dp.until("the first node plans", func() bool {
+	dp.waitFor("the first node plans", func() bool {
 		_, err := planner.State(t.Context(), routes.Caller{}, "none")
 		return fault.Is(err, fault.NotFound)
 	})
 	nodes := map[string]*cellnode.Node{"planner": planner, "other": dp.start("n2")}
 	for _, nd := range nodes {
-		dp.until("the planner is known", func() bool {
+		dp.waitFor("the planner is known", func() bool {
 			_, err := nd.State(t.Context(), routes.Caller{}, "none")
 			return fault.Is(err, fault.NotFound)
 		})
--- a/internal/cellnode/keys_test.go
+++ b/internal/cellnode/keys_test.go
@@ -21,7 +21,7 @@
 func (dp *deployment) caller(nd *cellnode.Node, key string) routes.Caller {
 	dp.t.Helper()
 	var cr routes.Caller
-	dp.until("the node knows key "+key, func() (ok bool) {
+	dp.waitFor("the node knows key "+key, func() (ok bool) {
 		cr, ok = nd.Table().Caller(apikey.Of([]byte(key)))
 		return ok
 	})
@@ -41,14 +41,14 @@
 	connected, disconnected := dp.start("n1"), dp.start("n2")
 	valid, revoked := dp.caller(disconnected, "second"), dp.caller(disconnected, "first")
 	step := work.Step{Count: 1, Need: size.New(1000, 1000, 0)}
-	dp.until("jobs are accepted", func() bool { return disconnected.Submit(t.Context(), revoked, jobOf("before", step)) == nil })
+	dp.waitFor("jobs are accepted", func() bool { return disconnected.Submit(t.Context(), revoked, jobOf("before", step)) == nil })
 	dp.store.SetFault(func(client, _ string) memkv.Fault {
 		if client == "n2" {
 			return memkv.Refused
 		}
 		return memkv.None
 	})
-	dp.until("the second node notices that it cannot reach the store", func() bool { return disconnected.Ready() != nil })
+	dp.waitFor("the second node notices that it cannot reach the store", func() bool { return disconnected.Ready() != nil })
 	dp.store.Set(configKey, []byte("2 third second"))
 	dp.caller(connected, "third")
 	is.True(fault.Is(disconnected.Submit(t.Context(), revoked, jobOf("after", step)), fault.Unauthorized))
@@ -68,7 +68,7 @@
 	nd := dp.start("n1")
 	cr := dp.caller(nd, "first")
 	step := work.Step{Count: 1, Need: size.New(1000, 1000, 0)}
-	dp.until("jobs are accepted", func() bool { return nd.Submit(t.Context(), cr, jobOf("before", step)) == nil })
+	dp.waitFor("jobs are accepted", func() bool { return nd.Submit(t.Context(), cr, jobOf("before", step)) == nil })
 	dp.silenceReads()
 	time.Sleep(3 * time.Second)
 	calls := map[string]func() error{
@@ -95,12 +95,12 @@
 	nd := dp.start("n1")
 	owner, other := dp.caller(nd, "first"), dp.caller(nd, "second")
 	step := work.Step{Count: 3, Need: size.New(2000, 1000, 0)}
-	dp.until("jobs are accepted", func() bool { return nd.Submit(t.Context(), owner, jobOf("a", step)) == nil })
-	dp.until("the planner knows the job", func() bool { _, err := nd.State(t.Context(), owner, "a"); return err == nil })
+	dp.waitFor("jobs are accepted", func() bool { return nd.Submit(t.Context(), owner, jobOf("a", step)) == nil })
+	dp.waitFor("the planner knows the job", func() bool { _, err := nd.State(t.Context(), owner, "a"); return err == nil })
 	_, err := nd.State(t.Context(), other, "a")
 	is.True(fault.Is(err, fault.NotFound))
 	is.NoErr(nd.Cancel(t.Context(), other, "a")) // succeeds without effect, to reveal nothing
-	dp.until("the job succeeds", func() bool {
+	dp.waitFor("the job succeeds", func() bool {
 		phase, err := nd.State(t.Context(), owner, "a")
 		return err == nil && phase == cell.Succeeded
 	})
--- a/internal/cellnode/requests.go
+++ b/internal/cellnode/requests.go
@@ -54,7 +54,7 @@
 
 // serveLocally answers a caller's request without relaying it.
 func (nd *Node) serveLocally(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
-	if rq.Submit != nil || rq.Pending != "" || rq.Caller != (routes.Caller{}) { // others concern an existing job on any route
+	if rq.Submit != nil || rq.Pending != "" || rq.Caller != (routes.Caller{}) { // others do not depend on a route
 		if err := nd.checkConfigAge(); err != nil {
 			return peerlink.Reply{}, err
 		}
--- a/internal/cellnode/stale_config_test.go
+++ b/internal/cellnode/stale_config_test.go
@@ -24,7 +24,7 @@
 	dp := newDeployment(t)
 	nd := dp.start("n1")
 	job := func(id string) *work.Job { return jobOf(id, work.Step{Count: 1, Need: size.New(1000, 1000, 0)}) }
-	dp.until("the node is the planner", func() bool { _, err := nd.Pending(t.Context(), routes.Caller{}, queue.Name); return err == nil })
+	dp.waitFor("the node is the planner", func() bool { _, err := nd.Pending(t.Context(), routes.Caller{}, queue.Name); return err == nil })
 	is.NoErr(nd.Submit(t.Context(), routes.Caller{}, job("before")))
 	dp.silenceReads()
 	time.Sleep(3 * time.Second)
@@ -43,5 +43,5 @@
 		})
 	}
 	dp.store.SetFault(func(string, string) memkv.Fault { return memkv.None })
-	dp.until("the node has a current configuration again", func() bool { return nd.Submit(t.Context(), routes.Caller{}, job("after")) == nil })
+	dp.waitFor("the node has a current configuration again", func() bool { return nd.Submit(t.Context(), routes.Caller{}, job("after")) == nil })
 }
--- a/internal/httpcall/host.go
+++ b/internal/httpcall/host.go
@@ -139,8 +139,8 @@
 	return errors.Wrap(ErrNotSent, err.Error())
 }
 
-// trackOverdue counts a call sent at a time as overdue unless the returned function is called within a duration. That
-// function also ends the counting.
+// trackOverdue counts a call that was sent at a time as overdue after a delay, until the returned function is called.
+// If that happens before the delay, the call is never counted.
 func (ho *host) trackOverdue(sent time.Time, delay time.Duration) (stop func()) {
 	timer := time.AfterFunc(delay, func() {
 		ho.markSuspect(sent)
--- a/internal/httpcall/streamed_test.go
+++ b/internal/httpcall/streamed_test.go
@@ -129,7 +129,7 @@
 func TestStreamedIsNotOverdue(t *testing.T) {
 	is := is.New(t)
 	fr := newSlowRemote(t)
-	fr.open(2)
+	fr.openConns(2)
 	opened := fr.path.Opened()
 	done := make(chan error, 1)
 	go func() { done <- fr.call("/", httpcall.Request{Streamed: true}, 10*time.Second) }()
--- a/internal/httpcall/unresponsive_test.go
+++ b/internal/httpcall/unresponsive_test.go
@@ -65,8 +65,8 @@
 	return err
 }
 
-// open makes concurrent calls that use one connection each.
-func (fr *remote) open(count int) {
+// openConns makes concurrent calls that use one connection each.
+func (fr *remote) openConns(count int) {
 	fr.t.Helper()
 	var group sync.WaitGroup
 	for range count {
@@ -99,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			fr := newRemote(t, 32)
-			fr.open(tc.idle + tc.busy)
+			fr.openConns(tc.idle + tc.busy)
 			var group sync.WaitGroup
 			for range tc.busy {
 				group.Go(func() {
@@ -134,7 +134,7 @@
 	const longPatience = 1200 * time.Millisecond
 	is := is.New(t)
 	fr := newRemote(t, 64)
-	fr.open(24)
+	fr.openConns(24)
 	fr.path.Silence()
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -161,7 +161,7 @@
 func TestResponsiveConnections(t *testing.T) {
 	is := is.New(t)
 	fr := newRemote(t, 32)
-	fr.open(2)
+	fr.openConns(2)
 	var group sync.WaitGroup
 	group.Go(func() {
 		if fr.call("/slow", httpcall.Request{}, work/2) == nil { // does not wait for the response
@@ -204,7 +204,7 @@
 	)
 	is := is.New(t)
 	fr := newRemote(t, maxConns)
-	fr.open(maxConns)
+	fr.openConns(maxConns)
 	fr.path.Silence()
 	var group sync.WaitGroup
 	for range maxConns {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -34,8 +34,8 @@
 	maxBatch = 256 << 10
 	// maxWrite leaves space for the encoding within the store's maximum value size.
 	maxWrite = 900 << 10
-	// maxLive limits the size of all current records in a journal.
-	maxLive = 24 << 20
+	// maxLiveBytes limits the size of all current records in a journal.
+	maxLiveBytes = 24 << 20
 	// linger is how long the first record of a batch waits for others.
 	linger = 4 * time.Millisecond
 )
@@ -128,7 +128,7 @@
 	switch {
 	case jr.fenced:
 		pd.fail(errFenced(jr.name))
-	case jr.liveBytes > maxLive:
+	case jr.liveBytes > maxLiveBytes:
 		pd.fail(fault.New(fault.Full, "journal full; retry when jobs have ended"))
 	default:
 		jr.queue = append(jr.queue, pd)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -17,7 +17,7 @@
 	"tackbeam.example/tackbeam/internal/store"
 )
 
-func start(t *testing.T) (*standinstore.Store, *store.Client) {
+func startStore(t *testing.T) (*standinstore.Store, *store.Client) {
 	t.Helper()
 	st, err := standinstore.New(standinstore.Options{Writes: 5000, Reads: 5000})
 	if err != nil {
@@ -31,7 +31,7 @@
 	return st, cl
 }
 
-func open(t *testing.T, cl *store.Client) *journal.Journal {
+func startJournal(t *testing.T, cl *store.Client) *journal.Journal {
 	t.Helper()
 	jr := journal.New(clockwork.NewRealClock(), logr.Discard(), cl, "n1-a")
 	t.Cleanup(jr.Stop)
@@ -53,9 +53,9 @@
 // along, deleted ones disappear, and lost responses change nothing.
 func TestWrapAroundKeepsRecords(t *testing.T) {
 	is := is.New(t)
-	st, cl := start(t)
+	st, cl := startStore(t)
 	st.SetFaults(standinstore.Faults{LoseEvery: 7})
-	jr := open(t, cl)
+	jr := startJournal(t, cl)
 	wait(t, jr, jr.Append(record("old", 1), record("ended", 1)))
 	for n := uint64(1); n <= 150; n++ {
 		wait(t, jr, jr.Append(record("hot", n)))
@@ -75,8 +75,8 @@
 // append must fail after the journal is sealed. Sealing it again changes nothing.
 func TestSealFencesPausedWriter(t *testing.T) {
 	is := is.New(t)
-	_, cl := start(t)
-	jr := open(t, cl)
+	_, cl := startStore(t)
+	jr := startJournal(t, cl)
 	wait(t, jr, jr.Append(record("a", 1)))
 	first, err := journal.Seal(context.Background(), cl, "n1-a")
 	is.NoErr(err)
@@ -100,8 +100,8 @@
 // whose latest record is in another slot.
 func TestSealKeepsOrder(t *testing.T) {
 	is := is.New(t)
-	_, cl := start(t)
-	jr := open(t, cl)
+	_, cl := startStore(t)
+	jr := startJournal(t, cl)
 	for n := uint64(1); n <= 66; n++ { // the next slot holds version 3
 		wait(t, jr, jr.Append(record("hot", n)))
 	}
@@ -113,8 +113,8 @@
 // TestOutage checks that the error of an append tells whether it was sent and may have been stored.
 func TestOutage(t *testing.T) {
 	is := is.New(t)
-	st, cl := start(t)
-	jr := open(t, cl)
+	st, cl := startStore(t)
+	jr := startJournal(t, cl)
 	st.SetFaults(standinstore.Faults{Hang: true})
 	sent := jr.Append(record("sent", 1))
 	short, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
@@ -133,8 +133,8 @@
 	for name, before := range map[string]uint64{"before its first write": 0, "in the first round": 3, "in a later round": 150} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, cl := start(t)
-			jr := open(t, cl)
+			_, cl := startStore(t)
+			jr := startJournal(t, cl)
 			for n := uint64(1); n <= before; n++ {
 				wait(t, jr, jr.Append(record("j", n)))
 			}
--- a/internal/kv/commit.go
+++ b/internal/kv/commit.go
@@ -45,9 +45,9 @@
 	attempt := func() {
 		pending++
 		go func() {
-			call, cancel := context.WithTimeout(ctx, attemptTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 			defer cancel()
-			revision, items, err := st.Commit(call, txn)
+			revision, items, err := st.Commit(callCtx, txn)
 			outcomes <- outcome{revision, items, err}
 		}()
 	}
--- a/internal/kv/scanner.go
+++ b/internal/kv/scanner.go
@@ -21,8 +21,8 @@
 	maxTimeout = 4 * time.Second
 	// growthFactor is the factor by which the timeout grows, and its ratio to the longest time that a page has taken.
 	growthFactor = 2
-	// timeoutsBeforeGrowth is the number of timeouts before the timeout grows. With 35% of the responses lost, 4% of
-	// the pages fail three times; with growth from the first timeout on, 16 pages took 6 s and up to 12 s.
+	// timeoutsBeforeGrowth is the number of attempts with the same timeout before it grows. With 35% of the responses
+	// lost, 4% of the pages fail three times; with growth from the first timeout on, 16 pages took 6 s and up to 12 s.
 	timeoutsBeforeGrowth = 3
 )
 
@@ -62,11 +62,11 @@
 
 func (sc *Scanner) readPage(ctx context.Context) error {
 	sent := sc.clock.Now()
-	call, cancel := context.WithTimeout(ctx, sc.timeout)
+	callCtx, cancel := context.WithTimeout(ctx, sc.timeout)
 	defer cancel()
-	page, err := sc.store.Range(call, sc.prefix, sc.after, false)
+	page, err := sc.store.Range(callCtx, sc.prefix, sc.after, false)
 	if err != nil {
-		if errors.Is(call.Err(), context.DeadlineExceeded) {
+		if errors.Is(callCtx.Err(), context.DeadlineExceeded) {
 			sc.increaseTimeout()
 		}
 		return err
--- a/internal/peerlink/unresponsive_test.go
+++ b/internal/peerlink/unresponsive_test.go
@@ -88,8 +88,8 @@
 	return peerlink.Reply{Phase: cell.Running, Pending: 7}, nil
 }
 
-// open leaves a number of idle connections.
-func (pr *pair) open(count int) {
+// openConns leaves a number of idle connections.
+func (pr *pair) openConns(count int) {
 	pr.t.Helper()
 	var group sync.WaitGroup
 	for range count {
@@ -128,7 +128,7 @@
 			t.Parallel()
 			is := is.New(t)
 			pr := newPair(t)
-			pr.open(idle)
+			pr.openConns(idle)
 			pr.path.Silence()
 			for range 3 {
 				startedAt := time.Now()
@@ -150,7 +150,7 @@
 func TestRelayUnresponsive(t *testing.T) {
 	is := is.New(t)
 	pr := newPair(t)
-	pr.open(idle)
+	pr.openConns(idle)
 	pr.path.Silence()
 	re := relay.Relay{
 		Node: "near", Call: pr.near.Call,
@@ -210,7 +210,7 @@
 	const takes = 20 * time.Millisecond
 	is := is.New(t)
 	pr := newPair(t)
-	pr.open(idle)
+	pr.openConns(idle)
 	pr.path.Silence()
 	pool := advisor.New(advisor.Options{
 		Clock: clockwork.NewRealClock(), Node: "near", Call: pr.near.Call,
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -52,9 +52,9 @@
 }
 
 func (re *Relay) try(ctx context.Context, mb joblog.Member, rq peerlink.Request) (peerlink.Reply, error) {
-	call, cancel := context.WithTimeout(ctx, attemptTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	return re.Call(call, mb.PeerAddr, rq)
+	return re.Call(callCtx, mb.PeerAddr, rq)
 }
 
 // retryable reports whether a node has certainly not carried out a request, for a reason that may not apply to other
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -151,9 +151,9 @@
 	if err := cl.spend(ctx, cl.reads, class); err != nil {
 		return storemsg.ItemsResponse{}, err
 	}
-	call, cancel := context.WithTimeout(ctx, cl.opts.Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, cl.opts.Timeout)
 	defer cancel()
-	res, oc, err := cl.transport.Get(call, req)
+	res, oc, err := cl.transport.Get(callCtx, req)
 	cl.record(oc)
 	if oc != Answered {
 		return res, unavailable("read", err)
@@ -232,9 +232,9 @@
 	if err := cl.spend(ctx, cl.writes, class); err != nil {
 		return storemsg.PutResponse{}, Refused, err
 	}
-	call, cancel := context.WithTimeout(ctx, cl.opts.Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, cl.opts.Timeout)
 	defer cancel()
-	res, oc, err := cl.transport.Put(call, req)
+	res, oc, err := cl.transport.Put(callCtx, req)
 	cl.record(oc)
 	return res, oc, err
 }
@@ -254,9 +254,9 @@
 	if err := cl.spend(ctx, cl.writes, Ownership); err != nil {
 		return "", false, err
 	}
-	call, cancel := context.WithTimeout(ctx, cl.opts.Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, cl.opts.Timeout)
 	defer cancel()
-	res, oc, err := cl.transport.Lease(call, storemsg.LeaseRequest{ID: id, TTL: ttl.Milliseconds()})
+	res, oc, err := cl.transport.Lease(callCtx, storemsg.LeaseRequest{ID: id, TTL: ttl.Milliseconds()})
 	cl.record(oc)
 	switch oc {
 	case Answered:
@@ -274,9 +274,9 @@
 	if err := cl.spend(ctx, cl.reads, class); err != nil {
 		return storemsg.ItemsResponse{}, err
 	}
-	call, cancel := context.WithTimeout(ctx, wait+cl.opts.Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, wait+cl.opts.Timeout)
 	defer cancel()
-	res, oc, err := cl.transport.Watch(call, storemsg.WatchRequest{
+	res, oc, err := cl.transport.Watch(callCtx, storemsg.WatchRequest{
 		Prefix: prefix, After: after, Wait: wait.Milliseconds(),
 	})
 	cl.record(oc)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -21,8 +21,8 @@
 	hung = 50 * time.Millisecond
 )
 
-// pair starts a stand-in store and returns it with a client.
-func pair(t *testing.T) (*standinstore.Store, *store.Client) {
+// startStore starts a stand-in store and returns it with a client.
+func startStore(t *testing.T) (*standinstore.Store, *store.Client) {
 	t.Helper()
 	st, err := standinstore.New(standinstore.Options{Writes: 1000, Reads: 1000})
 	if err != nil {
@@ -38,7 +38,7 @@
 
 func TestCompareAndSwap(t *testing.T) {
 	is := is.New(t)
-	_, cl := pair(t)
+	_, cl := startStore(t)
 	ctx := context.Background()
 	first, ok, err := cl.Put(ctx, store.Other, store.Write{Key: "k", Value: []byte("1")})
 	is.NoErr(err)
@@ -59,7 +59,7 @@
 // after they took effect.
 func TestLostResponses(t *testing.T) {
 	is := is.New(t)
-	st, cl := pair(t)
+	st, cl := startStore(t)
 	st.SetFaults(standinstore.Faults{LoseEvery: 1})
 	version := uint64(0)
 	for n := range 5 {
@@ -92,7 +92,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			st, _ := pair(t)
+			st, _ := startStore(t)
 			st.SetFaults(tc.faults)
 			clock := clockwork.NewFakeClock()
 			cl := store.New(clock, store.HTTP([]string{st.Addr()}), store.Options{
@@ -143,7 +143,7 @@
 	for name, ctx := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			st, _ := pair(t)
+			st, _ := startStore(t)
 			body := storemsg.PutRequest{Key: "k", Value: []byte("1")}
 			_, oc, err := store.HTTP([]string{st.Addr()}).Put(ctx, body)
 			is.True(err != nil)
@@ -156,7 +156,7 @@
 // TestLeaseExpires checks that the key of an expired lease is deleted, and that a watch reports it.
 func TestLeaseExpires(t *testing.T) {
 	is := is.New(t)
-	_, cl := pair(t)
+	_, cl := startStore(t)
 	ctx := context.Background()
 	var id string
 	var item storemsg.Item
