--- a/internal/feed/apply.go
+++ b/internal/feed/apply.go
@@ -14,7 +14,7 @@
 
 // applyItem applies a value of the key, unless the copy is at least as recent.
 func (fd *Feed) applyItem(item kv.Item) {
-	if item.Gone || item.Revision == 0 {
+	if item.Deleted || item.Revision == 0 {
 		return // the active version stays
 	}
 	fd.mu.Lock()
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -129,7 +129,7 @@
 	// lastPeerCheck is when other nodes were last asked how old their copies are.
 	lastPeerCheck time.Time
 	// retry computes the pauses between attempts.
-	retry kv.Retry
+	retry kv.Backoff
 	// State of the present change: lastWasFull is set if the last attempt was to read the full configuration,
 	// readersSkipped is how many readers were skipped in favour of the next one, failures how many in a row did not
 	// answer or were busy.
@@ -216,7 +216,7 @@
 		fd.timeouts++
 	}
 	fd.timedOut = false
-	loop.Pause(ctx, fd.clock, fd.retry.After(err))
+	loop.Pause(ctx, fd.clock, fd.retry.Next(err))
 }
 
 // maxReadSize returns the largest answer that this node accepts if it has no version yet or its watch cannot
@@ -254,7 +254,7 @@
 	case errors.Is(err, kv.ErrTooLarge):
 		fd.markBehind(false)
 		return nil
-	case errors.Is(err, kv.ErrHistoryGone):
+	case errors.Is(err, kv.ErrCompacted):
 		fd.log.Info("Store no longer has the history for the watch; reading again.", "after", after)
 		fd.resetWatch()
 		return nil
@@ -267,7 +267,7 @@
 	for _, item := range events.Items {
 		fd.applyItem(item)
 	}
-	fd.confirm(sent, events.At)
+	fd.confirm(sent, events.Revision)
 	return nil
 }
 
@@ -293,7 +293,7 @@
 // recordCall records whether a call to the store timed out, resets the timeout count after an answer, and logs a
 // failed call.
 func (fd *Feed) recordCall(call context.Context, name string, sent time.Time, err error) {
-	if err == nil || errors.Is(err, kv.ErrTooLarge) || errors.Is(err, kv.ErrHistoryGone) {
+	if err == nil || errors.Is(err, kv.ErrTooLarge) || errors.Is(err, kv.ErrCompacted) {
 		fd.timeouts, fd.timedOut = 0, false
 		return
 	}
@@ -318,7 +318,7 @@
 		fd.confirmedAt = sent
 	}
 	fd.mu.Unlock()
-	fd.retry.Succeeded()
+	fd.retry.Reset()
 	if fd.setDown(false) {
 		fd.log.Info("Configuration is up to date again.")
 	}
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -28,7 +28,7 @@
 	defer rc.mu.Unlock()
 	for _, item := range items {
 		key := item.Key
-		if item.Gone {
+		if item.Deleted {
 			key = "-" + key
 		}
 		rc.keys = append(rc.keys, key)
--- a/internal/planner/gc.go
+++ b/internal/planner/gc.go
@@ -80,10 +80,10 @@
 func (ld *leader) remove(ctx context.Context, keys []string) error {
 	call, cancel := context.WithTimeout(ctx, gcTimeout)
 	defer cancel()
-	settling := kv.Settling{Clock: ld.clock, Hedge: gcHedge, Refused: gcRefused}
-	_, _, err := ld.opts.Store.Settle(call, settling, kv.Txn{
+	settling := kv.CommitOptions{Clock: ld.clock, HedgeDelay: gcHedge, RefusedTimeout: gcRefused}
+	_, _, err := ld.opts.Store.CommitWithRetry(call, settling, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
-		Removes:    keys,
+		Deletes:    keys,
 	})
 	return err
 }
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -14,9 +14,9 @@
 
 // readRecords reads the records of earlier planners.
 func (ld *leader) readRecords(ctx context.Context) ([]kv.Item, bool) {
-	reading := ld.opts.Store.Read(ld.clock, joblog.Records)
+	reading := ld.opts.Store.Scan(ld.clock, joblog.Records)
 	for {
-		if reading.On(ctx) == nil {
+		if reading.Continue(ctx) == nil {
 			return reading.Items(), true
 		}
 		if !loop.Pause(ctx, ld.clock, readRetryPause) {
@@ -35,7 +35,7 @@
 	defer ld.mu.Unlock()
 	now := ld.now()
 	for _, item := range items {
-		if item.Gone {
+		if item.Deleted {
 			continue
 		}
 		bt, err := joblog.Decode[joblog.Batch](item.Value)
--- a/internal/term/lease.go
+++ b/internal/term/lease.go
@@ -34,7 +34,7 @@
 	ttl := er.wantedTTL()
 	lease, err := er.store.Grant(call, ttl)
 	if err != nil {
-		return er.retry.After(err)
+		return er.retry.Next(err)
 	}
 	er.mu.Lock()
 	er.lease, er.renewedAt, er.ttl, er.registered = lease, sent, ttl, false
@@ -64,8 +64,8 @@
 	call, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	_, _, err = er.store.Commit(call, kv.Txn{Puts: []kv.Put{{Key: joblog.Nodes + er.opts.Node, Value: raw, Lease: lease}}})
-	er.registerAfter = er.clock.Now().Add(er.retry.After(err))
-	if errors.Is(err, kv.ErrLeaseGone) {
+	er.registerAfter = er.clock.Now().Add(er.retry.Next(err))
+	if errors.Is(err, kv.ErrLeaseExpired) {
 		er.dropLease(lease, "not found in the store")
 		return
 	}
@@ -73,7 +73,7 @@
 		er.log.Info("Node could not be registered; trying again.", "reason", err.Error())
 		return
 	}
-	er.retry.Succeeded()
+	er.retry.Reset()
 	er.mu.Lock()
 	er.registered = true
 	er.mu.Unlock()
@@ -103,14 +103,14 @@
 func (er *Elector) sendRenewal(ctx context.Context, lease uint64, sent time.Time) {
 	call, cancel := context.WithTimeout(ctx, er.opts.TTL)
 	defer cancel()
-	err := er.store.Keep(call, lease)
+	err := er.store.Renew(call, lease)
 	er.mu.Lock()
 	er.pendingRenewals--
 	if err == nil && er.lease == lease && sent.After(er.renewedAt) {
 		er.renewedAt = sent
 	}
 	er.mu.Unlock()
-	if errors.Is(err, kv.ErrLeaseGone) {
+	if errors.Is(err, kv.ErrLeaseExpired) {
 		er.dropLease(lease, "expired")
 	}
 	er.wake.Give()
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -93,7 +93,7 @@
 	registered bool
 	// retry computes the pauses between attempts to join; registerAfter is the earliest time at which the node's
 	// key is written again.
-	retry         kv.Retry
+	retry         kv.Backoff
 	registerAfter time.Time
 	// extendAt is when the node requests a longer lease because there are many nodes; zero if no longer lease is
 	// needed.
@@ -195,7 +195,7 @@
 	if lease == 0 {
 		return
 	}
-	if err := er.store.End(ctx, lease); err != nil {
+	if err := er.store.Revoke(ctx, lease); err != nil {
 		er.log.Info("Lease could not be revoked and will expire.", "reason", err.Error())
 	}
 }
