--- a/internal/cellnode/cellnode.go
+++ b/internal/cellnode/cellnode.go
@@ -110,7 +110,7 @@
 	nd.measureConfig()
 	nd.relay = &relay.Relay{Node: ad.Site.Node, Members: nd.term.Members, Call: nd.link.Call}
 	nd.planner = planner.New(planner.Options{
-		Clock: clock, Log: log, Store: st, Agents: ad.Agents, Site: ad.Site, Meters: nd.meters,
+		Clock: clock, Log: log, Store: st, Agents: ad.Agents, Site: ad.Site, Metrics: nd.meters,
 		WorkersPrefix: ad.WorkersPrefix, DecodeWorker: ad.DecodeWorker,
 		Advise: nd.pool.Advise, Queue: nd.table.Queue, Workspace: nd.table.Workspace, ServiceInUse: nd.table.Serves,
 	})
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -66,13 +66,13 @@
 	PlacedAt   time.Time       `cbor:"21,keyasint,omitzero"`
 	EndedAt    time.Time       `cbor:"22,keyasint,omitzero"`
 	Cancelled  bool            `cbor:"23,keyasint,omitempty"`
-	// Begun counts the attempts that began and did not succeed.
+	// StartedAttempts counts the attempts that began and did not succeed.
 	StartedAttempts int `cbor:"24,keyasint,omitempty"`
 	// Failures counts the attempts in which a task failed or was lost.
 	Failures int `cbor:"25,keyasint,omitempty"`
-	// Saved is the run time whose work the next attempt need not repeat.
+	// SavedWork is the run time whose work the next attempt need not repeat.
 	SavedWork time.Duration `cbor:"26,keyasint,omitempty"`
-	// EndedAge is the age of the cluster map at the end of the job.
+	// EndedMapAge is the age of the cluster map at the end of the job.
 	EndedMapAge uint64 `cbor:"27,keyasint,omitempty"`
 }
 
--- a/internal/job/model_test.go
+++ b/internal/job/model_test.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// lapse expires a worker's lease. Later queries are answered that the task has surely ended.
-func (md *model) lapse(pl place) {
+// expireLease expires a worker's lease. Later queries are answered that the task has surely ended.
+func (md *model) expireLease(pl place) {
 	switch md.workers[pl] {
 	case workermsg.Running, workermsg.Prepared:
 		md.workers[pl] = workermsg.Lapsed
@@ -220,7 +220,7 @@
 	case kind == 7:
 		md.end(pl, rapid.SampledFrom([]workermsg.State{workermsg.OK, workermsg.Failed}).Draw(rt, "end"))
 	case kind == 8:
-		md.lapse(pl)
+		md.expireLease(pl)
 	case kind == 9 && rapid.IntRange(0, 9).Draw(rt, "cancel") == 0:
 		md.rules.Cancelled = true
 	default:
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -33,8 +33,8 @@
 	Cancels []string   `cbor:"2,keyasint,omitempty"`
 	// Void marks a key that was written to prevent a lost write from taking effect later.
 	Void bool `cbor:"3,keyasint,omitempty"`
-	// At is the wall-clock time since 1970 at which the node began the batch, which tells the age of its jobs. The
-	// clocks of nodes may differ by seconds, so it is only used to order waiting work.
+	// CreatedAt is the wall-clock time since 1970 at which the node began the batch, which tells the age of its jobs.
+	// The clocks of nodes may differ by seconds, so it is only used to order waiting work.
 	CreatedAt time.Duration `cbor:"4,keyasint,omitempty"`
 	// Cancellers maps the id of a job to the workspace whose caller cancelled it. A cancellation without an entry may
 	// be of a job of any workspace.
@@ -102,7 +102,7 @@
 	Node     string `cbor:"1,keyasint"`
 	PeerAddr string `cbor:"2,keyasint"`
 	Hall     string `cbor:"3,keyasint"`
-	// Processors is the node's number of processors, which may be a fraction, 0 if unknown.
+	// Processors is what the node may use of its VM's processors, in cores, 0 if unknown.
 	Processors float64 `cbor:"4,keyasint,omitempty"`
 	// Link is the bandwidth of the node's link in Mbit/s, 0 if unknown.
 	Link float64 `cbor:"5,keyasint,omitempty"`
--- a/internal/planner/leader.go
+++ b/internal/planner/leader.go
@@ -134,7 +134,7 @@
 	if maxLease := opts.Site.Bounds.MaxLease; maxLease > 0 {
 		ld.lease = min(ld.lease, maxLease)
 	}
-	ld.metrics.registry = opts.Meters
+	ld.metrics.registry = opts.Metrics
 	ld.records.init()
 	ld.batches.init()
 	ld.ignored.init()
@@ -155,7 +155,7 @@
 	}
 	ld.jobs = mirror.New(ld.clock, ld.log, ld.opts.Store, mirror.Options{
 		Prefix: joblog.Batches, Wait: journalWait, Pause: journalWatchPause,
-		Changed: func(items []kv.Item, whole bool) { ld.applyBatches(items, whole, old) },
+		Changed: func(items []kv.Item, full bool) { ld.applyBatches(items, full, old) },
 	})
 	ld.workers = mirror.New(ld.clock, ld.log, ld.opts.Store, mirror.Options{
 		Prefix: ld.opts.WorkersPrefix, Wait: listWait, Pause: workerWatchPause,
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -30,7 +30,7 @@
 
 // applyBatches applies accepted jobs and cancellations. The first complete read also restores the records of earlier
 // planners.
-func (ld *leader) applyBatches(items []kv.Item, whole bool, old []kv.Item) {
+func (ld *leader) applyBatches(items []kv.Item, full bool, old []kv.Item) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	now := ld.now()
@@ -45,7 +45,7 @@
 		}
 		ld.applyBatch(now, item.Key, item.Revision, &bt)
 	}
-	if whole && !ld.loaded {
+	if full && !ld.loaded {
 		ld.restore(now, old)
 		ld.loaded = true
 		close(ld.journalRead)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -38,12 +38,12 @@
 
 // Options are the services that a planner uses. Tests may replace each of them.
 type Options struct {
-	Clock  clockwork.Clock
-	Log    logr.Logger
-	Store  *kv.Store
-	Agents *agent.Agents
-	Site   *site.Site
-	Meters metrics.Registry
+	Clock   clockwork.Clock
+	Log     logr.Logger
+	Store   *kv.Store
+	Agents  *agent.Agents
+	Site    *site.Site
+	Metrics metrics.Registry
 	// WorkersPrefix is the store's prefix of the list of workers. DecodeWorker decodes one entry of the list.
 	WorkersPrefix string
 	DecodeWorker  func(item kv.Item) (WorkerEntry, error)
--- a/internal/planner/testbed_test.go
+++ b/internal/planner/testbed_test.go
@@ -110,11 +110,11 @@
 // restart ends the incarnations of workers with all their runs. After the time away, each begins another one under the
 // same id, and writes its entry one heartbeat later.
 func (bd *testbed) restart(away time.Duration, ids ...string) {
-	const beat = 100 * time.Millisecond
+	const heartbeatDelay = 100 * time.Millisecond
 	for _, id := range ids {
 		bd.fleet.End(id)
 		bd.clock.AfterFunc(away, func() { bd.fleet.Add(id) })
-		bd.clock.AfterFunc(away+beat, func() { bd.list(id) })
+		bd.clock.AfterFunc(away+heartbeatDelay, func() { bd.list(id) })
 	}
 }
 
@@ -148,7 +148,7 @@
 	})
 }
 
-// addNodeOf adds a node with a number of processors, which may be a fraction.
+// addNodeOf adds a node that may use a share of a core.
 func (bd *testbed) addNodeOf(name string, processors float64) *node {
 	st, agents := bd.store.Client(name), bd.fleet.Agents()
 	if bd.wrapStore != nil {
@@ -157,7 +157,7 @@
 	nd := &node{meters: metrics.NewRegistry()}
 	clock := nd.newClock(bd)
 	nd.planner = planner.New(planner.Options{
-		Clock: clock, Log: bd.log(name), Store: st, Agents: agents, Meters: nd.meters,
+		Clock: clock, Log: bd.log(name), Store: st, Agents: agents, Metrics: nd.meters,
 		Site:          &site.Site{Bounds: site.Bounds{KeepEnded: 2 * time.Minute}},
 		WorkersPrefix: workersPrefix,
 		DecodeWorker: func(item kv.Item) (planner.WorkerEntry, error) {
