--- a/internal/feed/testbed_test.go
+++ b/internal/feed/testbed_test.go
@@ -255,13 +255,13 @@
 	_, storeDelay := nd.testbed.faults()
 	if cutOff {
 		<-ctx.Done()
-		return kv.ErrLost
+		return kv.ErrNoAnswer
 	}
 	if !wait(ctx, reset, time.Now().Add(storeDelay)) {
-		return kv.ErrLost
+		return kv.ErrNoAnswer
 	}
 	if !transfer(reset, bytes, &nd.testbed.out, &nd.down) {
-		return kv.ErrLost
+		return kv.ErrNoAnswer
 	}
 	return err
 }
--- a/internal/kvhealth/kvhealth_test.go
+++ b/internal/kvhealth/kvhealth_test.go
@@ -14,43 +14,43 @@
 	"tackbeam.example/tackbeam/internal/kvhealth"
 )
 
-// TestDown calls a store that fails, answers, and has old calls fail after that.
+// TestDown checks when a store that fails for a while and then answers counts as unavailable.
 func TestDown(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	he := kvhealth.New(clock, logr.Discard(), metrics.NewRegistry())
 	var takes time.Duration
 	var outcome error
-	st := he.Wrap(&kv.Store{Keep: func(context.Context, uint64) error {
+	st := he.Wrap(&kv.Store{Renew: func(context.Context, uint64) error {
 		clock.Advance(takes)
 		return outcome
 	}})
 	call := func(took time.Duration, err error) {
 		takes, outcome = took, err
-		is.Equal(st.Keep(t.Context(), 1), err)
+		is.Equal(st.Renew(t.Context(), 1), err)
 	}
-	call(300*time.Millisecond, kv.ErrLost)
-	is.True(!he.Down()) // a single lost answer is no outage
+	call(300*time.Millisecond, kv.ErrNoAnswer)
+	is.True(!he.Down()) // a single unanswered call is no outage
 	call(500*time.Millisecond, kv.ErrRefused)
 	is.True(he.Down())
-	call(time.Millisecond, kv.ErrLeaseGone)
-	is.True(!he.Down()) // it has answered
+	call(time.Millisecond, kv.ErrLeaseExpired)
+	is.True(!he.Down()) // an expired lease is an answer
 }
 
-// TestOldFailure has a call fail that was sent before one that was answered.
-func TestOldFailure(t *testing.T) {
+// TestEarlierFailure checks that a failed call does not count if a call that was sent later was answered.
+func TestEarlierFailure(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	he := kvhealth.New(clock, logr.Discard(), metrics.NewRegistry())
 	var st *kv.Store
 	st = he.Wrap(&kv.Store{
-		Keep: func(ctx context.Context, _ uint64) error {
+		Renew: func(ctx context.Context, _ uint64) error {
 			clock.Advance(2 * time.Second)
-			is.NoErr(st.End(ctx, 1)) // answered meanwhile
-			return kv.ErrLost
+			is.NoErr(st.Revoke(ctx, 1)) // answered in the meantime
+			return kv.ErrNoAnswer
 		},
-		End: func(context.Context, uint64) error { return nil },
+		Revoke: func(context.Context, uint64) error { return nil },
 	})
-	is.Equal(st.Keep(t.Context(), 1), kv.ErrLost)
+	is.Equal(st.Renew(t.Context(), 1), kv.ErrNoAnswer)
 	is.True(!he.Down())
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -48,11 +48,11 @@
 	// behind is set while there may be more changes than the last answer contained. Only Run uses it.
 	behind bool
 	// retry computes the pauses between attempts. Only Run uses it.
-	retry kv.Retry
+	retry kv.Backoff
 	// cancel cancels the present call.
 	cancel context.CancelFunc
 	// reading is the unfinished read of all keys, or nil.
-	reading *kv.Reading
+	reading *kv.Scanner
 }
 
 // New returns an empty mirror; Run fills it.
@@ -84,7 +84,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if errors.Is(err, kv.ErrHistoryGone) {
+	if errors.Is(err, kv.ErrCompacted) {
 		mr.log.Info("Store no longer has the history for the watch; reading all keys.")
 		return
 	}
@@ -92,7 +92,7 @@
 		mr.down = true
 		mr.log.Info("Store does not answer; the copy may become stale.", "reason", err.Error())
 	}
-	loop.Pause(ctx, mr.clock, mr.retry.After(err))
+	loop.Pause(ctx, mr.clock, mr.retry.Next(err))
 }
 
 func (mr *Mirror) markSynced(sent time.Time) {
@@ -100,7 +100,7 @@
 	mr.syncedAt = sent
 	mr.loaded = true
 	mr.mu.Unlock()
-	mr.retry.Succeeded()
+	mr.retry.Reset()
 	if mr.down {
 		mr.down = false
 		mr.log.Info("Store answers again.")
@@ -114,9 +114,9 @@
 	defer cancel()
 	mr.setCancel(cancel)
 	if mr.reading == nil {
-		mr.reading = mr.store.Read(mr.clock, mr.opts.Prefix)
+		mr.reading = mr.store.Scan(mr.clock, mr.opts.Prefix)
 	}
-	if err := mr.reading.On(call); err != nil {
+	if err := mr.reading.Continue(call); err != nil {
 		return 0, err
 	}
 	reading := mr.reading
@@ -136,12 +136,12 @@
 	slices.SortFunc(changed, func(a, b kv.Item) int { return cmp.Compare(a.Revision, b.Revision) })
 	for key := range gone {
 		delete(mr.keys, key)
-		changed = append(changed, kv.Item{Key: key, Gone: true})
+		changed = append(changed, kv.Item{Key: key, Deleted: true})
 	}
 	mr.opts.OnChange(changed, true)
 	mr.behind = false
-	mr.markSynced(reading.Began())
-	return reading.At(), nil
+	mr.markSynced(reading.StartedAt())
+	return reading.Revision(), nil
 }
 
 // watchGrace is how long a watch may take beyond its wait before it counts as dropped: twice the latency of a slow
@@ -198,7 +198,7 @@
 		if item.Revision <= mr.keys[item.Key] {
 			continue // the pages of the first read are not a snapshot
 		}
-		if item.Gone {
+		if item.Deleted {
 			delete(mr.keys, item.Key)
 		} else {
 			mr.keys[item.Key] = item.Revision
@@ -211,5 +211,5 @@
 	if mr.behind = len(events.Items) >= truncatedEvents; !mr.behind {
 		mr.markSynced(sent)
 	}
-	return max(events.At, after), nil
+	return max(events.Revision, after), nil
 }
--- a/internal/planner/backlog.go
+++ b/internal/planner/backlog.go
@@ -43,8 +43,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ld.ctx, backlogInterval)
 	defer cancel()
-	settling := kv.Settling{Clock: ld.clock, Hedge: backlogInterval, Refused: time.Millisecond}
-	if _, _, err := ld.opts.Store.Settle(ctx, settling, kv.Txn{
+	settling := kv.CommitOptions{Clock: ld.clock, HedgeDelay: backlogInterval, RefusedTimeout: time.Millisecond}
+	if _, _, err := ld.opts.Store.CommitWithRetry(ctx, settling, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
 		Puts:       []kv.Put{{Key: joblog.Backlog, Value: raw}},
 	}); err != nil {
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -14,9 +14,9 @@
 
 // readRecords reads the records of earlier planners.
 func (ld *leader) readRecords(ctx context.Context) ([]kv.Item, bool) {
-	reading := ld.opts.Store.Read(ld.clock, joblog.Records)
+	reading := ld.opts.Store.Scan(ld.clock, joblog.Records)
 	for {
-		if reading.On(ctx) == nil {
+		if reading.Continue(ctx) == nil {
 			return reading.Items(), true
 		}
 		if !loop.Pause(ctx, ld.clock, readRetryPause) {
@@ -30,12 +30,12 @@
 
 // applyBatches applies accepted jobs and cancellations. The first complete read also restores the records of earlier
 // planners.
-func (ld *leader) applyBatches(items []kv.Item, whole bool, old []kv.Item) {
+func (ld *leader) applyBatches(items []kv.Item, full bool, old []kv.Item) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	now := ld.now()
 	for _, item := range items {
-		if item.Gone {
+		if item.Deleted {
 			continue
 		}
 		bt, err := joblog.Decode[joblog.Batch](item.Value)
@@ -45,7 +45,7 @@
 		}
 		ld.applyBatch(now, item.Key, item.Revision, &bt)
 	}
-	if whole && !ld.loaded {
+	if full && !ld.loaded {
 		ld.restore(now, old)
 		ld.loaded = true
 		close(ld.journalRead)
