--- a/internal/home/handover.go
+++ b/internal/home/handover.go
@@ -80,8 +80,8 @@
 	part int, epoch uint64, former []string, sealed map[string][]nodemsg.Record,
 ) (map[string]nodemsg.Record, error) {
 	latest := map[string]nodemsg.Record{}
-	for _, log := range former {
-		records, err := hm.readJournal(part, epoch, log, sealed)
+	for _, journalName := range former {
+		records, err := hm.readJournal(part, epoch, journalName, sealed)
 		if err != nil {
 			return nil, err
 		}
@@ -100,22 +100,22 @@
 // readJournal reads one journal: from the node that writes it while that node is a member, otherwise from the store,
 // after the journal has been sealed.
 func (hm *Home) readJournal(
-	part int, epoch uint64, log string, sealed map[string][]nodemsg.Record,
+	part int, epoch uint64, journalName string, sealed map[string][]nodemsg.Record,
 ) ([]nodemsg.Record, error) {
 	mp := hm.Member.Map()
 	for _, nd := range mp.Nodes {
-		if nd.JournalName() == log {
-			return hm.fetch(nd, nodemsg.FetchPartition{Partition: part, Epoch: epoch, Journal: log})
+		if nd.JournalName() == journalName {
+			return hm.fetch(nd, nodemsg.FetchPartition{Partition: part, Epoch: epoch, Journal: journalName})
 		}
 	}
-	if records, ok := sealed[log]; ok {
+	if records, ok := sealed[journalName]; ok {
 		return records, nil
 	}
 	ctx, cancel := context.WithTimeout(hm.ctx, handoverTimeout)
 	defer cancel()
-	records, err := journal.Seal(ctx, hm.Store, log)
+	records, err := journal.Seal(ctx, hm.Store, journalName)
 	if err == nil {
-		sealed[log] = records
+		sealed[journalName] = records
 	}
 	return records, err
 }
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -38,7 +38,6 @@
 // MaxConcurrentTries is the number of jobs of one home that may request resources at the same time.
 const MaxConcurrentTries = 64
 
-// Options configures a home.
 type Options struct {
 	MaxUnfinishedJobs int
 	JobRetention      time.Duration
@@ -72,7 +71,7 @@
 	Recorder *recorder.Recorder
 }
 
-// Home is this node's home service.
+// Home runs the jobs of the partitions whose home is this node.
 type Home struct {
 	Services
 	opts    Options
@@ -124,19 +123,19 @@
 }
 
 // New returns a home without partitions.
-func New(pt Services, opts Options) *Home {
-	pt.Log = pt.Log.WithName("home")
+func New(sv Services, opts Options) *Home {
+	sv.Log = sv.Log.WithName("home")
 	hm := &Home{
-		Services: pt, opts: opts, started: pt.Clock.Now(),
+		Services: sv, opts: opts, started: sv.Clock.Now(),
 		machine: policy.New(MaxConcurrentTries, policy.DefaultRules()),
 		jobs:    map[string]*entry{},
 		keys:    map[string]string{},
 		pacer:   loop.NewPacer(),
 	}
 	hm.ctx, hm.cancel = context.WithCancel(context.Background())
-	hm.journal = journal.New(pt.Clock, pt.Log, pt.Store, pt.Member.Node().JournalName())
-	pt.Member.Subscribe(hm.onMap)
-	pt.Table.Subscribe(hm.onTable)
+	hm.journal = journal.New(sv.Clock, sv.Log, sv.Store, sv.Member.Node().JournalName())
+	sv.Member.Subscribe(hm.onMap)
+	sv.Table.Subscribe(hm.onTable)
 	hm.handle()
 	return hm
 }
--- a/internal/home/partition.go
+++ b/internal/home/partition.go
@@ -119,9 +119,9 @@
 
 // removeTakenOver removes the records of a partition whose new home has confirmed the takeover. The caller holds the
 // lock.
-func (hm *Home) removeTakenOver(part int, former []string, log string) {
+func (hm *Home) removeTakenOver(part int, former []string, journalName string) {
 	for _, name := range former {
-		if name == log {
+		if name == journalName {
 			return
 		}
 	}
@@ -291,13 +291,13 @@
 // eraseUnused erases the journals that were needed by the previous map and are not needed by the current one.
 func (hm *Home) eraseUnused(before *clustermap.Map) {
 	needed := hm.Member.Map().JournalNames()
-	for log := range before.JournalNames() {
-		if needed[log] {
+	for journalName := range before.JournalNames() {
+		if needed[journalName] {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(hm.ctx, time.Minute)
-		if err := journal.Erase(ctx, hm.Store, log); err != nil {
-			hm.Log.V(1).Info("Journal could not be erased.", "journal", log, "cause", err.Error())
+		if err := journal.Erase(ctx, hm.Store, journalName); err != nil {
+			hm.Log.V(1).Info("Journal could not be erased.", "journal", journalName, "cause", err.Error())
 		}
 		cancel()
 	}
--- a/internal/nodemsg/nodemsg.go
+++ b/internal/nodemsg/nodemsg.go
@@ -65,7 +65,6 @@
 	After uint64 `cbor:"1,keyasint"`
 }
 
-// Rows is a list of rows.
 type Rows struct {
 	Rows []Row `cbor:"1,keyasint"`
 }
@@ -150,7 +149,6 @@
 	State  string `cbor:"3,keyasint" json:"state"`
 }
 
-// Jobs is a list of jobs.
 type Jobs struct {
 	Jobs []JobView `cbor:"1,keyasint"`
 }
@@ -273,7 +271,6 @@
 	Tasks    int       `cbor:"11,keyasint" json:"tasks"`
 }
 
-// Workers is a list of workers.
 type Workers struct {
 	Workers []WorkerView `cbor:"1,keyasint"`
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -32,7 +32,6 @@
 // leaseCheckInterval is the interval at which links are checked for workers whose lease has expired.
 const leaseCheckInterval = time.Second
 
-// Options configures an owner.
 type Options struct {
 	Name   string
 	Limits policy.Limits
@@ -58,7 +57,7 @@
 	Recorder *recorder.Recorder
 }
 
-// Owner is this node's owner service.
+// Owner manages the workers in this node's racks.
 type Owner struct {
 	Services
 	opts    Options
@@ -90,13 +89,13 @@
 }
 
 // New returns an owner without workers.
-func New(pt Services, opts Options) *Owner {
+func New(sv Services, opts Options) *Owner {
 	if opts.Dial == nil {
 		opts.Dial = worker.Dial
 	}
-	pt.Log = pt.Log.WithName("owner")
+	sv.Log = sv.Log.WithName("owner")
 	ow := &Owner{
-		Services: pt, opts: opts, started: pt.Clock.Now(),
+		Services: sv, opts: opts, started: sv.Clock.Now(),
 		machine: policy.New(opts.Limits),
 		conns:   map[string]*workerConn{},
 		lookups: map[uint64]*lookup{},
@@ -106,8 +105,8 @@
 		pacer:   loop.NewPacer(),
 	}
 	ow.ctx, ow.cancel = context.WithCancel(context.Background())
-	pt.Member.Subscribe(ow.onMap)
-	pt.VMs.Subscribe(ow.onVMs)
+	sv.Member.Subscribe(ow.onMap)
+	sv.VMs.Subscribe(ow.onVMs)
 	ow.handle()
 	return ow
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -48,7 +48,7 @@
 	Cancel func(context.Context, nodemsg.JobQuery) (nodemsg.JobView, error)
 }
 
-// Router is this node's router.
+// Router sends each request to the owner or home that serves it.
 type Router struct {
 	clock  clockwork.Clock
 	member *member.Member
@@ -61,7 +61,6 @@
 	remoteLookups map[string]map[uint64]context.CancelFunc
 }
 
-// New returns a router.
 func New(
 	clock clockwork.Clock, mb *member.Member, pr *peer.Peer, mt *meter.Meter, local Local,
 ) *Router {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -37,7 +37,6 @@
 	Lost func(error)
 }
 
-// Options configures a link.
 type Options struct {
 	Name  string
 	Addr  string
@@ -256,10 +255,10 @@
 	})
 }
 
-// Verb builds the message of an order for one task.
+// Verb builds the message for an order about one task.
 type Verb func(*workermsg.TaskOrder) workermsg.OwnerMessage
 
-// Orders for one task.
+// Orders about one task.
 var (
 	StartPrepared Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{StartPrepared: to} }
 	Stop          Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{Stop: to} }
@@ -267,7 +266,7 @@
 	Checkpoint    Verb = func(to *workermsg.TaskOrder) workermsg.OwnerMessage { return workermsg.OwnerMessage{Checkpoint: to} }
 )
 
-// Order sends an order for a task and waits for the reply.
+// Order sends an order about a task and waits for the reply.
 func (ln *Link) Order(ctx context.Context, vb Verb, task string) (workermsg.Reply, error) {
 	return ln.call(ctx, func(seq uint64) workermsg.OwnerMessage {
 		return vb(&workermsg.TaskOrder{Seq: seq, Epoch: ln.opts.Epoch, Task: task})
@@ -283,7 +282,7 @@
 	})
 }
 
-// Drain tells the worker to drain.
+// Drain tells the worker to refuse new work. Running tasks continue.
 func (ln *Link) Drain() error {
 	return ln.control.Send(workermsg.OwnerMessage{Drain: &workermsg.DrainOrder{Epoch: ln.opts.Epoch}})
 }
