--- a/internal/cellnode/config.go
+++ b/internal/cellnode/config.go
@@ -47,11 +47,11 @@
 	age, loaded := nd.config.Age()
 	switch {
 	case !loaded || nd.table.Config() == nil:
-		return fault.New(fault.Unavailable, "no configuration yet").After(comeBack)
+		return fault.New(fault.Unavailable, "no configuration yet").WithRetryAfter(comeBack)
 	case age > nd.staleAfter() && nd.health.Down():
-		return fault.New(fault.Unavailable, "the store is away, the configuration here %s old; not run", age.Round(time.Millisecond)).After(comeBack)
+		return fault.New(fault.Unavailable, "the store is away, the configuration here %s old; not run", age.Round(time.Millisecond)).WithRetryAfter(comeBack)
 	case age > nd.staleAfter():
-		return fault.New(fault.Stale, "the configuration here is %s old; not run", age.Round(time.Millisecond)).After(comeBack)
+		return fault.New(fault.Stale, "the configuration here is %s old; not run", age.Round(time.Millisecond)).WithRetryAfter(comeBack)
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 		return err
 	}
 	if nd.config.Behind() {
-		return fault.New(fault.Stale, "a later configuration is on its way here").After(comeBack)
+		return fault.New(fault.Stale, "a later configuration is on its way here").WithRetryAfter(comeBack)
 	}
 	return nil
 }
--- a/internal/cellnode/door.go
+++ b/internal/cellnode/door.go
@@ -26,5 +26,5 @@
 	}
 	metrics.GetOrRegisterCounter("callers.refused_for_backlog", nd.meters).Inc(1)
 	nd.log.Info("Job is refused: too much waits.", "job", jb.ID, "queue", jb.Queue.Name, "come_back", comeBack.String())
-	return fault.New(fault.Full, "more waits than can be started soon; not run").After(comeBack)
+	return fault.New(fault.Full, "more waits than can be started soon; not run").WithRetryAfter(comeBack)
 }
--- a/internal/cellnode/requests.go
+++ b/internal/cellnode/requests.go
@@ -85,7 +85,7 @@
 func (nd *Node) ask(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
 	el, ok := nd.term.Leader()
 	if !ok {
-		return peerlink.Reply{}, fault.New(fault.Unavailable, "no planner is known").After(comeBack)
+		return peerlink.Reply{}, fault.New(fault.Unavailable, "no planner is known").WithRetryAfter(comeBack)
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -116,7 +116,7 @@
 		line += fmt.Sprintf(" (come back after %v)", er.RetryAfter.Round(time.Millisecond))
 	}
 	_, _ = fmt.Fprintln(env.Err, line)
-	return er.Kind.Answer().Exit()
+	return er.Kind.Info().ExitCode()
 }
 
 // client returns a client of the nodes that the options name.
--- a/internal/cli/cmd_errors.go
+++ b/internal/cli/cmd_errors.go
@@ -30,7 +30,7 @@
 func (cm *errorsCommand) Execute([]string) error {
 	var rows []errorRow
 	for kd, an := range fault.Kinds() {
-		rows = append(rows, errorRow{kd, an.Status(), an.Exit(), an.Retryable(), an.Text()})
+		rows = append(rows, errorRow{kd, an.Status(), an.ExitCode(), an.Retryable(), an.Description()})
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Exit < rows[j].Exit })
 	return cm.env.print(rows, func(out io.Writer) {
--- a/internal/cli/cmd_table_remove.go
+++ b/internal/cli/cmd_table_remove.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	kept, err := client.JSON[table.Kept](cm.env.client(), client.Request{Method: http.MethodDelete, Path: path})
+	kept, err := client.JSON[table.EditResult](cm.env.client(), client.Request{Method: http.MethodDelete, Path: path})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/cmd_table_set.go
+++ b/internal/cli/cmd_table_set.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	kept, err := client.Send[table.Kept](cm.env.client(), client.Request{
+	kept, err := client.Send[table.EditResult](cm.env.client(), client.Request{
 		Method: http.MethodPut, Path: path + "/" + cm.Args.Column,
 		Headers: map[string]string{api.HeaderOperator: os.Getenv("USER")},
 	}, api.CellRequest{Value: cm.Args.Value, Expect: cm.Expect, Wait: cm.Wait})
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func printKept(out io.Writer, name string, kept table.Kept) {
+func printKept(out io.Writer, name string, kept table.EditResult) {
 	_, _ = fmt.Fprintf(out, "%s is kept as version %d, in force on %s\n",
 		name, kept.Row.Version, strings.Join(kept.Confirmed, ", "))
 	if len(kept.Unconfirmed) > 0 {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -56,7 +56,7 @@
 	var last error
 	for _, addr := range cl.addrs {
 		rsp, err := cl.do(addr, rq)
-		if err == nil || fault.From(err).Begun || !fault.Is(err, fault.Unavailable) {
+		if err == nil || fault.From(err).MayHaveRun || !fault.Is(err, fault.Unavailable) {
 			return rsp, err
 		}
 		last = err
@@ -97,7 +97,7 @@
 	er := fault.New(fault.Unavailable, "node at %s: %v", addr, err)
 	var dial *fasthttp.ErrDialWithUpstream
 	if !errors.As(err, &dial) {
-		er.Begun = true
+		er.MayHaveRun = true
 	}
 	return er
 }
@@ -109,7 +109,7 @@
 		return fault.New(fault.Internal, "status %d: %s", res.Status, res.Body)
 	}
 	return &fault.Error{
-		Kind: body.Error.Kind, Message: body.Error.Message, Begun: body.Error.Ran != "not-run",
+		Kind: body.Error.Kind, Message: body.Error.Message, MayHaveRun: body.Error.Ran != "not-run",
 		RetryAfter: time.Duration(body.Error.RetryAfter * float64(time.Second)),
 	}
 }
--- a/internal/daemon/badinput_test.go
+++ b/internal/daemon/badinput_test.go
@@ -112,7 +112,7 @@
 			is.True(err != nil) // refused
 			er := fault.From(err)
 			is.Equal(er.Kind, tc.kind)
-			is.Equal(rsp.Status, tc.kind.Answer().Status())
+			is.Equal(rsp.Status, tc.kind.Info().Status())
 			if !strings.Contains(er.Message, tc.says) {
 				t.Errorf("message %q does not name %q", er.Message, tc.says)
 			}
--- a/internal/daemon/info.go
+++ b/internal/daemon/info.go
@@ -43,7 +43,7 @@
 			info.Partitions++
 		}
 	}
-	info.TableRev = dm.table.Snapshot().Newest()
+	info.TableRev = dm.table.Snapshot().MaxVersion()
 	info.StoreDown = dm.store.Down()
 	return info
 }
@@ -51,8 +51,8 @@
 // control returns what this node has spent on control.
 func (dm *Daemon) control() nodemsg.Control {
 	var ct nodemsg.Control
-	cost := dm.meter.Cost(dm.clock.Now())
-	ct.CPU, ct.Resident, ct.Up = cost.CPU, cost.Resident, cost.Up
+	cost := dm.meter.Usage(dm.clock.Now())
+	ct.CPU, ct.Resident, ct.Up = cost.CPU, cost.ResidentBytes, cost.Uptime
 	ct.StoreReads, ct.StoreWrites, ct.StoreFailed, ct.StoreSpent = dm.store.Calls()
 	ct.PeerSent, ct.PeerRead = dm.peer.Traffic()
 	ct.WorkerSent, ct.WorkerRead = dm.owner.Traffic()
--- a/internal/daemon/lookup_test.go
+++ b/internal/daemon/lookup_test.go
@@ -127,7 +127,7 @@
 			defer wg.Done()
 			_, err := ask(cl, fmt.Sprint("crowd ", i))
 			switch {
-			case fault.Is(err, fault.Full) && !fault.From(err).Begun:
+			case fault.Is(err, fault.Full) && !fault.From(err).MayHaveRun:
 				full.Add(1)
 			case err != nil && !fault.Is(err, fault.Timeout):
 				other.Add(1)
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -268,9 +268,9 @@
 			}
 			st := dm.settings
 			fr = front.New(pt, front.Options{
-				Listen: st.HTTP.Listen, LookupBody: st.Limits.LookupBody, JobBody: st.Limits.JobBody,
+				Listen: st.HTTP.Listen, MaxLookupBody: st.Limits.LookupBody, MaxJobBody: st.Limits.JobBody,
 				DefaultTimeout: st.Limits.DefaultTimeout, MaxTimeout: st.Limits.MaxTimeout,
-				Tasks: st.Limits.Tasks, Drain: st.Limits.Drain,
+				MaxTasks: st.Limits.Tasks, DrainTimeout: st.Limits.Drain,
 			})
 			return fr, nil
 		},
@@ -279,8 +279,8 @@
 	}
 }
 
-func (dm *Daemon) frontParts(kn *kernel.Kernel) (front.Parts, error) {
-	pt := front.Parts{Clock: dm.clock, Log: dm.log}
+func (dm *Daemon) frontParts(kn *kernel.Kernel) (front.Services, error) {
+	pt := front.Services{Clock: dm.clock, Log: dm.log}
 	fd := kn.Finder()
 	var ow *owner.Owner
 	var hm *home.Home
@@ -297,7 +297,7 @@
 	dm.handleOperators(pt.Peer, ow)
 	pt.Local = front.Local{
 		Info: dm.info, Workers: ow.Workers, Jobs: hm.List,
-		DrainNode: dm.Drain, DrainWorker: ow.DrainWorker, Ready: dm.notReady,
+		DrainNode: dm.Drain, DrainWorker: ow.DrainWorker, NotReadyReasons: dm.notReady,
 	}
 	return pt, nil
 }
--- a/internal/daemon/table_test.go
+++ b/internal/daemon/table_test.go
@@ -24,8 +24,8 @@
 	"tackbeam.example/tackbeam/internal/wire"
 )
 
-func setCell(cl *client.Client, value, expect string) (table.Kept, error) {
-	return client.Send[table.Kept](cl, client.Request{
+func setCell(cl *client.Client, value, expect string) (table.EditResult, error) {
+	return client.Send[table.EditResult](cl, client.Request{
 		Method: "PUT", Path: "/v1/table/workspace/brno/weight",
 	}, api.CellRequest{Value: value, Expect: &expect})
 }
@@ -158,7 +158,7 @@
 	_, err := client.Send[api.Job](bd.api("n1"), client.Request{Method: "POST", Path: api.PathJobs},
 		api.JobRequest{Workload: "push", Workspace: "brno"})
 	is.True(fault.Is(err, fault.Stale))
-	is.True(!fault.From(err).Begun) // not run
+	is.True(!fault.From(err).MayHaveRun) // not run
 	bd.nodes["n1"].Peer().Block(nil)
 	bd.nodes["n2"].Peer().Block(nil)
 	bd.eventually("the nodes hear each other; with the store down for both nothing is stale", func() bool {
@@ -185,7 +185,7 @@
 			bd.store.SetFaults(tc.faults)
 			_, err := setCell(client.New(time.Second, bd.nodes["n1"].HTTPAddr()), "2", "1")
 			is.Equal(fault.From(err).Kind, fault.Unavailable)
-			is.Equal(fault.From(err).Begun, tc.begun)
+			is.Equal(fault.From(err).MayHaveRun, tc.begun)
 			bd.store.SetFaults(standinstore.Faults{})
 			got, _ := weight(bd.api("n1"))
 			is.Equal(got, "1")
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -38,8 +38,8 @@
 	Internal     Kind = "internal"
 )
 
-// Answer is what a kind means to the one who asked.
-type Answer struct {
+// Info is what a kind means to the one who asked.
+type Info struct {
 	status    int
 	exit      int
 	retryable bool
@@ -47,19 +47,19 @@
 }
 
 // Status returns the HTTP status.
-func (an Answer) Status() int { return an.status }
+func (an Info) Status() int { return an.status }
 
-// Exit returns the exit code of the command line.
-func (an Answer) Exit() int { return an.exit }
+// ExitCode returns the exit code of the command line.
+func (an Info) ExitCode() int { return an.exit }
 
 // Retryable reports whether the same request may succeed later.
-func (an Answer) Retryable() bool { return an.retryable }
+func (an Info) Retryable() bool { return an.retryable }
 
-// Text returns the meaning in one line.
-func (an Answer) Text() string { return an.text }
+// Description returns the meaning in one line.
+func (an Info) Description() string { return an.text }
 
 // answers is the table from kind to answer.
-var answers = map[Kind]Answer{
+var answers = map[Kind]Info{
 	BadRequest:   {400, 2, false, "the request is malformed; mend it as the message says"},
 	TooLarge:     {413, 3, false, "the body is over the size limit"},
 	UnknownRow:   {404, 4, false, "the table has no such workspace or workload"},
@@ -84,16 +84,16 @@
 }
 
 // Kinds returns every kind with its answer.
-func Kinds() map[Kind]Answer {
-	all := make(map[Kind]Answer, len(answers))
+func Kinds() map[Kind]Info {
+	all := make(map[Kind]Info, len(answers))
 	for kd, an := range answers {
 		all[kd] = an
 	}
 	return all
 }
 
-// Answer returns the row of the kind in the table of answers.
-func (kd Kind) Answer() Answer {
+// Info returns the row of the kind in the table of answers.
+func (kd Kind) Info() Info {
 	if an, ok := answers[kd]; ok {
 		return an
 	}
@@ -105,8 +105,8 @@
 	Kind       Kind          `json:"kind" cbor:"1,keyasint"`
 	Message    string        `json:"message" cbor:"2,keyasint"`
 	RetryAfter time.Duration `json:"retry_after,omitempty" cbor:"3,keyasint,omitempty"`
-	// Begun is set where work may have started before the error.
-	Begun bool `json:"begun,omitempty" cbor:"4,keyasint,omitempty"`
+	// MayHaveRun is set where work may have started before the error.
+	MayHaveRun bool `json:"begun,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
 // New returns an error of the kind with a formatted message.
@@ -117,15 +117,15 @@
 // Error returns the kind and the message in one line.
 func (er *Error) Error() string { return string(er.Kind) + ": " + er.Message }
 
-// After returns the error with a hint when to come back.
-func (er *Error) After(wait time.Duration) *Error {
+// WithRetryAfter returns the error with a hint when to come back.
+func (er *Error) WithRetryAfter(wait time.Duration) *Error {
 	er.RetryAfter = wait
 	return er
 }
 
-// AfterStart returns the error marked as raised after work may have started.
-func (er *Error) AfterStart() *Error {
-	er.Begun = true
+// MarkMayHaveRun returns the error marked as raised after work may have started.
+func (er *Error) MarkMayHaveRun() *Error {
+	er.MayHaveRun = true
 	return er
 }
 
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -12,7 +12,7 @@
 
 func ExampleFrom() {
 	err := errors.Wrap(fault.New(fault.Full, "no free slot"), "send lookup")
-	fmt.Println(fault.From(err).Kind, fault.From(err).Kind.Answer().Status())
+	fmt.Println(fault.From(err).Kind, fault.From(err).Kind.Info().Status())
 	// Output: full 503
 }
 
@@ -20,12 +20,12 @@
 	is := is.New(t)
 	seen := map[int]fault.Kind{}
 	for kd, an := range fault.Kinds() {
-		_, twice := seen[an.Exit()]
-		is.True(!twice)             // exit codes differ
-		is.True(an.Exit() > 0)      // a failure never exits 0
-		is.True(an.Text() != "")    // each kind says what to do
-		is.True(an.Status() >= 200) // each kind has a status
-		seen[an.Exit()] = kd
+		_, twice := seen[an.ExitCode()]
+		is.True(!twice)                 // exit codes differ
+		is.True(an.ExitCode() > 0)      // a failure never exits 0
+		is.True(an.Description() != "") // each kind says what to do
+		is.True(an.Status() >= 200)     // each kind has a status
+		seen[an.ExitCode()] = kd
 	}
 }
 
@@ -33,5 +33,5 @@
 	is := is.New(t)
 	is.Equal(fault.From(nil), nil)
 	is.Equal(fault.From(errors.New("boom")).Kind, fault.Internal)
-	is.Equal(fault.Kind("made up").Answer().Status(), 500)
+	is.Equal(fault.Kind("made up").Info().Status(), 500)
 }
--- a/internal/feed/answer.go
+++ b/internal/feed/answer.go
@@ -53,7 +53,7 @@
 		rs.Changes = fd.changesSince(rq.Have)
 	}
 	if !fd.admit(rs.Changes) {
-		return Response{}, fault.New(fault.Full, "link is busy sending the configuration to other nodes").After(maxLinkBacklog)
+		return Response{}, fault.New(fault.Full, "link is busy sending the configuration to other nodes").WithRetryAfter(maxLinkBacklog)
 	}
 	return rs, nil
 }
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -33,8 +33,8 @@
 		return err
 	}
 	body := c.Body()
-	if len(body) > fr.opts.LookupBody {
-		return fault.New(fault.TooLarge, "the body has %d bytes, the limit is %d", len(body), fr.opts.LookupBody)
+	if len(body) > fr.opts.MaxLookupBody {
+		return fault.New(fault.TooLarge, "the body has %d bytes, the limit is %d", len(body), fr.opts.MaxLookupBody)
 	}
 	ws, wl, err := fr.rows(c.Get(api.HeaderWorkspace), c.Params("workload"))
 	if err != nil {
@@ -106,7 +106,7 @@
 	if part > 0 {
 		wait = time.Duration((1 - lim.TokensAt(now)) / float64(part) * float64(time.Second))
 	}
-	return fault.New(fault.RateLimited, "workspace/%s rate: over %g lookups a second; not run", ws.Name, *ws.Rate).After(wait)
+	return fault.New(fault.RateLimited, "workspace/%s rate: over %g lookups a second; not run", ws.Name, *ws.Rate).WithRetryAfter(wait)
 }
 
 // submit accepts a job and answers with it, after waiting for its end where the
@@ -117,7 +117,7 @@
 		return err
 	}
 	var req api.JobRequest
-	if err := readBody(c, fr.opts.JobBody, &req); err != nil {
+	if err := readBody(c, fr.opts.MaxJobBody, &req); err != nil {
 		return err
 	}
 	wait, err := waitOf(c)
@@ -129,7 +129,7 @@
 		return err
 	}
 	if fr.Member.Stale() {
-		return fault.New(fault.Stale, "this node is cut off and may hold an old table; not run").After(time.Second)
+		return fault.New(fault.Stale, "this node is cut off and may hold an old table; not run").WithRetryAfter(time.Second)
 	}
 	ctx, cancel := context.WithTimeout(fr.ctx, budget)
 	defer cancel()
@@ -216,8 +216,8 @@
 	if tasks == 0 {
 		tasks = 1
 	}
-	if tasks < 1 || tasks > fr.opts.Tasks {
-		return 0, fault.New(fault.BadRequest, "tasks: give a whole number from 1 to %d", fr.opts.Tasks)
+	if tasks < 1 || tasks > fr.opts.MaxTasks {
+		return 0, fault.New(fault.BadRequest, "tasks: give a whole number from 1 to %d", fr.opts.MaxTasks)
 	}
 	if tasks > 1 && wl.Class != column.Gang {
 		return 0, fault.New(fault.BadRequest,
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -39,26 +39,26 @@
 // Options of a front.
 type Options struct {
 	Listen         string
-	LookupBody     int
-	JobBody        int
+	MaxLookupBody  int
+	MaxJobBody     int
 	DefaultTimeout time.Duration
 	MaxTimeout     time.Duration
-	Tasks          int
-	Drain          time.Duration
+	MaxTasks       int
+	DrainTimeout   time.Duration
 }
 
 // Local is what this node tells of itself.
 type Local struct {
-	Info        func() nodemsg.NodeInfo
-	Workers     func() nodemsg.Workers
-	Jobs        func(nodemsg.JobFilter) nodemsg.Jobs
-	DrainNode   func()
-	DrainWorker func(context.Context, string) error
-	Ready       func() []string
+	Info            func() nodemsg.NodeInfo
+	Workers         func() nodemsg.Workers
+	Jobs            func(nodemsg.JobFilter) nodemsg.Jobs
+	DrainNode       func()
+	DrainWorker     func(context.Context, string) error
+	NotReadyReasons func() []string
 }
 
-// Parts are the services that a front works with.
-type Parts struct {
+// Services are the services that a front works with.
+type Services struct {
 	Clock  clockwork.Clock
 	Log    logr.Logger
 	Member *member.Member
@@ -71,7 +71,7 @@
 
 // Front is this node's HTTP interface.
 type Front struct {
-	Parts
+	Services
 	opts     Options
 	app      *fiber.App
 	listener net.Listener
@@ -85,15 +85,15 @@
 }
 
 // New returns a front that does not listen yet.
-func New(pt Parts, opts Options) *Front {
+func New(pt Services, opts Options) *Front {
 	pt.Log = pt.Log.WithName("front")
-	fr := &Front{Parts: pt, opts: opts, limits: map[string]*rate.Limiter{}}
+	fr := &Front{Services: pt, opts: opts, limits: map[string]*rate.Limiter{}}
 	fr.ctx, fr.cancel = context.WithCancel(context.Background())
 	const headerSpace = 4096
 	fr.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		Immutable:             true, // names from requests outlive them in jobs
-		BodyLimit:             max(opts.LookupBody, opts.JobBody) + headerSpace,
+		BodyLimit:             max(opts.MaxLookupBody, opts.MaxJobBody) + headerSpace,
 		ReadBufferSize:        2 * headerSpace,
 		ReadTimeout:           readTimeout,
 		IdleTimeout:           idleTimeout,
@@ -159,7 +159,7 @@
 func (fr *Front) Stop(ctx context.Context) error {
 	fr.Drain()
 	const pause = 10 * time.Millisecond
-	deadline := fr.Clock.Now().Add(fr.opts.Drain)
+	deadline := fr.Clock.Now().Add(fr.opts.DrainTimeout)
 	for fr.inFlight.Load() > 0 && fr.Clock.Now().Before(deadline) && ctx.Err() == nil {
 		fr.Clock.Sleep(pause)
 	}
@@ -186,9 +186,9 @@
 	if errors.As(err, &fe) {
 		er = fromFiber(fe)
 	}
-	answer := er.Kind.Answer()
+	answer := er.Kind.Info()
 	info := api.ErrorInfo{Kind: er.Kind, Message: er.Message, Ran: "not-run"}
-	if er.Begun || er.Kind == fault.Timeout || er.Kind == fault.Internal {
+	if er.MayHaveRun || er.Kind == fault.Timeout || er.Kind == fault.Internal {
 		info.Ran = "unknown"
 	}
 	if er.RetryAfter > 0 {
--- a/internal/front/operator.go
+++ b/internal/front/operator.go
@@ -38,7 +38,7 @@
 		rows = []table.Row{}
 	}
 	return c.JSON(api.Table{
-		Version: fr.Table.Snapshot().Newest(), Rows: rows, Stale: fr.Member.Stale(),
+		Version: fr.Table.Snapshot().MaxVersion(), Rows: rows, Stale: fr.Member.Stale(),
 	})
 }
 
@@ -88,14 +88,14 @@
 
 // answerKept answers an edit. An edit that is kept but not confirmed everywhere
 // is no failure unless the operator asked to wait for that.
-func (fr *Front) answerKept(c *fiber.Ctx, kept table.Kept, err error, wait bool) error {
+func (fr *Front) answerKept(c *fiber.Ctx, kept table.EditResult, err error, wait bool) error {
 	if err != nil {
 		return err
 	}
 	kept.Confirmed = append(kept.Confirmed, fr.Member.Node().Name)
 	sort.Strings(kept.Confirmed)
 	if wait && len(kept.Unconfirmed) > 0 {
-		c.Status(fault.NotConfirmed.Answer().Status())
+		c.Status(fault.NotConfirmed.Info().Status())
 	}
 	if kept.Unconfirmed == nil {
 		kept.Unconfirmed = []string{}
@@ -222,7 +222,7 @@
 
 // ready tells the balancer whether this node takes work.
 func (fr *Front) ready(c *fiber.Ctx) error {
-	why := fr.Local.Ready()
+	why := fr.Local.NotReadyReasons()
 	if fr.draining.Load() {
 		why = append(why, "the node is stopping")
 	}
--- a/internal/home/place.go
+++ b/internal/home/place.go
@@ -229,7 +229,7 @@
 // be, nothing was sent, and a later attempt has a number of its own.
 func (hm *Home) intended(en *entry, rec job.Record, err error) {
 	if err != nil || en.frozen || en.rec.Cancelled {
-		if err != nil && fault.From(err).Begun {
+		if err != nil && fault.From(err).MayHaveRun {
 			en.rec.Version = rec.Version // the next write must come after this one
 		}
 		if err == nil {
--- a/internal/home/see.go
+++ b/internal/home/see.go
@@ -229,7 +229,7 @@
 		if !ft.Known {
 			continue
 		}
-		if _, _, index, ok := ids.TaskJob(ft.Task); ok {
+		if _, _, index, ok := ids.ParseTask(ft.Task); ok {
 			en.noteSaved(index, ft.Saved)
 			hm.setStatus(en, index, job.StatusOf(ft.State, ft.Begun))
 		}
@@ -261,7 +261,7 @@
 // TaskEnded takes an owner's report of an end. It is settled once the job's end
 // is kept, or where the task belongs to a former attempt or to no job.
 func (hm *Home) TaskEnded(end nodemsg.TaskEnded) (nodemsg.Noted, error) {
-	id, number, index, ok := ids.TaskJob(end.Task)
+	id, number, index, ok := ids.ParseTask(end.Task)
 	if !ok {
 		return nodemsg.Noted{Settled: true}, nil
 	}
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -48,11 +48,11 @@
 
 // unaccepted is the answer to a submission that the journal has not confirmed.
 func (hm *Home) unaccepted(err error) error {
-	if fault.From(err).Begun {
+	if fault.From(err).MayHaveRun {
 		return fault.New(fault.Unavailable, "the store has not confirmed the job in time, "+
-			"it may be accepted; ask again with the same idempotency key").After(time.Second).AfterStart()
+			"it may be accepted; ask again with the same idempotency key").WithRetryAfter(time.Second).MarkMayHaveRun()
 	}
-	return fault.New(fault.Unavailable, "the store does not take the job; not run").After(time.Second)
+	return fault.New(fault.Unavailable, "the store does not take the job; not run").WithRetryAfter(time.Second)
 }
 
 func (hm *Home) journalOf() *journal.Journal {
@@ -66,7 +66,7 @@
 func (hm *Home) admit(req nodemsg.Submit) (*entry, error) {
 	part := ids.Partition(req.Workspace)
 	if hm.parts[part].state != owned {
-		return nil, fault.New(fault.Unavailable, "the workspace's home is moving").After(comeBack)
+		return nil, fault.New(fault.Unavailable, "the workspace's home is moving").WithRetryAfter(comeBack)
 	}
 	if en, err := hm.known(req); en != nil || err != nil {
 		return en, err
@@ -112,7 +112,7 @@
 		return fault.New(fault.PastDeadline, "the deadline passed %v ago; not run", -req.Budget)
 	}
 	if hm.open >= hm.opts.WaitingJobs {
-		return fault.New(fault.Full, "this node keeps %d unfinished jobs; not run", hm.open).After(time.Second)
+		return fault.New(fault.Full, "this node keeps %d unfinished jobs; not run", hm.open).WithRetryAfter(time.Second)
 	}
 	if !hm.complete {
 		return nil // a larger worker may yet be seen
@@ -201,7 +201,7 @@
 		return nil, fault.New(fault.NotFound, "%q is not a job id", id)
 	}
 	if hm.parts[part].state != owned {
-		return nil, fault.New(fault.Unavailable, "the job's home is moving").After(comeBack)
+		return nil, fault.New(fault.Unavailable, "the job's home is moving").WithRetryAfter(comeBack)
 	}
 	en, ok := hm.jobs[id]
 	if !ok {
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -34,8 +34,8 @@
 	return int(xxhash.Sum64String(workspace) % Partitions)
 }
 
-// Job returns a fresh job id of the workspace, with its partition inside.
-func Job(workspace string) string {
+// NewJob returns a fresh job id of the workspace, with its partition inside.
+func NewJob(workspace string) string {
 	return fmt.Sprintf("j%0*x%s", partitionDigits, Partition(workspace), Random(10))
 }
 
@@ -56,8 +56,8 @@
 	return fmt.Sprintf("%s.%d.%d", job, attempt, index)
 }
 
-// TaskJob returns the job, attempt and index that a task id names.
-func TaskJob(task string) (job string, attempt, index int, ok bool) {
+// ParseTask returns the job, attempt and index that a task id names.
+func ParseTask(task string) (job string, attempt, index int, ok bool) {
 	parts := strings.Split(task, ".")
 	if len(parts) != 3 {
 		return "", 0, 0, false
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -108,7 +108,7 @@
 
 // unavailable returns the error for a batch that was not sent because the store is unavailable.
 func unavailable() error {
-	return fault.New(fault.Unavailable, "the store is unavailable; not run").After(retryAfter)
+	return fault.New(fault.Unavailable, "the store is unavailable; not run").WithRetryAfter(retryAfter)
 }
 
 // Cancel accepts a cancellation by a caller of the given workspace, or by any caller if that is empty. It returns
@@ -133,7 +133,7 @@
 	in.mu.Lock()
 	if in.openWrites >= maxOpenWrites {
 		in.mu.Unlock()
-		return fault.New(fault.Unavailable, "too many writes are pending; not run").After(retryAfter)
+		return fault.New(fault.Unavailable, "too many writes are pending; not run").WithRetryAfter(retryAfter)
 	}
 	if in.pending == nil || in.pending.bytes > maxBytes {
 		in.pending = &batch{done: make(chan struct{})}
@@ -147,7 +147,7 @@
 	case <-bt.done:
 		return bt.err
 	case <-ctx.Done():
-		return fault.New(fault.Timeout, "the journal has not answered in time; send it again").AfterStart()
+		return fault.New(fault.Timeout, "the journal has not answered in time; send it again").MarkMayHaveRun()
 	}
 }
 
@@ -229,8 +229,8 @@
 		return nil
 	case errors.Is(err, kv.ErrRefused):
 		in.log.Info("Store refused the batch.", "key", key, "ids", bt.ids(), "took", age.String())
-		return fault.New(fault.Unavailable, "the store refused the write; not run").After(retryAfter)
+		return fault.New(fault.Unavailable, "the store refused the write; not run").WithRetryAfter(retryAfter)
 	}
 	in.log.Info("Outcome of the batch is unknown.", "key", key, "ids", bt.ids(), "took", age.String(), "reason", err.Error())
-	return fault.New(fault.Timeout, "the journal did not answer; send it again").AfterStart()
+	return fault.New(fault.Timeout, "the journal did not answer; send it again").MarkMayHaveRun()
 }
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -79,7 +79,7 @@
 // New returns the record of a newly submitted job.
 func New(req nodemsg.Submit, now time.Time) Record {
 	rec := Record{
-		ID: ids.Job(req.Workspace), Workspace: req.Workspace, Workload: req.Workload,
+		ID: ids.NewJob(req.Workspace), Workspace: req.Workspace, Workload: req.Workload,
 		Class: req.Class, Key: req.Key, BodyHash: req.BodyHash, Tasks: req.Tasks, Size: req.Size,
 		Priority: req.Priority, Repeatable: req.Repeatable,
 		Payload: req.Payload, State: Waiting, Submitted: now,
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -167,7 +167,7 @@
 			return pd.err
 		}
 	}
-	return fault.New(fault.Unavailable, "the store has not confirmed the record in time").AfterStart()
+	return fault.New(fault.Unavailable, "the store has not confirmed the record in time").MarkMayHaveRun()
 }
 
 // run writes one batch after another.
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -119,9 +119,9 @@
 	sent := jr.Append(record("sent", 1))
 	short, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	is.True(fault.From(jr.Wait(short, sent)).Begun) // it may be in
+	is.True(fault.From(jr.Wait(short, sent)).MayHaveRun) // it may be in
 	behind := jr.Append(record("behind", 1))
-	is.True(!fault.From(jr.Wait(short, behind)).Begun) // it is surely not
+	is.True(!fault.From(jr.Wait(short, behind)).MayHaveRun) // it is surely not
 	st.SetFaults(standinstore.Faults{})
 	<-sent.Done()
 	is.NoErr(sent.Err()) // once the store is back, what was sent is settled
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -24,8 +24,8 @@
 // checkEvery is the time between two looks at the files.
 const checkEvery = 10 * time.Second
 
-// Ring is the present certificate and the signers of the other nodes.
-type Ring struct {
+// Keyring is the present certificate and the signers of the other nodes.
+type Keyring struct {
 	cert, key, ca string
 	clock         clockwork.Clock
 	log           logr.Logger
@@ -44,15 +44,15 @@
 }
 
 // New reads the three files.
-func New(clock clockwork.Clock, log logr.Logger, cert, key, ca string) (*Ring, error) {
-	rg := &Ring{cert: cert, key: key, ca: ca, clock: clock, log: log.WithName("keys")}
+func New(clock clockwork.Clock, log logr.Logger, cert, key, ca string) (*Keyring, error) {
+	rg := &Keyring{cert: cert, key: key, ca: ca, clock: clock, log: log.WithName("keys")}
 	if err := rg.load(); err != nil {
 		return nil, err
 	}
 	return rg, nil
 }
 
-func (rg *Ring) load() error {
+func (rg *Keyring) load() error {
 	seen := rg.look() // before reading, so that a change meanwhile is read next time
 	pair, err := tls.LoadX509KeyPair(rg.cert, rg.key)
 	if err != nil {
@@ -74,7 +74,7 @@
 
 // look returns what the files look like: an older file is a change as well, as
 // when former keys are put back.
-func (rg *Ring) look() [3]stamp {
+func (rg *Keyring) look() [3]stamp {
 	var stamps [3]stamp
 	for i, path := range []string{rg.cert, rg.key, rg.ca} {
 		if info, err := os.Stat(path); err == nil {
@@ -86,7 +86,7 @@
 
 // current returns the certificate and signers, read again where the files have
 // changed. Files that cannot be read leave the former ones in force.
-func (rg *Ring) current() (*tls.Certificate, *x509.CertPool) {
+func (rg *Keyring) current() (*tls.Certificate, *x509.CertPool) {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	if rg.clock.Since(rg.checked) < checkEvery {
@@ -103,8 +103,8 @@
 	return rg.pair, rg.pool
 }
 
-// Server returns settings that demand a certificate signed by a known signer.
-func (rg *Ring) Server() *tls.Config {
+// ServerConfig returns settings that demand a certificate signed by a known signer.
+func (rg *Keyring) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{Protocol},
@@ -121,8 +121,8 @@
 	}
 }
 
-// Client returns settings for a call to another node.
-func (rg *Ring) Client() *tls.Config {
+// ClientConfig returns settings for a call to another node.
+func (rg *Keyring) ClientConfig() *tls.Config {
 	pair, pool := rg.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -61,10 +61,10 @@
 			path := func(i int) string { return filepath.Join(dir, names[i]) }
 			ring, err := keys.New(clock, logr.Discard(), path(0), path(1), path(2))
 			is.NoErr(err)
-			before := ring.Client().Certificates[0].Certificate[0]
+			before := ring.ClientConfig().Certificates[0].Certificate[0]
 			tc.change(t, dir)
 			clock.Advance(time.Minute)
-			after := ring.Client().Certificates[0].Certificate[0]
+			after := ring.ClientConfig().Certificates[0].Certificate[0]
 			is.Equal(string(before) != string(after), tc.fresh)
 		})
 	}
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -188,7 +188,7 @@
 		return
 	}
 	if overdue && ctx.Err() == nil {
-		mb.peer.Forget(nd.Peer) // the connection may lead to a process that has ended
+		mb.peer.Disconnect(nd.Peer) // the connection may lead to a process that has ended
 	}
 }
 
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -120,16 +120,16 @@
 	return sr
 }
 
-// Cost is what the process has spent since it started.
-type Cost struct {
-	CPU      time.Duration
-	Resident int64
-	Up       time.Duration
+// Usage is what the process has spent since it started.
+type Usage struct {
+	CPU           time.Duration
+	ResidentBytes int64
+	Uptime        time.Duration
 }
 
-// Cost returns the processor time and the resident memory of this process.
-func (mt *Meter) Cost(now time.Time) Cost {
-	ct := Cost{Up: now.Sub(mt.started), Resident: resident()}
+// Usage returns the processor time and the resident memory of this process.
+func (mt *Meter) Usage(now time.Time) Usage {
+	ct := Usage{Uptime: now.Sub(mt.started), ResidentBytes: resident()}
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err == nil {
 		ct.CPU = time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
--- a/internal/nodecli/nodecli.go
+++ b/internal/nodecli/nodecli.go
@@ -63,7 +63,7 @@
 		return 0
 	}
 	_, _ = fmt.Fprintln(errOut, "tackbeamd: "+strings.ReplaceAll(err.Error(), "\n", " "))
-	return fault.From(err).Kind.Answer().Exit()
+	return fault.From(err).Kind.Info().ExitCode()
 }
 
 func (op *options) run(out, errOut io.Writer) error {
--- a/internal/owner/deliver.go
+++ b/internal/owner/deliver.go
@@ -19,7 +19,7 @@
 // tell reports an end to the job's home. A home that has kept it for good lets
 // the worker forget it; otherwise the home says so later, or is told again.
 func (ow *Owner) tell(en workermsg.Ended) {
-	job, _, _, ok := ids.TaskJob(en.Task)
+	job, _, _, ok := ids.ParseTask(en.Task)
 	part, valid := ids.JobPartition(job)
 	if !ok || !valid {
 		ow.ack(en.Task) // nobody's task
--- a/internal/owner/lookup.go
+++ b/internal/owner/lookup.go
@@ -62,7 +62,7 @@
 		if en.err == nil {
 			return nodemsg.Answer{ID: req.ID, Worker: en.worker, Body: en.body}, nil
 		}
-		may := en.over && (req.Repeat || !en.err.Begun)
+		may := en.over && (req.Repeat || !en.err.MayHaveRun)
 		if !may || try == maxTries || !ow.Clock.Now().Before(deadline) || !ow.spendRetry(req.Workspace) {
 			return nodemsg.Answer{}, en.err
 		}
@@ -129,7 +129,7 @@
 		ow.step(policy.Event{LookupDone: &policy.LookupDone{ID: lk.name()}})
 		return end{err: fault.New(fault.Full, "no slot came free before the deadline; not run")}
 	}
-	return end{err: fault.New(fault.Timeout, "worker %s did not answer in time", lk.worker).AfterStart()}
+	return end{err: fault.New(fault.Timeout, "worker %s did not answer in time", lk.worker).MarkMayHaveRun()}
 }
 
 func lookupID(name string) (uint64, bool) {
@@ -161,7 +161,7 @@
 		if err == nil {
 			return
 		}
-		if er := fault.From(err); !er.Begun {
+		if er := fault.From(err); !er.MayHaveRun {
 			ow.unsent(id, sd.Worker)
 		} // else the inventory of the next attachment settles it
 	}()
@@ -190,7 +190,7 @@
 	if rf.Reason == policy.ReasonEmpty {
 		kind = fault.Unavailable // another owner may have the workers now
 	}
-	lk.done <- end{err: fault.New(kind, "%s: no slot in time; not run", rf.Reason).After(rf.RetryAfter)}
+	lk.done <- end{err: fault.New(kind, "%s: no slot in time; not run", rf.Reason).WithRetryAfter(rf.RetryAfter)}
 }
 
 // finish ends a lookup and gives its slot back. The caller holds the lock.
@@ -226,11 +226,11 @@
 		en.err = fault.New(fault.Unavailable, "worker %s refused: %s", kp.vm.Name, an.Refusal)
 	case an.Failed != "":
 		en.over, en.failed = true, true
-		en.err = fault.New(fault.Endpoint, "worker %s failed: %s", kp.vm.Name, an.Failed).AfterStart()
+		en.err = fault.New(fault.Endpoint, "worker %s failed: %s", kp.vm.Name, an.Failed).MarkMayHaveRun()
 	case len(an.Body) != an.Length:
 		ow.Meter.Count(CounterShort, 1)
 		en.over, en.failed = true, true
-		en.err = fault.New(fault.Endpoint, "the answer of worker %s was cut short", kp.vm.Name).AfterStart()
+		en.err = fault.New(fault.Endpoint, "the answer of worker %s was cut short", kp.vm.Name).MarkMayHaveRun()
 	}
 	ow.finish(an.ID, en, latency)
 }
@@ -244,7 +244,7 @@
 		}
 		ow.finish(id, end{
 			worker: name, over: running != nil,
-			err: fault.New(fault.Endpoint, "the link to worker %s was lost", name).AfterStart(),
+			err: fault.New(fault.Endpoint, "the link to worker %s was lost", name).MarkMayHaveRun(),
 		}, 0)
 	}
 }
--- a/internal/owner/task.go
+++ b/internal/owner/task.go
@@ -136,7 +136,7 @@
 		Task: pl.Task, Size: cm.Size, Payload: cm.Payload, Prepared: cm.Prepared,
 		Priority: cm.Priority, Repeatable: cm.Repeatable, Resume: cm.Resume,
 	})
-	if err != nil && !fault.From(err).Begun {
+	if err != nil && !fault.From(err).MayHaveRun {
 		return ow.never(pl, err.Error())
 	}
 	if err != nil {
@@ -291,7 +291,7 @@
 		ow.step(policy.Event{Ended: &policy.Ended{Task: en.Task}})
 		ow.finish(id, end{
 			worker: kp.vm.Name, over: true,
-			err: fault.New(fault.Endpoint, "the answer of worker %s was lost", kp.vm.Name).AfterStart(),
+			err: fault.New(fault.Endpoint, "the answer of worker %s was lost", kp.vm.Name).MarkMayHaveRun(),
 		}, 0)
 		return
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -41,7 +41,7 @@
 		if cn.Context().Err() != nil {
 			pr.forget(addr, cn)
 		}
-		return nil, fault.New(fault.Unavailable, "node at %s did not answer: %v", addr, err).AfterStart()
+		return nil, fault.New(fault.Unavailable, "node at %s did not answer: %v", addr, err).MarkMayHaveRun()
 	}
 	return answer, nil
 }
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "resolve node address")
 	}
-	made, err := pr.transport.Dial(ctx, to, pr.ring.Client(), config())
+	made, err := pr.transport.Dial(ctx, to, pr.ring.ClientConfig(), config())
 	if err != nil {
 		return nil, errors.Wrap(err, "dial node")
 	}
@@ -81,8 +81,8 @@
 	return made
 }
 
-// Forget drops the link to an address, so that the next call dials anew.
-func (pr *Peer) Forget(addr string) {
+// Disconnect drops the link to an address, so that the next call dials anew.
+func (pr *Peer) Disconnect(addr string) {
 	pr.mu.Lock()
 	cn := pr.conns[addr]
 	pr.mu.Unlock()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -48,7 +48,7 @@
 // Peer is this node's end of the links to the other nodes.
 type Peer struct {
 	name      string
-	ring      *keys.Ring
+	ring      *keys.Keyring
 	log       logr.Logger
 	transport *quic.Transport
 	listener  *quic.Listener
@@ -80,7 +80,7 @@
 }
 
 // New opens the socket of the listen address. Serve begins to answer.
-func New(name, listen string, ring *keys.Ring, log logr.Logger) (*Peer, error) {
+func New(name, listen string, ring *keys.Keyring, log logr.Logger) (*Peer, error) {
 	addr, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "resolve peer address")
@@ -117,7 +117,7 @@
 
 // Serve begins to answer requests.
 func (pr *Peer) Serve() error {
-	ln, err := pr.transport.Listen(pr.ring.Server(), config())
+	ln, err := pr.transport.Listen(pr.ring.ServerConfig(), config())
 	if err != nil {
 		return errors.Wrap(err, "serve nodes")
 	}
@@ -259,7 +259,7 @@
 	}
 	body, err := wire.Encode(res)
 	if err != nil {
-		return response{Err: fault.From(err).AfterStart()}
+		return response{Err: fault.From(err).MarkMayHaveRun()}
 	}
 	return response{Body: body}
 }
@@ -280,7 +280,7 @@
 }
 
 // Call sends one request to the node at the address and waits for the answer.
-// An error with Begun set means that the request may have been carried out.
+// An error with MayHaveRun set means that the request may have been carried out.
 func Call[Req, Res any](ctx context.Context, pr *Peer, addr string, kd nodemsg.Kind, req Req) (Res, error) {
 	var res Res
 	body, err := wire.Encode(req)
@@ -306,7 +306,7 @@
 	}
 	var rsp response
 	if err := wire.Decode(answer, &rsp); err != nil {
-		return res, fault.New(fault.Unavailable, "answer of node at %s: %v", addr, err).AfterStart()
+		return res, fault.New(fault.Unavailable, "answer of node at %s: %v", addr, err).MarkMayHaveRun()
 	}
 	return read[Res](addr, rsp)
 }
@@ -318,7 +318,7 @@
 		return res, rsp.Err
 	}
 	if err := wire.Decode(rsp.Body, &res); err != nil {
-		return res, fault.New(fault.Unavailable, "answer of node at %s: %v", addr, err).AfterStart()
+		return res, fault.New(fault.Unavailable, "answer of node at %s: %v", addr, err).MarkMayHaveRun()
 	}
 	return res, nil
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -102,12 +102,12 @@
 	is.NoErr(server.Serve())
 	caller.Block(func(string) bool { return true })
 	_, err := ask(caller, server.Addr(), 1)
-	is.True(!fault.From(err).Begun)
+	is.True(!fault.From(err).MayHaveRun)
 	caller.Block(nil)
 	go func() {
 		<-entered
 		_ = server.Close()
 	}()
 	_, err = ask(caller, server.Addr(), 1)
-	is.True(fault.From(err).Begun)
+	is.True(fault.From(err).MayHaveRun)
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -99,7 +99,7 @@
 const retryAfter = time.Second
 
 func unavailable(why string) *fault.Error {
-	return fault.New(fault.Unavailable, "%s; try again", why).After(retryAfter)
+	return fault.New(fault.Unavailable, "%s; try again", why).WithRetryAfter(retryAfter)
 }
 
 // JobPhase returns the phase of a job of a workspace, or of any workspace if workspace is empty. It returns NotFound
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -92,11 +92,11 @@
 	for {
 		an, err := rt.round(ctx, req, deadline)
 		er := fault.From(err)
-		if err == nil || er.Kind != fault.Unavailable || er.Begun {
+		if err == nil || er.Kind != fault.Unavailable || er.MayHaveRun {
 			return an, err
 		}
 		if !rt.clock.Now().Before(patience) || ctx.Err() != nil {
-			return an, fault.New(fault.Full, "%s; not run", er.Message).After(time.Second)
+			return an, fault.New(fault.Full, "%s; not run", er.Message).WithRetryAfter(time.Second)
 		}
 		rt.clock.Sleep(movePause)
 	}
@@ -120,13 +120,13 @@
 		}
 		an, err := rt.serve(ctx, tg, req)
 		if err == nil && an.ID != req.ID {
-			err = fault.New(fault.Unavailable, "node %s answered another lookup", tg.name).AfterStart()
+			err = fault.New(fault.Unavailable, "node %s answered another lookup", tg.name).MarkMayHaveRun()
 		}
 		if err == nil {
 			return an, nil
 		}
 		last = err
-		if fault.From(err).Begun || ctx.Err() != nil {
+		if fault.From(err).MayHaveRun || ctx.Err() != nil {
 			break
 		}
 	}
@@ -234,7 +234,7 @@
 // cannot be reached, it asks again until the context ends; a request that may
 // have arrived is only repeated under an idempotency key.
 func (rt *Router) Submit(ctx context.Context, req nodemsg.Submit) (nodemsg.JobView, error) {
-	again := func(er *fault.Error) bool { return !er.Begun || req.Key != "" }
+	again := func(er *fault.Error) bool { return !er.MayHaveRun || req.Key != "" }
 	return atHome(ctx, rt, ids.Partition(req.Workspace), nodemsg.KindSubmit, req, rt.local.Submit, again)
 }
 
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -63,7 +63,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.Unavailable, "store budget is spent; come back later").After(pause)
+			return fault.New(fault.Unavailable, "store budget is spent; come back later").WithRetryAfter(pause)
 		case <-bg.clock.After(pause):
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -165,7 +165,7 @@
 
 func unavailable(what string, err error) *fault.Error {
 	const comeBack = time.Second
-	return fault.New(fault.Unavailable, "store did not answer a %s: %v", what, err).After(comeBack)
+	return fault.New(fault.Unavailable, "store did not answer a %s: %v", what, err).WithRetryAfter(comeBack)
 }
 
 // Write is one compare-and-swap.
@@ -223,7 +223,7 @@
 		}
 		if !more {
 			er := unavailable("write", err)
-			er.Begun = begun
+			er.MayHaveRun = begun
 			return storemsg.Item{}, false, er
 		}
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -113,7 +113,7 @@
 			_, ok, err := cl.Put(ctx, store.Ownership, store.Write{Key: "k", Value: []byte("1")})
 			is.True(!ok)
 			is.Equal(fault.From(err).Kind, fault.Unavailable)
-			is.Equal(fault.From(err).Begun, tc.begun)
+			is.Equal(fault.From(err).MayHaveRun, tc.begun)
 			is.True(cl.Down())
 			_, writes, failed, _ := cl.Calls()
 			is.Equal(writes, int64(tries))
--- a/internal/table/edit.go
+++ b/internal/table/edit.go
@@ -26,9 +26,9 @@
 	By     string
 }
 
-// Kept is an edit that was accepted: the row as it now is, and which nodes have
+// EditResult is an edit that was accepted: the row as it now is, and which nodes have
 // it in force.
-type Kept struct {
+type EditResult struct {
 	Row         Row      `json:"row"`
 	Confirmed   []string `json:"confirmed"`
 	Unconfirmed []string `json:"unconfirmed"`
@@ -36,22 +36,22 @@
 
 // Set changes one cell. It returns only once the write is known to be in the
 // store, with the answers of the nodes that confirmed it within the context.
-func (tb *Table) Set(ctx context.Context, ch Change) (Kept, error) {
+func (tb *Table) Set(ctx context.Context, ch Change) (EditResult, error) {
 	cl, err := column.Find(ch.Kind, ch.Column)
 	if err != nil {
-		return Kept{}, err
+		return EditResult{}, err
 	}
 	if ch.Value, err = cl.Parse(ch.Kind, ch.Row, ch.Value); err != nil {
-		return Kept{}, err
+		return EditResult{}, err
 	}
 	key, err := Key(ch.Kind, ch.Row)
 	if err != nil {
-		return Kept{}, err
+		return EditResult{}, err
 	}
 	ed := Edit{Column: ch.Column, New: ch.Value, By: ch.By, At: tb.clock.Now(), WriteID: ids.Random(8)}
 	item, err := tb.swap(ctx, key, ch, ed)
 	if err != nil {
-		return Kept{}, err
+		return EditResult{}, err
 	}
 	return tb.publish(ctx, item)
 }
@@ -115,35 +115,35 @@
 
 func doubtful(err error) error {
 	er := fault.From(err)
-	if !er.Begun {
+	if !er.MayHaveRun {
 		return er
 	}
 	return fault.New(fault.Unavailable,
 		"the store did not confirm the edit, it may be kept; read the cell before you try again").
-		After(er.RetryAfter).AfterStart()
+		WithRetryAfter(er.RetryAfter).MarkMayHaveRun()
 }
 
 // Remove deletes a row.
-func (tb *Table) Remove(ctx context.Context, kd column.Kind, name string) (Kept, error) {
+func (tb *Table) Remove(ctx context.Context, kd column.Kind, name string) (EditResult, error) {
 	key, err := Key(kd, name)
 	if err != nil {
-		return Kept{}, err
+		return EditResult{}, err
 	}
 	item, err := tb.store.Get(ctx, store.Table, key)
 	if err != nil {
-		return Kept{}, err
+		return EditResult{}, err
 	}
 	if item.Version == 0 {
-		return Kept{}, fault.New(fault.UnknownRow, "%s/%s is not in the table", kd, name)
+		return EditResult{}, fault.New(fault.UnknownRow, "%s/%s is not in the table", kd, name)
 	}
 	gone, ok, err := tb.store.Put(ctx, store.Table, store.Write{
 		Key: key, Version: item.Version, Delete: true,
 	})
 	if err != nil {
-		return Kept{}, doubtful(err)
+		return EditResult{}, doubtful(err)
 	}
 	if !ok {
-		return Kept{}, fault.New(fault.Conflict, "%s/%s was edited meanwhile; read it and decide again", kd, name)
+		return EditResult{}, fault.New(fault.Conflict, "%s/%s was edited meanwhile; read it and decide again", kd, name)
 	}
 	gone.Key, gone.Deleted = key, true
 	gone.Version = max(gone.Version, item.Version+1)
@@ -152,9 +152,9 @@
 
 // publish takes a kept row into force here and pushes it to all other nodes, those
 // that joined before the row was kept included.
-func (tb *Table) publish(ctx context.Context, item storemsg.Item) (Kept, error) {
+func (tb *Table) publish(ctx context.Context, item storemsg.Item) (EditResult, error) {
 	tb.applyItems([]storemsg.Item{item})
-	kept := Kept{}
+	kept := EditResult{}
 	if !item.Deleted {
 		row, err := decodeRow(item.Key, item.Value, item.Version)
 		if err != nil {
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -60,8 +60,8 @@
 // Workspaces returns the typed rows of all workspaces.
 func (sn *Snapshot) Workspaces() map[string]Workspace { return sn.workspaces }
 
-// Newest returns the highest version of any row.
-func (sn *Snapshot) Newest() uint64 { return sn.newest }
+// MaxVersion returns the highest version of any row.
+func (sn *Snapshot) MaxVersion() uint64 { return sn.newest }
 
 // Digest returns a number that is equal on two nodes with the same table.
 func (sn *Snapshot) Digest() uint64 { return sn.digest }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -328,7 +328,7 @@
 }
 
 func (ln *Link) unknown(cause error) error {
-	return fault.New(fault.Unavailable, "worker %s did not reply: %v", ln.opts.Name, cause).AfterStart()
+	return fault.New(fault.Unavailable, "worker %s did not reply: %v", ln.opts.Name, cause).MarkMayHaveRun()
 }
 
 // Lookup sends a lookup; the answer comes as an event. An error with Begun set
--- a/test/checker_test.go
+++ b/test/checker_test.go
@@ -91,7 +91,7 @@
 	open := map[string]int{}
 	for _, rc := range records {
 		work := rc.Mark
-		if _, _, index, ok := ids.TaskJob(rc.Task); ok {
+		if _, _, index, ok := ids.ParseTask(rc.Task); ok {
 			work = fmt.Sprintf("%s#%d", rc.Mark, index)
 		}
 		run := rc.Worker + " " + rc.Task
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		ld.lost.Add(1)
 		ld.fail(err)
-		if !fault.From(err).Begun {
+		if !fault.From(err).MayHaveRun {
 			ld.note(claim{mark: body, ran: "not-run", repeatable: true})
 		}
 		return
--- a/test/race_test.go
+++ b/test/race_test.go
@@ -48,11 +48,11 @@
 		return
 	}
 	expect := row.Cells["running"]
-	_, err = client.Send[table.Kept](cl, client.Request{
+	_, err = client.Send[table.EditResult](cl, client.Request{
 		Method: "PUT", Path: "/v1/table/workspace/brno/running",
 	}, api.CellRequest{Value: value, Expect: &expect})
 	if err != nil {
-		if fault.From(err).Begun {
+		if fault.From(err).MayHaveRun {
 			rc.doubt(expect, value)
 		}
 		return
--- a/test/times_test.go
+++ b/test/times_test.go
@@ -58,7 +58,7 @@
 	var all []time.Duration
 	for n := range count {
 		began := time.Now()
-		kept, err := client.Send[table.Kept](cl.api("n1"), client.Request{
+		kept, err := client.Send[table.EditResult](cl.api("n1"), client.Request{
 			Method: "PUT", Path: "/v1/table/workspace/brno/weight",
 		}, api.CellRequest{Value: fmt.Sprint(n + 2)})
 		if err != nil || len(kept.Unconfirmed) > 0 {
