--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds the paths, headers and bodies of the HTTP interface for
-// callers and operators. docs/http.md describes them.
+// Package api defines the paths, headers and bodies of the HTTP API for callers and
+// operators. docs/http.md documents them.
 package api
 
 import (
@@ -11,28 +11,29 @@
 	"tackbeam.example/tackbeam/internal/table"
 )
 
-// The headers of requests and answers.
+// Headers of requests and responses.
 const (
 	// HeaderWorkspace names the caller's workspace.
 	HeaderWorkspace = "Tackbeam-Workspace"
-	// HeaderTimeout is the time the caller waits, in seconds, such as 2.5.
+	// HeaderTimeout is the caller's timeout in seconds, such as 2.5.
 	HeaderTimeout = "Request-Timeout"
-	// HeaderKey makes a repeated job the same job.
+	// HeaderKey is the idempotency key: jobs submitted again with the same key are not
+	// started twice.
 	HeaderKey = "Idempotency-Key"
-	// HeaderOperator names who edits the table.
+	// HeaderOperator names the operator that edits the table.
 	HeaderOperator = "Tackbeam-Operator"
-	// HeaderWorker names the worker that answered a lookup.
+	// HeaderWorker names the worker that ran a lookup.
 	HeaderWorker = "Tackbeam-Worker"
-	// HeaderStale is set on answers of a node that may hold an old table.
+	// HeaderStale is set on responses of a node whose table may be out of date.
 	HeaderStale = "Tackbeam-Stale"
-	// HeaderAllow carries an explicit allow for something risky.
+	// HeaderAllow confirms a risky operation explicitly.
 	HeaderAllow = "Tackbeam-Allow"
 )
 
-// AllowDrain is the explicit allow of a drain.
+// AllowDrain is the value of HeaderAllow that allows a drain.
 const AllowDrain = "drain"
 
-// The paths.
+// Paths of the API.
 const (
 	PathLookup  = "/v1/lookups/:workload"
 	PathJobs    = "/v1/jobs"
@@ -49,13 +50,13 @@
 	PathReady   = "/readyz"
 )
 
-// ErrorBody is the body of every answer that is an error.
+// ErrorBody is the body of all error responses.
 type ErrorBody struct {
 	Error ErrorInfo `json:"error"`
 }
 
-// ErrorInfo says what went wrong. Ran is "not-run" where nothing was started, and
-// "unknown" where it may have been. RetryAfter is in seconds.
+// ErrorInfo describes an error. Ran is "not-run" if no work was started, and
+// "unknown" if work may have been started. RetryAfter is in seconds.
 type ErrorInfo struct {
 	Kind       fault.Kind `json:"kind"`
 	Message    string     `json:"message"`
@@ -63,8 +64,8 @@
 	RetryAfter float64    `json:"retry_after,omitempty"`
 }
 
-// JobRequest is the body of a new job. Sizes left out come from the workload's
-// row. Deadline and DeadlineIn exclude each other; DeadlineIn is in seconds.
+// JobRequest is the body of a request to submit a job. Sizes default to those of the
+// workload's row. Deadline and DeadlineIn are mutually exclusive; DeadlineIn is in seconds.
 type JobRequest struct {
 	Workload     string     `json:"workload"`
 	Workspace    string     `json:"workspace,omitempty"`
@@ -77,25 +78,27 @@
 	Payload      any        `json:"payload,omitempty"`
 }
 
-// Job is a job as callers see it.
+// Job is the state of a job as returned to callers.
 type Job = nodemsg.JobView
 
-// Jobs is a list of jobs. Unreached names the nodes whose jobs are missing.
+// Jobs is a list of jobs. Unreached names the nodes that did not respond and whose
+// jobs are missing.
 type Jobs struct {
 	Jobs      []Job    `json:"jobs"`
 	Unreached []string `json:"unreached,omitempty"`
 }
 
-// CellRequest is the body of an edit of one cell. Expect, where given, is the
-// value that the operator saw.
+// CellRequest is the body of an edit of a cell. If Expect is set, the edit applies
+// only if the cell has that value.
 type CellRequest struct {
 	Value  string  `json:"value"`
 	Expect *string `json:"expect,omitempty"`
-	// Wait asks the answer to be an error where a node has not confirmed.
+	// Wait asks for a response with the status of NotConfirmed if a node has not
+	// confirmed the edit.
 	Wait bool `json:"wait,omitempty"`
 }
 
-// Table is the table with its newest version.
+// Table is the operators' table with the highest version of its rows.
 type Table struct {
 	Version uint64      `json:"version"`
 	Rows    []table.Row `json:"rows"`
@@ -112,31 +115,31 @@
 	Meaning string `json:"meaning"`
 }
 
-// Workers is a list of workers. Unreached names the nodes that did not answer.
+// Workers is a list of workers. Unreached names the nodes that did not respond.
 type Workers struct {
 	Workers   []nodemsg.WorkerView `json:"workers"`
 	Unreached []string             `json:"unreached,omitempty"`
 }
 
-// Nodes is a list of nodes. Unreached names the nodes that did not answer.
+// Nodes is a list of nodes. Unreached names the nodes that did not respond.
 type Nodes struct {
 	Nodes     []nodemsg.NodeInfo `json:"nodes"`
 	Unreached []string           `json:"unreached,omitempty"`
 }
 
-// DrainRequest asks for the drain of a node or of a worker.
+// DrainRequest is the body of a request to drain a node or a worker.
 type DrainRequest struct {
 	Node   string `json:"node,omitempty"`
 	Worker string `json:"worker,omitempty"`
 }
 
-// Stats is what one node measures of itself.
+// Stats holds the state and the metrics of a node.
 type Stats struct {
 	Node   nodemsg.NodeInfo `json:"node"`
 	Report meter.Report     `json:"report"`
 }
 
-// Health answers the health and readiness paths.
+// Health is the body of responses to health and readiness checks.
 type Health struct {
 	Status string   `json:"status"`
 	Why    []string `json:"why,omitempty"`
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client speaks the HTTP interface of a node, for the command line, the
+// Package client is a client of the HTTP API of a node, for the command line, the
 // demo and the tests.
 package client
 
@@ -15,24 +15,25 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// margin is how much longer than the node the client waits.
-const margin = 2 * time.Second
+// timeoutMargin is added to the timeout sent to the node, so that the node's own
+// timeout response arrives in time.
+const timeoutMargin = 2 * time.Second
 
-// Client calls the nodes at some addresses, the first that can be reached.
+// Client sends each request to the first of its addresses that can be reached.
 type Client struct {
 	addrs   []string
 	http    *fasthttp.Client
 	timeout time.Duration
 }
 
-// New returns a client of the nodes at the addresses.
+// New returns a client of the nodes at the addresses, with a timeout for each call.
 func New(timeout time.Duration, addrs ...string) *Client {
 	return &Client{addrs: addrs, timeout: timeout, http: &fasthttp.Client{
 		NoDefaultUserAgentHeader: true, MaxConnsPerHost: 4096,
 	}}
 }
 
-// Request is one call.
+// Request is a request to a node.
 type Request struct {
 	Method  string
 	Path    string
@@ -43,7 +44,7 @@
 	Wait time.Duration
 }
 
-// Response is the answer to a call that did not fail.
+// Response is the response to a request.
 type Response struct {
 	Status int
 	Body   []byte
@@ -51,17 +52,18 @@
 	Stale  bool
 }
 
-// Do makes a call. An error answer comes back as an error of its kind.
+// Do sends a request. An error response is returned as a *fault.Error of its kind. If
+// a node is unavailable and the request has certainly not run, the next one is tried.
 func (cl *Client) Do(rq Request) (Response, error) {
-	var last error
+	var lastErr error
 	for _, addr := range cl.addrs {
 		rsp, err := cl.do(addr, rq)
 		if err == nil || fault.From(err).MayHaveRun || !fault.Is(err, fault.Unavailable) {
 			return rsp, err
 		}
-		last = err
+		lastErr = err
 	}
-	return Response{}, last
+	return Response{}, lastErr
 }
 
 func (cl *Client) do(addr string, rq Request) (Response, error) {
@@ -79,7 +81,7 @@
 		req.Header.Set(name, value)
 	}
 	req.SetBody(rq.Body)
-	if err := cl.http.DoTimeout(req, rsp, cl.timeout+rq.Wait+margin); err != nil {
+	if err := cl.http.DoTimeout(req, rsp, cl.timeout+rq.Wait+timeoutMargin); err != nil {
 		return Response{}, transportError(addr, err)
 	}
 	res := Response{
@@ -88,7 +90,7 @@
 		Stale:  len(rsp.Header.Peek(api.HeaderStale)) > 0,
 	}
 	if res.Status >= fasthttp.StatusBadRequest {
-		return res, errorOf(res)
+		return res, decodeError(res)
 	}
 	return res, nil
 }
@@ -102,8 +104,8 @@
 	return er
 }
 
-// errorOf reads an error answer.
-func errorOf(res Response) error {
+// decodeError converts an error response to an error.
+func decodeError(res Response) error {
 	var body api.ErrorBody
 	if err := json.Unmarshal(res.Body, &body); err != nil || body.Error.Kind == "" {
 		return fault.New(fault.Internal, "status %d: %s", res.Status, res.Body)
@@ -114,22 +116,22 @@
 	}
 }
 
-// JSON makes a call and decodes its answer.
+// JSON sends a request and decodes the JSON response.
 func JSON[Res any](cl *Client, rq Request) (Res, error) {
 	var res Res
 	rsp, err := cl.Do(rq)
 	if err != nil {
 		return res, err
 	}
-	return res, errors.Wrap(json.Unmarshal(rsp.Body, &res), "decode answer")
+	return res, errors.Wrap(json.Unmarshal(rsp.Body, &res), "decode response")
 }
 
-// Send makes a call with a JSON body and decodes its answer.
+// Send sends a request with a JSON body and decodes the JSON response.
 func Send[Res any](cl *Client, rq Request, body any) (Res, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		var res Res
-		return res, errors.Wrap(err, "encode body")
+		return res, errors.Wrap(err, "encode request body")
 	}
 	rq.Body = raw
 	return JSON[Res](cl, rq)
--- a/internal/column/column.go
+++ b/internal/column/column.go
@@ -49,33 +49,33 @@
 // MaxPriority is the priority of urgent work.
 const MaxPriority = 9
 
-// Column is one column of one kind of row.
+// Column describes one column of a kind of row.
 type Column struct {
-	name    string
-	initial string
-	unit    string
-	meaning string
-	allowed string
-	// canon checks a value and returns it in its one written form.
-	canon func(value string) (string, bool)
+	name         string
+	defaultValue string
+	unit         string
+	meaning      string
+	allowed      string
+	// normalize validates a value and returns its canonical form.
+	normalize func(value string) (string, bool)
 }
 
 // Name returns the name of the column.
 func (cl Column) Name() string { return cl.name }
 
-// Default returns the value in force where the cell is empty; "" is no limit.
-func (cl Column) Default() string { return cl.initial }
+// Default returns the value that applies if the cell is empty. "" means no limit.
+func (cl Column) Default() string { return cl.defaultValue }
 
 // Unit returns the unit of the values.
 func (cl Column) Unit() string { return cl.unit }
 
-// Meaning returns what the column does, in one line.
+// Meaning returns a one-line description of the column.
 func (cl Column) Meaning() string { return cl.meaning }
 
-// Allowed returns the range of values for people.
+// Allowed returns a description of the allowed values.
 func (cl Column) Allowed() string { return cl.allowed }
 
-// Sizes that no column goes over.
+// Upper bounds of the columns' values.
 const (
 	maxCores   = 1e6
 	maxMemory  = 1 << 40
@@ -89,29 +89,29 @@
 // columns lists the columns of each kind of row, in the order of display.
 var columns = map[Kind][]Column{
 	Workspace: {
-		number(Weight, "1", "", "share of the workers against other workspaces", 0.001, maxWeight),
-		number(Processors, "", "cores", "limit on cores of running tasks", 0, maxCores),
-		whole(Memory, "", "MiB", "limit on memory of running tasks", 0, maxMemory),
-		whole(Accelerators, "", "devices", "limit on accelerators of running tasks", 0, maxDevices),
-		whole(Running, "", "tasks", "limit on running tasks", 0, maxTasks),
-		number(Rate, "", "lookups a second", "limit on lookups", 0, maxRate),
+		float(Weight, "1", "", "share of the workers against other workspaces", 0.001, maxWeight),
+		float(Processors, "", "cores", "limit on cores of running tasks", 0, maxCores),
+		integer(Memory, "", "MiB", "limit on memory of running tasks", 0, maxMemory),
+		integer(Accelerators, "", "devices", "limit on accelerators of running tasks", 0, maxDevices),
+		integer(Running, "", "tasks", "limit on running tasks", 0, maxTasks),
+		float(Rate, "", "lookups a second", "limit on lookups", 0, maxRate),
 	},
 	Workload: {
 		choice(Class, Batch, "shape of the work", Service, Batch, Gang),
-		number(Processors, "0.1", "cores", "size of one task or lookup", 0, maxCores),
-		whole(Memory, "64", "MiB", "size of one task or lookup", 0, maxMemory),
-		whole(Accelerators, "0", "devices", "size of one task or lookup", 0, maxDevices),
-		whole(Priority, "5", "", "higher goes first; 9 is urgent", 0, MaxPriority),
-		number(Deadline, "", "seconds", "deadline of a job that names none", 0.001, maxSeconds),
+		float(Processors, "0.1", "cores", "size of one task or lookup", 0, maxCores),
+		integer(Memory, "64", "MiB", "size of one task or lookup", 0, maxMemory),
+		integer(Accelerators, "0", "devices", "size of one task or lookup", 0, maxDevices),
+		integer(Priority, "5", "", "higher goes first; 9 is urgent", 0, MaxPriority),
+		float(Deadline, "", "seconds", "deadline of a job that names none", 0.001, maxSeconds),
 		choice(Repeatable, No, "whether a task may run again after a failure", Yes, No),
 	},
 }
 
-func number(name, initial, unit, meaning string, low, high float64) Column {
+func float(name, defaultValue, unit, meaning string, low, high float64) Column {
 	return Column{
-		name: name, initial: initial, unit: unit, meaning: meaning,
+		name: name, defaultValue: defaultValue, unit: unit, meaning: meaning,
 		allowed: fmt.Sprintf("a number from %g to %g", low, high),
-		canon: func(value string) (string, bool) {
+		normalize: func(value string) (string, bool) {
 			n, err := strconv.ParseFloat(value, 64)
 			ok := err == nil && n >= low && n <= high
 			return strconv.FormatFloat(n, 'g', -1, 64), ok
@@ -119,22 +119,22 @@
 	}
 }
 
-func whole(name, initial, unit, meaning string, low, high int64) Column {
+func integer(name, defaultValue, unit, meaning string, low, high int64) Column {
 	return Column{
-		name: name, initial: initial, unit: unit, meaning: meaning,
+		name: name, defaultValue: defaultValue, unit: unit, meaning: meaning,
 		allowed: fmt.Sprintf("a whole number from %d to %d", low, high),
-		canon: func(value string) (string, bool) {
+		normalize: func(value string) (string, bool) {
 			n, err := strconv.ParseInt(value, 10, 64)
 			return strconv.FormatInt(n, 10), err == nil && n >= low && n <= high
 		},
 	}
 }
 
-func choice(name, initial, meaning string, values ...string) Column {
+func choice(name, defaultValue, meaning string, values ...string) Column {
 	return Column{
-		name: name, initial: initial, meaning: meaning,
+		name: name, defaultValue: defaultValue, meaning: meaning,
 		allowed: "one of " + strings.Join(values, ", "),
-		canon: func(value string) (string, bool) {
+		normalize: func(value string) (string, bool) {
 			return value, slices.Contains(values, value)
 		},
 	}
@@ -150,14 +150,14 @@
 func Find(kd Kind, name string) (Column, error) {
 	all, ok := columns[kd]
 	if !ok {
-		return Column{}, fault.New(fault.UnknownRow, "%s: no such kind of row; use workspace or workload", kd)
+		return Column{}, fault.New(fault.UnknownRow, "unknown kind of row %s; use workspace or workload", kd)
 	}
 	for _, cl := range all {
 		if cl.name == name {
 			return cl, nil
 		}
 	}
-	return Column{}, fault.New(fault.BadCell, "%s has no column %s; it has %s", kd, name, names(all))
+	return Column{}, fault.New(fault.BadCell, "%s has no column %s; its columns are %s", kd, name, names(all))
 }
 
 func names(all []Column) string {
@@ -168,14 +168,14 @@
 	return strings.Join(list, ", ")
 }
 
-// Parse checks a value for the row's cell and returns its one written form. An
-// empty value empties the cell.
+// Parse validates a value for a cell of the row and returns its canonical form. An
+// empty value clears the cell.
 func (cl Column) Parse(kd Kind, row, value string) (string, error) {
 	value = strings.TrimSpace(value)
 	if value == "" {
 		return "", nil
 	}
-	canon, ok := cl.canon(value)
+	canon, ok := cl.normalize(value)
 	if !ok {
 		return "", fault.New(fault.BadCell, "%s/%s %s: %q is not allowed; give %s", kd, row, cl.name, value, cl.allowed)
 	}
--- a/internal/column/column_test.go
+++ b/internal/column/column_test.go
@@ -19,8 +19,8 @@
 	// bad_cell: workspace/brno weight: "-1" is not allowed; give a number from 0.001 to 1000
 }
 
-// FuzzParse feeds any text to every column. A value that is taken has one written
-// form, which is taken again as it is.
+// FuzzParse checks that parsing never fails in another way than with BadCell, and
+// that the canonical form of a valid value parses to itself.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"", "1", "-0", "1e400", "NaN", "0x1p-2", "yes", "9223372036854775808", "\x00"} {
 		f.Add(text)
@@ -31,13 +31,13 @@
 				value, err := cl.Parse(kd, "row", text)
 				if err != nil {
 					if !fault.Is(err, fault.BadCell) {
-						t.Errorf("%s %q: refused as %v", cl.Name(), text, err)
+						t.Errorf("%s %q: rejected with %v", cl.Name(), text, err)
 					}
 					continue
 				}
 				again, err := cl.Parse(kd, "row", value)
 				if err != nil || again != value {
-					t.Errorf("%s %q: written as %q, then %q, %v", cl.Name(), text, value, again, err)
+					t.Errorf("%s %q: canonical form %q parses to %q, %v", cl.Name(), text, value, again, err)
 				}
 			}
 		}
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,5 @@
-// Package fault is the closed list of error kinds of tackbeam and the table
-// from each kind to its answer: HTTP status, exit code, and whether a caller may
-// come back.
+// Package fault defines the kinds of errors of tackbeam and, for each kind, its HTTP
+// status, its exit code, and whether a request may be retried.
 package fault
 
 import (
@@ -10,10 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// Kind names one way in which a request can fail.
+// Kind is a kind of error.
 type Kind string
 
-// The kinds. The list is closed: each has a row in the table of answers.
+// The kinds of errors. The list is closed: each kind has an entry in infos.
 const (
 	BadRequest   Kind = "bad_request"
 	TooLarge     Kind = "too_large"
@@ -38,28 +37,28 @@
 	Internal     Kind = "internal"
 )
 
-// Info is what a kind means to the one who asked.
+// Info describes what a kind of error means to a client.
 type Info struct {
-	status    int
-	exit      int
-	retryable bool
-	text      string
+	status      int
+	exitCode    int
+	retryable   bool
+	description string
 }
 
 // Status returns the HTTP status.
-func (an Info) Status() int { return an.status }
+func (info Info) Status() int { return info.status }
 
-// ExitCode returns the exit code of the command line.
-func (an Info) ExitCode() int { return an.exit }
+// ExitCode returns the exit code of the command-line interface.
+func (info Info) ExitCode() int { return info.exitCode }
 
-// Retryable reports whether the same request may succeed later.
-func (an Info) Retryable() bool { return an.retryable }
+// Retryable reports whether the same request may succeed if retried later.
+func (info Info) Retryable() bool { return info.retryable }
 
-// Description returns the meaning in one line.
-func (an Info) Description() string { return an.text }
+// Description returns a one-line description.
+func (info Info) Description() string { return info.description }
 
-// answers is the table from kind to answer.
-var answers = map[Kind]Info{
+// infos has an entry for each kind.
+var infos = map[Kind]Info{
 	BadRequest:   {400, 2, false, "the request is malformed; mend it as the message says"},
 	TooLarge:     {413, 3, false, "the body is over the size limit"},
 	UnknownRow:   {404, 4, false, "the table has no such workspace or workload"},
@@ -83,29 +82,29 @@
 	Internal:     {500, 1, false, "the node failed; the log has the cause"},
 }
 
-// Kinds returns every kind with its answer.
+// Kinds returns all kinds with their infos.
 func Kinds() map[Kind]Info {
-	all := make(map[Kind]Info, len(answers))
-	for kd, an := range answers {
-		all[kd] = an
+	all := make(map[Kind]Info, len(infos))
+	for kd, info := range infos {
+		all[kd] = info
 	}
 	return all
 }
 
-// Info returns the row of the kind in the table of answers.
+// Info returns the info of the kind, or that of Internal for an unknown kind.
 func (kd Kind) Info() Info {
-	if an, ok := answers[kd]; ok {
-		return an
+	if info, ok := infos[kd]; ok {
+		return info
 	}
-	return answers[Internal]
+	return infos[Internal]
 }
 
-// Error is an error of one kind. It travels between nodes.
+// Error is an error of a kind. It is sent between nodes.
 type Error struct {
 	Kind       Kind          `json:"kind" cbor:"1,keyasint"`
 	Message    string        `json:"message" cbor:"2,keyasint"`
 	RetryAfter time.Duration `json:"retry_after,omitempty" cbor:"3,keyasint,omitempty"`
-	// MayHaveRun is set where work may have started before the error.
+	// MayHaveRun is set if work may have started before the error occurred.
 	MayHaveRun bool `json:"begun,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
@@ -114,23 +113,23 @@
 	return &Error{Kind: kd, Message: fmt.Sprintf(format, args...)}
 }
 
-// Error returns the kind and the message in one line.
+// Error returns the kind and the message.
 func (er *Error) Error() string { return string(er.Kind) + ": " + er.Message }
 
-// WithRetryAfter returns the error with a hint when to come back.
+// WithRetryAfter sets how long the caller should wait before a retry and returns the error.
 func (er *Error) WithRetryAfter(wait time.Duration) *Error {
 	er.RetryAfter = wait
 	return er
 }
 
-// MarkMayHaveRun returns the error marked as raised after work may have started.
+// MarkMayHaveRun sets MayHaveRun and returns the error.
 func (er *Error) MarkMayHaveRun() *Error {
 	er.MayHaveRun = true
 	return er
 }
 
-// From returns the first error of the closed list in err's chain, or an error of
-// kind Internal. It returns nil for nil.
+// From returns the first *Error in err's chain, or an error of kind Internal if there
+// is none. It returns nil for nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -142,7 +141,7 @@
 	return &Error{Kind: Internal, Message: err.Error()}
 }
 
-// Is reports whether err is of the kind.
+// Is reports whether the first *Error in err's chain is of the kind.
 func Is(err error, kd Kind) bool {
 	er := From(err)
 	return er != nil && er.Kind == kd
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -19,13 +19,13 @@
 func TestEveryKindHasItsOwnExitCode(t *testing.T) {
 	is := is.New(t)
 	seen := map[int]fault.Kind{}
-	for kd, an := range fault.Kinds() {
-		_, twice := seen[an.ExitCode()]
-		is.True(!twice)                 // exit codes differ
-		is.True(an.ExitCode() > 0)      // a failure never exits 0
-		is.True(an.Description() != "") // each kind says what to do
-		is.True(an.Status() >= 200)     // each kind has a status
-		seen[an.ExitCode()] = kd
+	for kd, info := range fault.Kinds() {
+		_, twice := seen[info.ExitCode()]
+		is.True(!twice)                   // exit codes are unique
+		is.True(info.ExitCode() > 0)      // a failure never exits 0
+		is.True(info.Description() != "") // each kind has a description
+		is.True(info.Status() >= 200)     // each kind has a status
+		seen[info.ExitCode()] = kd
 	}
 }
 
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -22,13 +22,13 @@
 	"tackbeam.example/tackbeam/internal/table"
 )
 
-// maxKey is the longest idempotency key in bytes.
-const maxKey = 128
+// maxKeyLength is the maximum length of an idempotency key in bytes.
+const maxKeyLength = 128
 
-// lookup answers a lookup with the endpoint's own body.
+// lookup runs a lookup and returns the body of the endpoint's response unchanged.
 func (fr *Front) lookup(c *fiber.Ctx) error {
 	arrived := fr.Clock.Now()
-	budget, err := fr.deadline(c)
+	budget, err := fr.requestTimeout(c)
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 	if len(body) > fr.opts.MaxLookupBody {
 		return fault.New(fault.TooLarge, "the body has %d bytes, the limit is %d", len(body), fr.opts.MaxLookupBody)
 	}
-	ws, wl, err := fr.rows(c.Get(api.HeaderWorkspace), c.Params("workload"))
+	ws, wl, err := fr.findRows(c.Get(api.HeaderWorkspace), c.Params("workload"))
 	if err != nil {
 		return err
 	}
@@ -64,8 +64,8 @@
 	return c.Send(an.Body)
 }
 
-// rows returns the rows of a request's workspace and workload.
-func (fr *Front) rows(workspace, workload string) (table.Workspace, table.Workload, error) {
+// findRows returns the table rows of a request's workspace and workload.
+func (fr *Front) findRows(workspace, workload string) (table.Workspace, table.Workload, error) {
 	sn := fr.Table.Snapshot()
 	if workspace == "" {
 		return table.Workspace{}, table.Workload{},
@@ -79,40 +79,40 @@
 	return ws, wl, err
 }
 
-// admit counts a lookup against its workspace's rate, of which this node grants
-// its part.
+// admit applies the workspace's rate limit to a lookup. Each active node enforces
+// an equal share of the limit.
 func (fr *Front) admit(ws table.Workspace) error {
 	if ws.Rate == nil {
 		return nil
 	}
-	part := rate.Limit(*ws.Rate / float64(max(1, len(fr.Member.Map().Active()))))
-	burst := max(1, int(math.Ceil(float64(part))))
+	share := rate.Limit(*ws.Rate / float64(max(1, len(fr.Member.Map().Active()))))
+	burst := max(1, int(math.Ceil(float64(share))))
 	now := fr.Clock.Now()
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
 	lim, ok := fr.limits[ws.Name]
 	if !ok {
-		lim = rate.NewLimiter(part, burst)
+		lim = rate.NewLimiter(share, burst)
 		fr.limits[ws.Name] = lim
 	}
-	if lim.Limit() != part {
-		lim.SetLimitAt(now, part)
+	if lim.Limit() != share {
+		lim.SetLimitAt(now, share)
 		lim.SetBurstAt(now, burst)
 	}
-	if part > 0 && lim.AllowN(now, 1) {
+	if share > 0 && lim.AllowN(now, 1) {
 		return nil
 	}
 	wait := time.Minute
-	if part > 0 {
-		wait = time.Duration((1 - lim.TokensAt(now)) / float64(part) * float64(time.Second))
+	if share > 0 {
+		wait = time.Duration((1 - lim.TokensAt(now)) / float64(share) * float64(time.Second))
 	}
 	return fault.New(fault.RateLimited, "workspace/%s rate: over %g lookups a second; not run", ws.Name, *ws.Rate).WithRetryAfter(wait)
 }
 
-// submit accepts a job and answers with it, after waiting for its end where the
-// query asks for that.
+// submit accepts a job and returns it. With ?wait=SECONDS it first waits for the
+// job to end.
 func (fr *Front) submit(c *fiber.Ctx) error {
-	budget, err := fr.deadline(c)
+	budget, err := fr.requestTimeout(c)
 	if err != nil {
 		return err
 	}
@@ -120,16 +120,16 @@
 	if err := readBody(c, fr.opts.MaxJobBody, &req); err != nil {
 		return err
 	}
-	wait, err := waitOf(c)
+	wait, err := waitParam(c)
 	if err != nil {
 		return err
 	}
-	msg, err := fr.submission(c, req)
+	msg, err := fr.newSubmit(c, req)
 	if err != nil {
 		return err
 	}
 	if fr.Member.Stale() {
-		return fault.New(fault.Stale, "this node is cut off and may hold an old table; not run").WithRetryAfter(time.Second)
+		return fault.New(fault.Stale, "this node is isolated and its table may be out of date; not run").WithRetryAfter(time.Second)
 	}
 	ctx, cancel := context.WithTimeout(fr.ctx, budget)
 	defer cancel()
@@ -150,10 +150,10 @@
 	return c.Status(status).JSON(vw)
 }
 
-// waitFor waits for a job's end. When the home cannot be asked, the job as last
-// seen is the answer: it was accepted.
+// waitFor waits for a job to end. If the job's home is unreachable, it returns the
+// last known state without an error, because the job was accepted.
 func (fr *Front) waitFor(vw nodemsg.JobView, wait time.Duration) (nodemsg.JobView, error) {
-	ctx, cancel := context.WithTimeout(fr.ctx, wait+askTimeout)
+	ctx, cancel := context.WithTimeout(fr.ctx, wait+peerTimeout)
 	defer cancel()
 	got, err := fr.Router.Get(ctx, nodemsg.JobQuery{Job: vw.ID, Wait: wait})
 	if err != nil && fault.Is(err, fault.Unavailable) {
@@ -162,26 +162,27 @@
 	return got, err
 }
 
-func waitOf(c *fiber.Ctx) (time.Duration, error) {
-	const most = 300
+func waitParam(c *fiber.Ctx) (time.Duration, error) {
+	const maxWait = 300
 	text := c.Query("wait")
 	if text == "" {
 		return 0, nil
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(seconds >= 0 && seconds <= most) {
-		return 0, fault.New(fault.BadRequest, "wait=%s: give a number of seconds from 0 to %d", text, most)
+	if err != nil || !(seconds >= 0 && seconds <= maxWait) {
+		return 0, fault.New(fault.BadRequest, "wait=%s: give a number of seconds from 0 to %d", text, maxWait)
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// submission checks a job's request against the table and completes it.
-func (fr *Front) submission(c *fiber.Ctx, req api.JobRequest) (nodemsg.Submit, error) {
+// newSubmit validates a job request against the table and fills in the defaults of
+// the workload's row.
+func (fr *Front) newSubmit(c *fiber.Ctx, req api.JobRequest) (nodemsg.Submit, error) {
 	workspace := req.Workspace
 	if workspace == "" {
 		workspace = c.Get(api.HeaderWorkspace)
 	}
-	ws, wl, err := fr.rows(workspace, req.Workload)
+	ws, wl, err := fr.findRows(workspace, req.Workload)
 	if err != nil {
 		return nodemsg.Submit{}, err
 	}
@@ -189,17 +190,17 @@
 		return nodemsg.Submit{}, fault.New(fault.BadRequest, "workload %s is a service; send a lookup", wl.Name)
 	}
 	key := c.Get(api.HeaderKey)
-	if len(key) > maxKey {
-		return nodemsg.Submit{}, fault.New(fault.BadRequest, "header %s is over %d bytes", api.HeaderKey, maxKey)
+	if len(key) > maxKeyLength {
+		return nodemsg.Submit{}, fault.New(fault.BadRequest, "header %s is over %d bytes", api.HeaderKey, maxKeyLength)
 	}
 	msg := nodemsg.Submit{
 		Workspace: ws.Name, Workload: wl.Name, Class: wl.Class, Key: key,
 		BodyHash: xxhash.Sum64(c.Body()), Priority: wl.Priority, Repeatable: wl.Repeatable,
 	}
-	if msg.Tasks, err = fr.tasks(req, wl); err != nil {
+	if msg.Tasks, err = fr.taskCount(req, wl); err != nil {
 		return msg, err
 	}
-	if msg.Size, err = sizeOf(req, wl); err != nil {
+	if msg.Size, err = taskSize(req, wl); err != nil {
 		return msg, err
 	}
 	if msg.Budget, err = fr.jobBudget(req, wl); err != nil {
@@ -211,7 +212,7 @@
 	return msg, err
 }
 
-func (fr *Front) tasks(req api.JobRequest, wl table.Workload) (int, error) {
+func (fr *Front) taskCount(req api.JobRequest, wl table.Workload) (int, error) {
 	tasks := req.Tasks
 	if tasks == 0 {
 		tasks = 1
@@ -226,12 +227,12 @@
 	return tasks, nil
 }
 
-func sizeOf(req api.JobRequest, wl table.Workload) (size.Size, error) {
+func taskSize(req api.JobRequest, wl table.Workload) (size.Size, error) {
 	const milliPerCore = 1000
-	const most = 1 << 40
+	const maxValue = 1 << 40
 	sz := wl.Size
 	if req.Processors != nil {
-		if !(*req.Processors >= 0 && *req.Processors < most) {
+		if !(*req.Processors >= 0 && *req.Processors < maxValue) {
 			return sz, fault.New(fault.BadRequest, "processors: give a number of cores of 0 or more")
 		}
 		sz[size.Processors] = int64(*req.Processors * milliPerCore)
@@ -242,13 +243,13 @@
 	if req.Accelerators != nil {
 		sz[size.Accelerators] = *req.Accelerators
 	}
-	if !sz.Valid() || !sz.Fits(size.New(most, most, most)) {
+	if !sz.Valid() || !sz.Fits(size.New(maxValue, maxValue, maxValue)) {
 		return sz, fault.New(fault.BadRequest, "memory, accelerators: give whole numbers of 0 or more")
 	}
 	return sz, nil
 }
 
-// jobBudget returns the time left to a job's deadline; zero is no deadline.
+// jobBudget returns the time until a job's deadline, or zero if it has none.
 func (fr *Front) jobBudget(req api.JobRequest, wl table.Workload) (time.Duration, error) {
 	switch {
 	case req.Deadline != nil && req.DeadlineIn != nil:
@@ -260,16 +261,16 @@
 		}
 		return left, nil
 	case req.DeadlineIn != nil:
-		const most = 30 * 24 * 3600
-		if !(*req.DeadlineIn > 0 && *req.DeadlineIn <= most) {
-			return 0, fault.New(fault.PastDeadline, "deadline_in: give seconds above 0, at most %d; not run", most)
+		const maxSeconds = 30 * 24 * 3600
+		if !(*req.DeadlineIn > 0 && *req.DeadlineIn <= maxSeconds) {
+			return 0, fault.New(fault.PastDeadline, "deadline_in: give seconds above 0, at most %d; not run", maxSeconds)
 		}
 		return max(1, time.Duration(*req.DeadlineIn*float64(time.Second))), nil
 	}
 	return wl.Deadline, nil
 }
 
-// decodeStrict decodes one JSON value and refuses unknown fields and what follows it.
+// decodeStrict decodes a single JSON value. It rejects unknown fields and trailing data.
 func decodeStrict(body []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
@@ -283,7 +284,7 @@
 }
 
 func (fr *Front) getJob(c *fiber.Ctx) error {
-	wait, err := waitOf(c)
+	wait, err := waitParam(c)
 	if err != nil {
 		return err
 	}
@@ -297,7 +298,7 @@
 }
 
 func (fr *Front) cancelJob(c *fiber.Ctx) error {
-	budget, err := fr.deadline(c)
+	budget, err := fr.requestTimeout(c)
 	if err != nil {
 		return err
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,5 @@
-// Package front is the HTTP interface of a node for callers and operators: it
-// checks requests, applies limits and deadlines, and turns errors into answers.
+// Package front implements the HTTP API of a node for callers and operators. It
+// validates requests, applies limits and deadlines, and maps errors to responses.
 package front
 
 import (
@@ -29,14 +29,14 @@
 	"tackbeam.example/tackbeam/internal/table"
 )
 
-// Times of the HTTP server.
+// Timeouts of the HTTP server and of calls to other nodes.
 const (
 	readTimeout = 30 * time.Second
 	idleTimeout = 2 * time.Minute
-	askTimeout  = 2 * time.Second
+	peerTimeout = 2 * time.Second
 )
 
-// Options of a front.
+// Options configures the HTTP API.
 type Options struct {
 	Listen         string
 	MaxLookupBody  int
@@ -47,7 +47,7 @@
 	DrainTimeout   time.Duration
 }
 
-// Local is what this node tells of itself.
+// Local gives access to the state of this node.
 type Local struct {
 	Info            func() nodemsg.NodeInfo
 	Workers         func() nodemsg.Workers
@@ -57,7 +57,7 @@
 	NotReadyReasons func() []string
 }
 
-// Services are the services that a front works with.
+// Services are the services that the HTTP API depends on.
 type Services struct {
 	Clock  clockwork.Clock
 	Log    logr.Logger
@@ -69,7 +69,7 @@
 	Local  Local
 }
 
-// Front is this node's HTTP interface.
+// Front serves the HTTP API of this node.
 type Front struct {
 	Services
 	opts     Options
@@ -84,15 +84,15 @@
 	limits map[string]*rate.Limiter
 }
 
-// New returns a front that does not listen yet.
-func New(pt Services, opts Options) *Front {
-	pt.Log = pt.Log.WithName("front")
-	fr := &Front{Services: pt, opts: opts, limits: map[string]*rate.Limiter{}}
+// New returns a Front that does not listen yet.
+func New(sv Services, opts Options) *Front {
+	sv.Log = sv.Log.WithName("front")
+	fr := &Front{Services: sv, opts: opts, limits: map[string]*rate.Limiter{}}
 	fr.ctx, fr.cancel = context.WithCancel(context.Background())
 	const headerSpace = 4096
 	fr.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		Immutable:             true, // names from requests outlive them in jobs
+		Immutable:             true, // jobs keep strings of their request after it has ended
 		BodyLimit:             max(opts.MaxLookupBody, opts.MaxJobBody) + headerSpace,
 		ReadBufferSize:        2 * headerSpace,
 		ReadTimeout:           readTimeout,
@@ -104,7 +104,7 @@
 }
 
 func (fr *Front) routes() {
-	fr.app.Use(fr.track)
+	fr.app.Use(fr.trackRequest)
 	fr.app.Post(api.PathLookup, fr.lookup)
 	fr.app.Post(api.PathJobs, fr.submit)
 	fr.app.Get(api.PathJobs, fr.listJobs)
@@ -122,11 +122,11 @@
 	fr.app.Get(api.PathHealth, fr.health)
 	fr.app.Get(api.PathReady, fr.ready)
 	fr.app.Use(func(c *fiber.Ctx) error {
-		return fault.New(fault.NotFound, "no %s %s here; docs/http.md lists the paths", c.Method(), c.Path())
+		return fault.New(fault.NotFound, "no route for %s %s; docs/http.md lists the paths", c.Method(), c.Path())
 	})
 }
 
-// Start begins to listen.
+// Start listens and serves requests in the background.
 func (fr *Front) Start(context.Context) error {
 	ln, err := accept.Listen(fr.Log, "tcp", fr.opts.Listen)
 	if err != nil {
@@ -135,13 +135,13 @@
 	fr.listener = ln
 	go func() {
 		if err := fr.app.Listener(ln); err != nil && !fr.draining.Load() {
-			fr.Log.Error(err, "HTTP server ended.")
+			fr.Log.Error(err, "HTTP server stopped unexpectedly.")
 		}
 	}()
 	return nil
 }
 
-// Addr returns the address that the front listens on.
+// Addr returns the listen address, or "" before Start.
 func (fr *Front) Addr() string {
 	if fr.listener == nil {
 		return ""
@@ -149,13 +149,14 @@
 	return fr.listener.Addr().String()
 }
 
-// Drain turns readiness off, so that the balancer sends nothing new.
+// Drain makes the readiness check fail, so that the load balancer sends no new requests.
 func (fr *Front) Drain() { fr.draining.Store(true) }
 
-// InFlight returns the number of requests under way.
+// InFlight returns the number of requests in flight.
 func (fr *Front) InFlight() int64 { return fr.inFlight.Load() }
 
-// Stop waits for requests in flight, at most for the drain time, and closes.
+// Stop waits for requests in flight, for at most the drain timeout, and shuts down
+// the server.
 func (fr *Front) Stop(ctx context.Context) error {
 	fr.Drain()
 	const pause = 10 * time.Millisecond
@@ -168,9 +169,9 @@
 	return errors.Wrap(fr.app.ShutdownWithTimeout(closeTime), "close HTTP server")
 }
 
-// track counts requests under way, and asks clients of a draining node to
-// connect anew elsewhere.
-func (fr *Front) track(c *fiber.Ctx) error {
+// trackRequest counts requests in flight. While the node drains, it closes
+// connections after the response, so that clients reconnect to other nodes.
+func (fr *Front) trackRequest(c *fiber.Ctx) error {
 	fr.inFlight.Add(1)
 	defer fr.inFlight.Add(-1)
 	if fr.draining.Load() {
@@ -179,12 +180,12 @@
 	return c.Next()
 }
 
-// onError turns an error into the answer of its kind.
+// onError writes the response for an error.
 func (fr *Front) onError(c *fiber.Ctx, err error) error {
 	er := fault.From(err)
 	var fe *fiber.Error
 	if errors.As(err, &fe) {
-		er = fromFiber(fe)
+		er = fiberFault(fe)
 	}
 	answer := er.Kind.Info()
 	info := api.ErrorInfo{Kind: er.Kind, Message: er.Message, Ran: "not-run"}
@@ -203,7 +204,7 @@
 	return c.Status(answer.Status()).JSON(api.ErrorBody{Error: info})
 }
 
-func fromFiber(fe *fiber.Error) *fault.Error {
+func fiberFault(fe *fiber.Error) *fault.Error {
 	switch fe.Code {
 	case fiber.StatusRequestEntityTooLarge:
 		return fault.New(fault.TooLarge, "the body is over the limit")
@@ -213,8 +214,9 @@
 	return fault.New(fault.BadRequest, "%s", fe.Message)
 }
 
-// deadline reads the time that the caller waits, bounded by the settings.
-func (fr *Front) deadline(c *fiber.Ctx) (time.Duration, error) {
+// requestTimeout returns the timeout from the request's header, or the default. It
+// rejects values over the configured maximum.
+func (fr *Front) requestTimeout(c *fiber.Ctx) (time.Duration, error) {
 	text := c.Get(api.HeaderTimeout)
 	if text == "" {
 		return fr.opts.DefaultTimeout, nil
@@ -229,7 +231,7 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// readBody decodes a JSON body strictly: unknown fields are refused.
+// readBody checks the size of a JSON body and decodes it, rejecting unknown fields.
 func readBody(c *fiber.Ctx, limit int, into any) error {
 	body := c.Body()
 	if len(body) > limit {
@@ -238,9 +240,10 @@
 	return decodeStrict(body, into)
 }
 
-// askAll asks every other node and returns the answers and the silent nodes.
-func askAll[Req, Res any](fr *Front, kd nodemsg.Kind, req Req) (map[string]Res, []string) {
-	ctx, cancel := context.WithTimeout(fr.ctx, askTimeout)
+// callAll sends a request to every other node. It returns the responses by node and
+// the names of the nodes that did not respond.
+func callAll[Req, Res any](fr *Front, kd nodemsg.Kind, req Req) (map[string]Res, []string) {
+	ctx, cancel := context.WithTimeout(fr.ctx, peerTimeout)
 	defer cancel()
 	type answer struct {
 		name string
@@ -255,19 +258,20 @@
 			answers <- answer{name, res, err}
 		}()
 	}
-	all, silent := map[string]Res{}, []string{}
+	all, unreached := map[string]Res{}, []string{}
 	for range nodes {
 		an := <-answers
 		if an.err != nil {
-			silent = append(silent, an.name)
+			unreached = append(unreached, an.name)
 			continue
 		}
 		all[an.name] = an.res
 	}
-	return all, silent
+	return all, unreached
 }
 
-// jsonError describes a JSON error by what is wrong, where Go's own text does not.
+// jsonError converts an error of encoding/json, whose own text does not always say
+// what is wrong with the body.
 func jsonError(err error) error {
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
@@ -278,7 +282,7 @@
 		return fault.New(fault.BadRequest, "%s: give a %s, not a %s", kind.Field, kind.Type, kind.Value)
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return fault.New(fault.BadRequest, "the body is not JSON: it ends too early")
+		return fault.New(fault.BadRequest, "the body is not JSON: unexpected end of input")
 	}
-	return fault.New(fault.BadRequest, "the body cannot be read: %v", err)
+	return fault.New(fault.BadRequest, "the body cannot be decoded: %v", err)
 }
--- a/internal/front/operator.go
+++ b/internal/front/operator.go
@@ -15,12 +15,13 @@
 	"tackbeam.example/tackbeam/internal/table"
 )
 
-// cellBody bounds the body of an edit.
-const cellBody = 4096
+// maxOperatorBody is the maximum size of the body of an edit or a drain in bytes.
+const maxOperatorBody = 4096
 
-// getTable returns all rows or, with ?after=VERSION, waits for rows newer than that.
+// getTable returns all rows. With ?after=VERSION it returns only the rows of a higher
+// version, waiting for one if ?wait=SECONDS is given.
 func (fr *Front) getTable(c *fiber.Ctx) error {
-	wait, err := waitOf(c)
+	wait, err := waitParam(c)
 	if err != nil {
 		return err
 	}
@@ -28,7 +29,7 @@
 	if text := c.Query("after"); text != "" {
 		after, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return fault.New(fault.BadRequest, "after=%s: give a version of the table", text)
+			return fault.New(fault.BadRequest, "after=%s: not a version of the table", text)
 		}
 		ctx, cancel := context.WithTimeout(fr.ctx, wait)
 		defer cancel()
@@ -69,56 +70,57 @@
 }
 
 func (fr *Front) setCell(c *fiber.Ctx) error {
-	budget, err := fr.deadline(c)
+	budget, err := fr.requestTimeout(c)
 	if err != nil {
 		return err
 	}
 	var req api.CellRequest
-	if err := readBody(c, cellBody, &req); err != nil {
+	if err := readBody(c, maxOperatorBody, &req); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(fr.ctx, budget)
 	defer cancel()
-	kept, err := fr.Table.Set(ctx, table.Change{
+	result, err := fr.Table.Set(ctx, table.Change{
 		Kind: column.Kind(c.Params("kind")), Row: c.Params("row"), Column: c.Params("column"),
-		Value: req.Value, Expect: req.Expect, By: operatorOf(c),
+		Value: req.Value, Expect: req.Expect, By: operatorName(c),
 	})
-	return fr.answerKept(c, kept, err, req.Wait)
+	return fr.sendEditResult(c, result, err, req.Wait)
 }
 
-// answerKept answers an edit. An edit that is kept but not confirmed everywhere
-// is no failure unless the operator asked to wait for that.
-func (fr *Front) answerKept(c *fiber.Ctx, kept table.EditResult, err error, wait bool) error {
+// sendEditResult writes the response to an edit. An edit that is stored but not
+// confirmed by all nodes gets the status of NotConfirmed only if the operator asked
+// to wait for confirmation.
+func (fr *Front) sendEditResult(c *fiber.Ctx, result table.EditResult, err error, wait bool) error {
 	if err != nil {
 		return err
 	}
-	kept.Confirmed = append(kept.Confirmed, fr.Member.Node().Name)
-	sort.Strings(kept.Confirmed)
-	if wait && len(kept.Unconfirmed) > 0 {
+	result.Confirmed = append(result.Confirmed, fr.Member.Node().Name)
+	sort.Strings(result.Confirmed)
+	if wait && len(result.Unconfirmed) > 0 {
 		c.Status(fault.NotConfirmed.Info().Status())
 	}
-	if kept.Unconfirmed == nil {
-		kept.Unconfirmed = []string{}
+	if result.Unconfirmed == nil {
+		result.Unconfirmed = []string{}
 	}
-	return c.JSON(kept)
+	return c.JSON(result)
 }
 
-func operatorOf(c *fiber.Ctx) string {
+func operatorName(c *fiber.Ctx) string {
 	if name := c.Get(api.HeaderOperator); name != "" {
-		return string([]byte(name[:min(len(name), maxKey)]))
+		return string([]byte(name[:min(len(name), maxKeyLength)]))
 	}
 	return c.IP()
 }
 
 func (fr *Front) removeRow(c *fiber.Ctx) error {
-	budget, err := fr.deadline(c)
+	budget, err := fr.requestTimeout(c)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(fr.ctx, budget)
 	defer cancel()
-	kept, err := fr.Table.Remove(ctx, column.Kind(c.Params("kind")), c.Params("row"))
-	return fr.answerKept(c, kept, err, false)
+	result, err := fr.Table.Remove(ctx, column.Kind(c.Params("kind")), c.Params("row"))
+	return fr.sendEditResult(c, result, err, false)
 }
 
 func (fr *Front) listJobs(c *fiber.Ctx) error {
@@ -128,48 +130,48 @@
 		return fault.New(fault.BadRequest, "limit: give a whole number from 1 to %d", maxLimit)
 	}
 	fl := nodemsg.JobFilter{Workspace: c.Query("workspace"), Limit: limit}
-	all, silent := askAll[nodemsg.JobFilter, nodemsg.Jobs](fr, nodemsg.KindJobList, fl)
+	all, unreached := callAll[nodemsg.JobFilter, nodemsg.Jobs](fr, nodemsg.KindJobList, fl)
 	list := fr.Local.Jobs(fl).Jobs
 	for _, res := range all {
 		list = append(list, res.Jobs...)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Submitted.After(list[j].Submitted) })
-	return c.JSON(api.Jobs{Jobs: list[:min(len(list), limit)], Unreached: silent})
+	return c.JSON(api.Jobs{Jobs: list[:min(len(list), limit)], Unreached: unreached})
 }
 
 func (fr *Front) getWorkers(c *fiber.Ctx) error {
-	all, silent := askAll[nodemsg.Empty, nodemsg.Workers](fr, nodemsg.KindWorkers, nodemsg.Empty{})
+	all, unreached := callAll[nodemsg.Empty, nodemsg.Workers](fr, nodemsg.KindWorkers, nodemsg.Empty{})
 	list := fr.Local.Workers().Workers
 	for _, res := range all {
 		list = append(list, res.Workers...)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
-	return c.JSON(api.Workers{Workers: list, Unreached: silent})
+	return c.JSON(api.Workers{Workers: list, Unreached: unreached})
 }
 
 func (fr *Front) getNodes(c *fiber.Ctx) error {
-	all, silent := askAll[nodemsg.Empty, nodemsg.NodeInfo](fr, nodemsg.KindNodeInfo, nodemsg.Empty{})
+	all, unreached := callAll[nodemsg.Empty, nodemsg.NodeInfo](fr, nodemsg.KindNodeInfo, nodemsg.Empty{})
 	list := []nodemsg.NodeInfo{fr.Local.Info()}
 	for _, info := range all {
 		list = append(list, info)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
-	return c.JSON(api.Nodes{Nodes: list, Unreached: silent})
+	return c.JSON(api.Nodes{Nodes: list, Unreached: unreached})
 }
 
-// drain drains a node or a worker, given an explicit allow.
+// drain drains a node or a worker. The request must carry the allow header.
 func (fr *Front) drain(c *fiber.Ctx) error {
 	if c.Get(api.HeaderAllow) != api.AllowDrain {
 		return fault.New(fault.Denied, "a drain needs header %s: %s", api.HeaderAllow, api.AllowDrain)
 	}
 	var req api.DrainRequest
-	if err := readBody(c, cellBody, &req); err != nil {
+	if err := readBody(c, maxOperatorBody, &req); err != nil {
 		return err
 	}
 	if (req.Node == "") == (req.Worker == "") {
 		return fault.New(fault.BadRequest, "node, worker: name one of the two")
 	}
-	ctx, cancel := context.WithTimeout(fr.ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(fr.ctx, peerTimeout)
 	defer cancel()
 	if req.Worker != "" {
 		return fr.drainWorker(ctx, c, req.Worker)
@@ -201,7 +203,7 @@
 	if !fault.Is(err, fault.NotFound) {
 		return err
 	}
-	all, _ := askAll[nodemsg.Empty, nodemsg.Workers](fr, nodemsg.KindWorkers, nodemsg.Empty{})
+	all, _ := callAll[nodemsg.Empty, nodemsg.Workers](fr, nodemsg.KindWorkers, nodemsg.Empty{})
 	for node, res := range all {
 		for _, wk := range res.Workers {
 			if wk.Name == name {
@@ -220,14 +222,14 @@
 	return c.JSON(api.Health{Status: "ok"})
 }
 
-// ready tells the balancer whether this node takes work.
+// ready reports to the load balancer whether this node accepts work.
 func (fr *Front) ready(c *fiber.Ctx) error {
-	why := fr.Local.NotReadyReasons()
+	reasons := fr.Local.NotReadyReasons()
 	if fr.draining.Load() {
-		why = append(why, "the node is stopping")
+		reasons = append(reasons, "the node is stopping")
 	}
-	if len(why) > 0 {
-		return c.Status(fiber.StatusServiceUnavailable).JSON(api.Health{Status: "not ready", Why: why})
+	if len(reasons) > 0 {
+		return c.Status(fiber.StatusServiceUnavailable).JSON(api.Health{Status: "not ready", Why: reasons})
 	}
 	return c.JSON(api.Health{Status: "ready"})
 }
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -1,5 +1,5 @@
-// Package ids makes the identifiers of jobs, tasks, lookups and writes, and
-// maps workspaces to partitions.
+// Package ids generates the identifiers of jobs, tasks, lookups and writes, and maps
+// workspaces to partitions.
 package ids
 
 import (
@@ -12,15 +12,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Partitions is the number of shares that the workspaces are divided into.
+// Partitions is the number of partitions over which workspaces are distributed.
 const Partitions = 64
 
-// partitionDigits is the width of a partition in a job id, in hexadecimal.
+// partitionDigits is the number of hexadecimal digits of the partition in a job id.
 const partitionDigits = 2
 
 var encoding = base32.NewEncoding("0123456789abcdefghjkmnpqrstvwxyz").WithPadding(base32.NoPadding)
 
-// Random returns n random bytes in lower-case letters and digits.
+// Random returns n random bytes, encoded in lower-case letters and digits.
 func Random(n int) string {
 	raw := make([]byte, n)
 	if _, err := rand.Read(raw); err != nil {
@@ -34,12 +34,12 @@
 	return int(xxhash.Sum64String(workspace) % Partitions)
 }
 
-// NewJob returns a fresh job id of the workspace, with its partition inside.
+// NewJob returns a new job id that contains the partition of the workspace.
 func NewJob(workspace string) string {
 	return fmt.Sprintf("j%0*x%s", partitionDigits, Partition(workspace), Random(10))
 }
 
-// JobPartition reads the partition out of a job id.
+// JobPartition returns the partition in a job id.
 func JobPartition(job string) (int, bool) {
 	if len(job) <= 1+partitionDigits || job[0] != 'j' {
 		return 0, false
@@ -51,12 +51,12 @@
 	return int(n), true
 }
 
-// Task returns the id of one task of one attempt of a job.
+// Task returns the id of a task of an attempt of a job.
 func Task(job string, attempt, index int) string {
 	return fmt.Sprintf("%s.%d.%d", job, attempt, index)
 }
 
-// ParseTask returns the job, attempt and index that a task id names.
+// ParseTask returns the job, attempt and index in a task id.
 func ParseTask(task string) (job string, attempt, index int, ok bool) {
 	parts := strings.Split(task, ".")
 	if len(parts) != 3 {
--- a/internal/keys/issue.go
+++ b/internal/keys/issue.go
@@ -15,14 +15,14 @@
 	"github.com/pkg/errors"
 )
 
-// Names of the files that Issue writes. A node's own files are named for it.
+// Names of the files that Issue writes. The files of a node are its name with a suffix.
 const (
 	CAFile     = "ca.pem"
 	CertSuffix = ".pem"
 	KeySuffix  = ".key"
 )
 
-// Validity of the certificates of a test set.
+// Validity of the test certificates, and modes of their files.
 const (
 	validBefore = time.Hour
 	validFor    = 365 * 24 * time.Hour
@@ -30,15 +30,15 @@
 	dirMode     = 0o700
 )
 
-// Issue writes a test set into a directory: one signer and a certificate for
-// each node. The signer's key is not kept, so a set is made whole.
+// Issue writes test certificates to a directory: one CA, and a certificate and key
+// for each node. The CA's key is not stored, so no certificates can be added later.
 func Issue(dir string, nodes []string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return errors.Wrap(err, "make key directory")
+		return errors.Wrap(err, "create key directory")
 	}
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return errors.Wrap(err, "make signer's key")
+		return errors.Wrap(err, "generate CA key")
 	}
 	ca := template("tackbeam test signer")
 	ca.IsCA = true
@@ -46,7 +46,7 @@
 	ca.KeyUsage = x509.KeyUsageCertSign
 	raw, err := x509.CreateCertificate(rand.Reader, ca, ca, &caKey.PublicKey, caKey)
 	if err != nil {
-		return errors.Wrap(err, "sign signer's certificate")
+		return errors.Wrap(err, "sign CA certificate")
 	}
 	if err := writePEM(filepath.Join(dir, CAFile), "CERTIFICATE", raw); err != nil {
 		return err
@@ -72,7 +72,7 @@
 func issueNode(dir, node string, ca *x509.Certificate, caKey *ecdsa.PrivateKey) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return errors.Wrapf(err, "make key of node %s", node)
+		return errors.Wrapf(err, "generate key of node %s", node)
 	}
 	cert := template(node)
 	cert.DNSNames = []string{ServerName}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,6 +1,5 @@
-// Package keys holds a node's certificate and makes the TLS settings for mutual
-// authentication between nodes. Files that change are read again without a
-// restart.
+// Package keys provides the TLS configuration for mutual authentication between
+// nodes. Changed certificate and key files are reloaded without a restart.
 package keys
 
 import (
@@ -15,16 +14,17 @@
 	"github.com/pkg/errors"
 )
 
-// ServerName is the name that every node's certificate is for.
+// ServerName is the DNS name in the certificates of all nodes.
 const ServerName = "tackbeam-node"
 
-// Protocol is the application protocol that nodes agree on.
+// Protocol is the application protocol (ALPN) of connections between nodes.
 const Protocol = "tackbeam/1"
 
-// checkEvery is the time between two looks at the files.
-const checkEvery = 10 * time.Second
+// checkInterval is the minimum time between two checks of the files for changes.
+const checkInterval = 10 * time.Second
 
-// Keyring is the present certificate and the signers of the other nodes.
+// Keyring holds the current certificate and key of this node, and the CAs that it
+// trusts for other nodes.
 type Keyring struct {
 	cert, key, ca string
 	clock         clockwork.Clock
@@ -34,82 +34,83 @@
 	pair    *tls.Certificate
 	pool    *x509.CertPool
 	checked time.Time
-	seen    [3]stamp
+	loaded  [3]fileState
 }
 
-// stamp tells one state of a file from another.
-type stamp struct {
+// fileState identifies a version of a file.
+type fileState struct {
 	changed time.Time
 	size    int64
 }
 
-// New reads the three files.
+// New loads the certificate, key and CA files.
 func New(clock clockwork.Clock, log logr.Logger, cert, key, ca string) (*Keyring, error) {
-	rg := &Keyring{cert: cert, key: key, ca: ca, clock: clock, log: log.WithName("keys")}
-	if err := rg.load(); err != nil {
+	kr := &Keyring{cert: cert, key: key, ca: ca, clock: clock, log: log.WithName("keys")}
+	if err := kr.load(); err != nil {
 		return nil, err
 	}
-	return rg, nil
+	return kr, nil
 }
 
-func (rg *Keyring) load() error {
-	seen := rg.look() // before reading, so that a change meanwhile is read next time
-	pair, err := tls.LoadX509KeyPair(rg.cert, rg.key)
+func (kr *Keyring) load() error {
+	seen := kr.statFiles() // before the files are read, so that a concurrent change is detected by the next check
+	pair, err := tls.LoadX509KeyPair(kr.cert, kr.key)
 	if err != nil {
 		return errors.Wrap(err, "load certificate")
 	}
-	raw, err := os.ReadFile(rg.ca)
+	raw, err := os.ReadFile(kr.ca)
 	if err != nil {
-		return errors.Wrap(err, "read signers")
+		return errors.Wrap(err, "read CA file")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return errors.Errorf("file %s holds no certificate", rg.ca)
+		return errors.Errorf("file %s contains no certificate", kr.ca)
 	}
-	rg.pair, rg.pool = &pair, pool
-	rg.checked = rg.clock.Now()
-	rg.seen = seen
+	kr.pair, kr.pool = &pair, pool
+	kr.checked = kr.clock.Now()
+	kr.loaded = seen
 	return nil
 }
 
-// look returns what the files look like: an older file is a change as well, as
-// when former keys are put back.
-func (rg *Keyring) look() [3]stamp {
-	var stamps [3]stamp
-	for i, path := range []string{rg.cert, rg.key, rg.ca} {
+// statFiles returns the states of the files. States are compared for equality, because
+// a file may be replaced by an older one, as when previous keys are restored.
+func (kr *Keyring) statFiles() [3]fileState {
+	var stamps [3]fileState
+	for i, path := range []string{kr.cert, kr.key, kr.ca} {
 		if info, err := os.Stat(path); err == nil {
-			stamps[i] = stamp{info.ModTime(), info.Size()}
+			stamps[i] = fileState{info.ModTime(), info.Size()}
 		}
 	}
 	return stamps
 }
 
-// current returns the certificate and signers, read again where the files have
-// changed. Files that cannot be read leave the former ones in force.
-func (rg *Keyring) current() (*tls.Certificate, *x509.CertPool) {
-	rg.mu.Lock()
-	defer rg.mu.Unlock()
-	if rg.clock.Since(rg.checked) < checkEvery {
-		return rg.pair, rg.pool
+// current returns the certificate and the CAs, reloading them if the files have
+// changed. If the reload fails, the previous ones stay in use.
+func (kr *Keyring) current() (*tls.Certificate, *x509.CertPool) {
+	kr.mu.Lock()
+	defer kr.mu.Unlock()
+	if kr.clock.Since(kr.checked) < checkInterval {
+		return kr.pair, kr.pool
 	}
-	rg.checked = rg.clock.Now()
-	if rg.look() != rg.seen {
-		if err := rg.load(); err != nil {
-			rg.log.Error(err, "New keys cannot be read, the old ones stay.")
+	kr.checked = kr.clock.Now()
+	if kr.statFiles() != kr.loaded {
+		if err := kr.load(); err != nil {
+			kr.log.Error(err, "Reloading the keys failed; the previous keys stay in use.")
 		} else {
-			rg.log.Info("Keys were read again.")
+			kr.log.Info("Keys were reloaded.")
 		}
 	}
-	return rg.pair, rg.pool
+	return kr.pair, kr.pool
 }
 
-// ServerConfig returns settings that demand a certificate signed by a known signer.
-func (rg *Keyring) ServerConfig() *tls.Config {
+// ServerConfig returns the TLS configuration for accepting connections. It requires
+// a client certificate signed by a trusted CA.
+func (kr *Keyring) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{Protocol},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			pair, pool := rg.current()
+			pair, pool := kr.current()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
 				NextProtos:   []string{Protocol},
@@ -121,9 +122,9 @@
 	}
 }
 
-// ClientConfig returns settings for a call to another node.
-func (rg *Keyring) ClientConfig() *tls.Config {
-	pair, pool := rg.current()
+// ClientConfig returns the TLS configuration for connecting to another node.
+func (kr *Keyring) ClientConfig() *tls.Config {
+	pair, pool := kr.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{Protocol},
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -13,8 +13,8 @@
 	"tackbeam.example/tackbeam/internal/keys"
 )
 
-// TestReload replaces the files of a ring. The new keys come into force without a
-// restart; files that cannot be read leave the former ones in force.
+// TestReload checks that replaced files are loaded without a restart, also if they
+// are older, and that the previous keys stay in use if the files cannot be read.
 func TestReload(t *testing.T) {
 	old, other := t.TempDir(), t.TempDir()
 	for _, dir := range []string{old, other} {
@@ -39,13 +39,13 @@
 		}
 	}
 	cases := map[string]struct {
-		change func(t *testing.T, dir string)
-		fresh  bool
+		change   func(t *testing.T, dir string)
+		reloaded bool
 	}{
-		"newer files":             {func(t *testing.T, dir string) { copyAll(t, other, dir, time.Now().Add(time.Hour)) }, true},
-		"files of an earlier day": {func(t *testing.T, dir string) { copyAll(t, other, dir, time.Now().Add(-48*time.Hour)) }, true},
-		"no change":               {func(*testing.T, string) {}, false},
-		"files that hold nothing": {func(t *testing.T, dir string) {
+		"newer files": {func(t *testing.T, dir string) { copyAll(t, other, dir, time.Now().Add(time.Hour)) }, true},
+		"older files": {func(t *testing.T, dir string) { copyAll(t, other, dir, time.Now().Add(-48*time.Hour)) }, true},
+		"no change":   {func(*testing.T, string) {}, false},
+		"empty file": {func(t *testing.T, dir string) {
 			if err := os.WriteFile(filepath.Join(dir, names[0]), nil, 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -59,13 +59,13 @@
 			copyAll(t, old, dir, time.Now())
 			clock := clockwork.NewFakeClock()
 			path := func(i int) string { return filepath.Join(dir, names[i]) }
-			ring, err := keys.New(clock, logr.Discard(), path(0), path(1), path(2))
+			keyring, err := keys.New(clock, logr.Discard(), path(0), path(1), path(2))
 			is.NoErr(err)
-			before := ring.ClientConfig().Certificates[0].Certificate[0]
+			before := keyring.ClientConfig().Certificates[0].Certificate[0]
 			tc.change(t, dir)
 			clock.Advance(time.Minute)
-			after := ring.ClientConfig().Certificates[0].Certificate[0]
-			is.Equal(string(before) != string(after), tc.fresh)
+			after := keyring.ClientConfig().Certificates[0].Certificate[0]
+			is.Equal(string(before) != string(after), tc.reloaded)
 		})
 	}
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter keeps the counters and histograms of a node: waits and latencies
-// by workspace and class, decisions, refusals, and what control costs.
+// Package meter holds the counters and histograms of a node, such as waits and
+// latencies by workspace and class, and measures the resource usage of the process.
 package meter
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Sizes of the reservoirs, and how strongly recent values count.
+// Size of the histograms' samples, and decay factor that weights recent values.
 const (
-	reservoir = 256
-	decay     = 0.015
-	// maxSeries bounds the memory that workspaces can take by their number.
+	reservoirSize = 256
+	decay         = 0.015
+	// maxSeries limits the memory that a large number of workspaces can use.
 	maxSeries = 2048
 )
 
-// Meter is one node's measures. It is safe for concurrent use.
+// Meter holds the metrics of a node. It is safe for concurrent use.
 type Meter struct {
 	registry metrics.Registry
 	started  time.Time
@@ -36,7 +36,7 @@
 	return &Meter{registry: metrics.NewRegistry(), started: now}
 }
 
-// Count adds to a counter.
+// Count adds n to a counter.
 func (mt *Meter) Count(name string, n int64) {
 	metrics.GetOrRegisterCounter(name, mt.registry).Inc(n)
 }
@@ -46,16 +46,16 @@
 	return metrics.GetOrRegisterCounter(name, mt.registry).Count()
 }
 
-// Observe adds a time to the histogram of a measure, class and workspace, and to
-// the class's histogram over all workspaces.
+// Observe records a duration in the histogram of a measure, class and workspace, and
+// in the histogram of the class over all workspaces.
 func (mt *Meter) Observe(measure, class, workspace string, took time.Duration) {
 	mt.update(strings.Join([]string{measure, class, "*"}, "|"), took)
 	mt.update(strings.Join([]string{measure, class, workspace}, "|"), took)
 }
 
 func (mt *Meter) update(name string, took time.Duration) {
-	got := mt.registry.Get(name)
-	if got == nil {
+	entry := mt.registry.Get(name)
+	if entry == nil {
 		mt.mu.Lock()
 		if mt.series >= maxSeries {
 			mt.mu.Unlock()
@@ -63,16 +63,16 @@
 		}
 		mt.series++
 		mt.mu.Unlock()
-		got = mt.registry.GetOrRegister(name, func() metrics.Histogram {
-			return metrics.NewHistogram(metrics.NewExpDecaySample(reservoir, decay))
+		entry = mt.registry.GetOrRegister(name, func() metrics.Histogram {
+			return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, decay))
 		})
 	}
-	if hg, ok := got.(metrics.Histogram); ok {
+	if hg, ok := entry.(metrics.Histogram); ok {
 		hg.Update(int64(took))
 	}
 }
 
-// Series is one histogram in numbers.
+// Series summarizes a histogram.
 type Series struct {
 	Measure   string        `json:"measure"`
 	Class     string        `json:"class"`
@@ -83,13 +83,13 @@
 	Max       time.Duration `json:"max"`
 }
 
-// Report is everything a meter holds at one moment.
+// Report holds the values of all metrics at one moment.
 type Report struct {
 	Counters map[string]int64 `json:"counters"`
 	Series   []Series         `json:"series"`
 }
 
-// Report returns the present values.
+// Report returns the current values.
 func (mt *Meter) Report() Report {
 	rp := Report{Counters: map[string]int64{}}
 	mt.registry.Each(func(name string, value any) {
@@ -97,7 +97,7 @@
 		case metrics.Counter:
 			rp.Counters[name] = typed.Count()
 		case metrics.Histogram:
-			rp.Series = append(rp.Series, series(name, typed.Snapshot()))
+			rp.Series = append(rp.Series, newSeries(name, typed.Snapshot()))
 		}
 	})
 	sort.Slice(rp.Series, func(i, j int) bool {
@@ -107,7 +107,7 @@
 	return rp
 }
 
-func series(name string, hg metrics.Histogram) Series {
+func newSeries(name string, hg metrics.Histogram) Series {
 	const median, tail = 0.5, 0.99
 	sr := Series{
 		Count: hg.Count(), Max: time.Duration(hg.Max()),
@@ -120,16 +120,16 @@
 	return sr
 }
 
-// Usage is what the process has spent since it started.
+// Usage is the resource usage of the process.
 type Usage struct {
 	CPU           time.Duration
 	ResidentBytes int64
 	Uptime        time.Duration
 }
 
-// Usage returns the processor time and the resident memory of this process.
+// Usage returns the processor time, resident memory and uptime of this process.
 func (mt *Meter) Usage(now time.Time) Usage {
-	ct := Usage{Uptime: now.Sub(mt.started), ResidentBytes: resident()}
+	ct := Usage{Uptime: now.Sub(mt.started), ResidentBytes: residentBytes()}
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err == nil {
 		ct.CPU = time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
@@ -137,9 +137,9 @@
 	return ct
 }
 
-// resident returns the resident bytes, or what the runtime has from the system
-// where the kernel does not tell.
-func resident() int64 {
+// residentBytes returns the resident memory of the process. If the kernel does not
+// report it, it returns the memory that the Go runtime has obtained from the system.
+func residentBytes() int64 {
 	const pagesField = 1
 	raw, err := os.ReadFile("/proc/self/statm")
 	fields := strings.Fields(string(raw))
--- a/internal/peer/link.go
+++ b/internal/peer/connection.go
@@ -11,10 +11,11 @@
 	"tackbeam.example/tackbeam/internal/wire"
 )
 
-// exchange sends one message on a stream of its own and reads the answer.
+// exchange sends a message on a new stream and reads the response. Errors after the
+// message may have been sent are marked MayHaveRun.
 func (pr *Peer) exchange(ctx context.Context, addr string, raw []byte) ([]byte, error) {
 	if pr.isBlocked(addr) {
-		return nil, fault.New(fault.Unavailable, "link to %s is cut", addr)
+		return nil, fault.New(fault.Unavailable, "connection to %s is blocked", addr)
 	}
 	cn, err := pr.connect(ctx, addr)
 	if err != nil {
@@ -22,7 +23,7 @@
 	}
 	sm, err := cn.OpenStreamSync(ctx)
 	if err != nil {
-		pr.forget(addr, cn)
+		pr.removeConn(addr, cn)
 		return nil, fault.New(fault.Unavailable, "node at %s cannot be reached: %v", addr, err)
 	}
 	stop := context.AfterFunc(ctx, func() {
@@ -39,14 +40,14 @@
 	}
 	if err != nil || len(answer) == 0 {
 		if cn.Context().Err() != nil {
-			pr.forget(addr, cn)
+			pr.removeConn(addr, cn)
 		}
-		return nil, fault.New(fault.Unavailable, "node at %s did not answer: %v", addr, err).MarkMayHaveRun()
+		return nil, fault.New(fault.Unavailable, "node at %s did not respond: %v", addr, err).MarkMayHaveRun()
 	}
 	return answer, nil
 }
 
-// connect returns the link to an address, made anew where there is none.
+// connect returns the open connection to an address, or dials a new one.
 func (pr *Peer) connect(ctx context.Context, addr string) (*quic.Conn, error) {
 	pr.mu.Lock()
 	cn, ok := pr.conns[addr]
@@ -58,45 +59,46 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "resolve node address")
 	}
-	made, err := pr.transport.Dial(ctx, to, pr.ring.ClientConfig(), config())
+	conn, err := pr.transport.Dial(ctx, to, pr.keyring.ClientConfig(), config())
 	if err != nil {
 		return nil, errors.Wrap(err, "dial node")
 	}
-	return pr.keep(addr, made), nil
+	return pr.addConn(addr, conn), nil
 }
 
-// keep stores a new link, unless another goroutine was faster.
-func (pr *Peer) keep(addr string, made *quic.Conn) *quic.Conn {
+// addConn registers a new connection. If another goroutine has registered one in the
+// meantime, it closes the new connection and returns the registered one.
+func (pr *Peer) addConn(addr string, conn *quic.Conn) *quic.Conn {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	old, ok := pr.conns[addr]
 	if ok && old.Context().Err() == nil {
-		_ = made.CloseWithError(0, "another link is open")
+		_ = conn.CloseWithError(0, "another connection is open")
 		return old
 	}
 	if ok {
-		pr.retire(old)
+		pr.addClosedTraffic(old)
 	}
-	pr.conns[addr] = made
-	return made
+	pr.conns[addr] = conn
+	return conn
 }
 
-// Disconnect drops the link to an address, so that the next call dials anew.
+// Disconnect closes the connection to an address, so that the next call dials a new one.
 func (pr *Peer) Disconnect(addr string) {
 	pr.mu.Lock()
 	cn := pr.conns[addr]
 	pr.mu.Unlock()
 	if cn != nil {
-		pr.forget(addr, cn)
+		pr.removeConn(addr, cn)
 	}
 }
 
-func (pr *Peer) forget(addr string, cn *quic.Conn) {
+func (pr *Peer) removeConn(addr string, cn *quic.Conn) {
 	pr.mu.Lock()
 	if pr.conns[addr] == cn {
 		delete(pr.conns, addr)
-		pr.retire(cn)
+		pr.addClosedTraffic(cn)
 	}
 	pr.mu.Unlock()
-	_ = cn.CloseWithError(0, "link failed")
+	_ = cn.CloseWithError(0, "connection failed")
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries typed messages between nodes over QUIC with mutual TLS.
-// Each request has a stream of its own, so that a slow one holds up no other.
+// Package peer sends typed messages between nodes over QUIC with mutual TLS. Each
+// request uses its own stream, so that a slow request does not block others.
 package peer
 
 import (
@@ -19,7 +19,7 @@
 	"tackbeam.example/tackbeam/internal/wire"
 )
 
-// Times and sizes of the connections.
+// Timeouts and limits of the connections.
 const (
 	handshakeTimeout = 2 * time.Second
 	idleTimeout      = 15 * time.Second
@@ -29,58 +29,58 @@
 	connWindow       = 1 << 20
 )
 
-// request is what a stream carries one way.
+// request is the message from the client of a stream.
 type request struct {
 	Kind nodemsg.Kind    `cbor:"1,keyasint"`
 	From string          `cbor:"2,keyasint"`
 	Body cbor.RawMessage `cbor:"3,keyasint"`
 }
 
-// response is what a stream carries the other way.
+// response is the message from the server of a stream.
 type response struct {
 	Err  *fault.Error    `cbor:"1,keyasint,omitempty"`
 	Body cbor.RawMessage `cbor:"2,keyasint,omitempty"`
 }
 
-// handler answers the requests of one kind.
+// handler handles the requests of one kind.
 type handler func(ctx context.Context, from string, body []byte) (any, error)
 
-// Peer is this node's end of the links to the other nodes.
+// Peer sends requests to other nodes and serves theirs.
 type Peer struct {
 	name      string
-	ring      *keys.Keyring
+	keyring   *keys.Keyring
 	log       logr.Logger
 	transport *quic.Transport
 	listener  *quic.Listener
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	mu       sync.Mutex
-	handlers map[nodemsg.Kind]handler
-	conns    map[string]*quic.Conn
-	accepted map[*quic.Conn]bool
-	closed   [2]uint64
-	blocked  func(addr string) bool
-	// self is the address that this node is reached at.
-	self string
+	mu            sync.Mutex
+	handlers      map[nodemsg.Kind]handler
+	conns         map[string]*quic.Conn
+	accepted      map[*quic.Conn]bool
+	closedTraffic [2]uint64
+	blocked       func(addr string) bool
+	// ownAddr is the address at which other nodes reach this node.
+	ownAddr string
 }
 
-// SetSelf names the address that the other nodes use for this one, so that a
-// request to it needs no network; before Start.
+// SetSelf sets the address at which other nodes reach this node. Calls to that
+// address are handled without the network. SetSelf must be called before Serve.
 func (pr *Peer) SetSelf(addr string) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pr.self = addr
+	pr.ownAddr = addr
 }
 
 func (pr *Peer) isSelf(addr string) bool {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	return pr.self != "" && addr == pr.self
+	return pr.ownAddr != "" && addr == pr.ownAddr
 }
 
-// New opens the socket of the listen address. Serve begins to answer.
-func New(name, listen string, ring *keys.Keyring, log logr.Logger) (*Peer, error) {
+// New opens the UDP socket. Requests are served only after Serve is called.
+func New(name, listen string, keyring *keys.Keyring, log logr.Logger) (*Peer, error) {
 	addr, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "resolve peer address")
@@ -90,7 +90,7 @@
 		return nil, errors.Wrap(err, "listen for nodes")
 	}
 	pr := &Peer{
-		name: name, ring: ring, log: log.WithName("peer"),
+		name: name, keyring: keyring, log: log.WithName("peer"),
 		transport: &quic.Transport{Conn: socket},
 		handlers:  map[nodemsg.Kind]handler{},
 		conns:     map[string]*quic.Conn{},
@@ -115,9 +115,9 @@
 // Addr returns the address that the node listens on.
 func (pr *Peer) Addr() string { return pr.transport.Conn.LocalAddr().String() }
 
-// Serve begins to answer requests.
+// Serve starts to serve requests in the background.
 func (pr *Peer) Serve() error {
-	ln, err := pr.transport.Listen(pr.ring.ServerConfig(), config())
+	ln, err := pr.transport.Listen(pr.keyring.ServerConfig(), config())
 	if err != nil {
 		return errors.Wrap(err, "serve nodes")
 	}
@@ -126,11 +126,11 @@
 	return nil
 }
 
-// Close ends all links.
+// Close closes all connections and the socket.
 func (pr *Peer) Close() error {
 	pr.cancel()
 	if pr.listener != nil {
-		_ = pr.listener.Close() // the transport's end reports what matters
+		_ = pr.listener.Close() // errors that matter are returned by transport.Close
 	}
 	pr.mu.Lock()
 	for _, cn := range pr.conns {
@@ -146,8 +146,8 @@
 	return errors.Wrap(pr.transport.Conn.Close(), "close peer socket")
 }
 
-// Block cuts the links to the addresses that cut reports, both ways; nil cuts
-// none. Tests use it to split nodes.
+// Block makes calls to the addresses for which cut returns true fail; nil unblocks
+// all. Tests block both sides to simulate network partitions.
 func (pr *Peer) Block(cut func(addr string) bool) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -160,11 +160,11 @@
 	return pr.blocked != nil && pr.blocked(addr)
 }
 
-// Traffic returns the bytes sent and received between nodes so far.
+// Traffic returns the total bytes sent to and received from other nodes.
 func (pr *Peer) Traffic() (sent, received uint64) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	sent, received = pr.closed[0], pr.closed[1]
+	sent, received = pr.closedTraffic[0], pr.closedTraffic[1]
 	add := func(cn *quic.Conn) {
 		st := cn.ConnectionStats()
 		sent += st.BytesSent
@@ -179,11 +179,12 @@
 	return sent, received
 }
 
-// retire adds a closed connection's traffic to the sum. The caller holds the lock.
-func (pr *Peer) retire(cn *quic.Conn) {
+// addClosedTraffic adds the traffic of a closed connection to the total. The caller
+// holds the lock.
+func (pr *Peer) addClosedTraffic(cn *quic.Conn) {
 	st := cn.ConnectionStats()
-	pr.closed[0] += st.BytesSent
-	pr.closed[1] += st.BytesReceived
+	pr.closedTraffic[0] += st.BytesSent
+	pr.closedTraffic[1] += st.BytesReceived
 }
 
 func (pr *Peer) acceptLoop() {
@@ -203,7 +204,7 @@
 	defer func() {
 		pr.mu.Lock()
 		delete(pr.accepted, cn)
-		pr.retire(cn)
+		pr.addClosedTraffic(cn)
 		pr.mu.Unlock()
 	}()
 	for {
@@ -216,29 +217,29 @@
 }
 
 func (pr *Peer) serveStream(cn *quic.Conn, sm *quic.Stream) {
-	defer func() { _ = sm.Close() }() // the caller notices a cut stream
+	defer func() { _ = sm.Close() }() // the caller detects an incomplete stream
 	raw, err := wire.ReadAll(sm)
 	if err != nil {
 		return
 	}
 	var req request
 	if err := wire.Decode(raw, &req); err != nil {
-		pr.log.Error(err, "Request cannot be read.", "remote", cn.RemoteAddr().String())
+		pr.log.Error(err, "Request could not be decoded.", "remote", cn.RemoteAddr().String())
 		return
 	}
-	rsp := response{Err: fault.New(fault.Denied, "certificate is not that of node %s", req.From)}
-	if certified(cn) == req.From {
+	rsp := response{Err: fault.New(fault.Denied, "the certificate was not issued to node %s", req.From)}
+	if certifiedName(cn) == req.From {
 		rsp = pr.answer(sm.Context(), req)
 	}
 	out, err := wire.Encode(rsp)
 	if err != nil {
-		out, _ = wire.Encode(response{Err: fault.From(err)}) // a short message always encodes
+		out, _ = wire.Encode(response{Err: fault.From(err)}) // an error without a body is always within the size limit
 	}
-	_, _ = sm.Write(out) // a lost answer shows at the caller
+	_, _ = sm.Write(out) // the caller detects a lost response
 }
 
-// certified returns the node's name in the certificate of the other side.
-func certified(cn *quic.Conn) string {
+// certifiedName returns the node name in the certificate of the remote side, or "".
+func certifiedName(cn *quic.Conn) string {
 	certs := cn.ConnectionState().TLS.PeerCertificates
 	if len(certs) == 0 {
 		return ""
@@ -248,12 +249,12 @@
 
 func (pr *Peer) answer(ctx context.Context, req request) response {
 	pr.mu.Lock()
-	act, ok := pr.handlers[req.Kind]
+	handle, ok := pr.handlers[req.Kind]
 	pr.mu.Unlock()
 	if !ok {
-		return response{Err: fault.New(fault.BadRequest, "node %s takes no message of kind %d", pr.name, req.Kind)}
+		return response{Err: fault.New(fault.BadRequest, "node %s has no handler for messages of kind %d", pr.name, req.Kind)}
 	}
-	res, err := act(ctx, req.From, req.Body)
+	res, err := handle(ctx, req.From, req.Body)
 	if err != nil {
 		return response{Err: fault.From(err)}
 	}
@@ -264,9 +265,9 @@
 	return response{Body: body}
 }
 
-// Handle answers requests of one kind with act.
+// Handle registers the handler of one kind of request.
 func Handle[Req, Res any](
-	pr *Peer, kd nodemsg.Kind, act func(ctx context.Context, from string, req Req) (Res, error),
+	pr *Peer, kd nodemsg.Kind, handle func(ctx context.Context, from string, req Req) (Res, error),
 ) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -275,12 +276,13 @@
 		if err := wire.Decode(body, &req); err != nil {
 			return nil, fault.New(fault.BadRequest, "message of kind %d: %v", kd, err)
 		}
-		return act(ctx, from, req)
+		return handle(ctx, from, req)
 	}
 }
 
-// Call sends one request to the node at the address and waits for the answer.
-// An error with MayHaveRun set means that the request may have been carried out.
+// Call sends a request to the node at the address and waits for the response. An
+// error with MayHaveRun set means that the request may have been carried out. A
+// context without a deadline gets callTimeout.
 func Call[Req, Res any](ctx context.Context, pr *Peer, addr string, kd nodemsg.Kind, req Req) (Res, error) {
 	var res Res
 	body, err := wire.Encode(req)
@@ -294,7 +296,7 @@
 		defer cancel()
 	}
 	if pr.isSelf(addr) {
-		return read[Res](addr, pr.answer(ctx, message))
+		return decodeResponse[Res](addr, pr.answer(ctx, message))
 	}
 	raw, err := wire.Encode(message)
 	if err != nil {
@@ -308,11 +310,11 @@
 	if err := wire.Decode(answer, &rsp); err != nil {
 		return res, fault.New(fault.Unavailable, "answer of node at %s: %v", addr, err).MarkMayHaveRun()
 	}
-	return read[Res](addr, rsp)
+	return decodeResponse[Res](addr, rsp)
 }
 
-// read returns what a response holds.
-func read[Res any](addr string, rsp response) (Res, error) {
+// decodeResponse returns the body of a response, or its error.
+func decodeResponse[Res any](addr string, rsp response) (Res, error) {
 	var res Res
 	if rsp.Err != nil {
 		return res, rsp.Err
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,15 +18,15 @@
 	"tackbeam.example/tackbeam/internal/wire"
 )
 
-// open starts a node's end with the certificate of another name, where given.
-func open(t *testing.T, dir, name, cert string) *peer.Peer {
+// newPeer returns a peer that calls itself name and has the certificate issued to cert.
+func newPeer(t *testing.T, dir, name, cert string) *peer.Peer {
 	t.Helper()
-	ring, err := keys.New(clockwork.NewRealClock(), logr.Discard(), filepath.Join(dir, cert+keys.CertSuffix),
+	keyring, err := keys.New(clockwork.NewRealClock(), logr.Discard(), filepath.Join(dir, cert+keys.CertSuffix),
 		filepath.Join(dir, cert+keys.KeySuffix), filepath.Join(dir, keys.CAFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	pr, err := peer.New(name, "127.0.0.1:0", ring, logr.Discard())
+	pr, err := peer.New(name, "127.0.0.1:0", keyring, logr.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,15 +43,16 @@
 	return dir
 }
 
-func ask(from *peer.Peer, addr string, size int) (nodemsg.Rows, error) {
+func call(from *peer.Peer, addr string, size int) (nodemsg.Rows, error) {
 	return peer.Call[nodemsg.Row, nodemsg.Rows](context.Background(), from, addr, nodemsg.KindRowPush,
 		nodemsg.Row{Key: "k", Value: []byte(strings.Repeat("x", size))})
 }
 
-// TestWhoMayCall lets a node of the same signer in, and nobody else.
-func TestWhoMayCall(t *testing.T) {
-	dir, strange := issue(t, "a", "b"), issue(t, "a", "b")
-	server := open(t, dir, "a", "a")
+// TestCallAuthorization checks that only nodes with a certificate of the same CA, and
+// issued to their own name, reach a handler.
+func TestCallAuthorization(t *testing.T) {
+	dir, otherCA := issue(t, "a", "b"), issue(t, "a", "b")
+	server := newPeer(t, dir, "a", "a")
 	var calls atomic.Int64
 	peer.Handle(server, nodemsg.KindRowPush, func(_ context.Context, from string, rw nodemsg.Row) (nodemsg.Rows, error) {
 		calls.Add(1)
@@ -65,34 +66,34 @@
 		size int
 		kind fault.Kind
 	}{
-		"a node of the cluster":      {open(t, dir, "b", "b"), 10, ""},
-		"a large message":            {open(t, dir, "b", "b"), 900 << 10, ""},
-		"a message over the limit":   {open(t, dir, "b", "b"), wire.MaxMessage, fault.TooLarge},
-		"a name that is not its own": {open(t, dir, "c", "b"), 10, fault.Denied},
-		"a stranger's certificate":   {open(t, strange, "b", "b"), 10, fault.Unavailable},
+		"a node of the cluster":       {newPeer(t, dir, "b", "b"), 10, ""},
+		"a large message":             {newPeer(t, dir, "b", "b"), 900 << 10, ""},
+		"a message over the limit":    {newPeer(t, dir, "b", "b"), wire.MaxMessage, fault.TooLarge},
+		"a name that is not its own":  {newPeer(t, dir, "c", "b"), 10, fault.Denied},
+		"a certificate of another CA": {newPeer(t, otherCA, "b", "b"), 10, fault.Unavailable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			before := calls.Load()
-			got, err := ask(tc.from, server.Addr(), tc.size)
+			got, err := call(tc.from, server.Addr(), tc.size)
 			if tc.kind == "" {
 				is.NoErr(err)
 				is.Equal(got.Rows, []nodemsg.Row{{Key: "b", Version: uint64(tc.size)}})
 				return
 			}
 			is.Equal(fault.From(err).Kind, tc.kind)
-			is.Equal(calls.Load(), before) // the handler was not reached
+			is.Equal(calls.Load(), before) // the handler was not called
 		})
 	}
 }
 
-// TestCutLink says of a call over a cut link that it was not carried out, and
-// of one without an answer that it may have been.
-func TestCutLink(t *testing.T) {
+// TestFailedCallOutcome checks that a call over a blocked connection fails as not
+// carried out, and a call without a response as possibly carried out.
+func TestFailedCallOutcome(t *testing.T) {
 	is := is.New(t)
 	dir := issue(t, "a", "b")
-	server, caller := open(t, dir, "a", "a"), open(t, dir, "b", "b")
+	server, caller := newPeer(t, dir, "a", "a"), newPeer(t, dir, "b", "b")
 	entered := make(chan struct{})
 	peer.Handle(server, nodemsg.KindRowPush, func(ctx context.Context, _ string, _ nodemsg.Row) (nodemsg.Rows, error) {
 		close(entered)
@@ -101,13 +102,13 @@
 	})
 	is.NoErr(server.Serve())
 	caller.Block(func(string) bool { return true })
-	_, err := ask(caller, server.Addr(), 1)
+	_, err := call(caller, server.Addr(), 1)
 	is.True(!fault.From(err).MayHaveRun)
 	caller.Block(nil)
 	go func() {
 		<-entered
 		_ = server.Close()
 	}()
-	_, err = ask(caller, server.Addr(), 1)
+	_, err = call(caller, server.Addr(), 1)
 	is.True(fault.From(err).MayHaveRun)
 }
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -12,13 +12,14 @@
 	"tackbeam.example/tackbeam/internal/wire"
 )
 
-// Prefix is the prefix of the table's keys in the store.
+// Prefix is the prefix of the keys of rows in the store.
 const Prefix = "table/"
 
-// keptEdits bounds the history that a row carries with it.
-const keptEdits = 32
+// maxHistory is the maximum number of edits stored with a row.
+const maxHistory = 32
 
-// Edit is one change of one cell.
+// Edit records a change of one cell. WriteID identifies the write, so that a writer
+// can recognize its own write after an error.
 type Edit struct {
 	Column  string    `cbor:"1,keyasint" json:"column"`
 	Old     string    `cbor:"2,keyasint" json:"old"`
@@ -28,8 +29,8 @@
 	WriteID string    `cbor:"6,keyasint" json:"-"`
 }
 
-// stored is a row as the store keeps it.
-type stored struct {
+// storedRow is the encoding of a row in the store.
+type storedRow struct {
 	Cells   map[string]string `cbor:"1,keyasint"`
 	History []Edit            `cbor:"2,keyasint,omitempty"`
 }
@@ -43,7 +44,7 @@
 	History []Edit            `json:"history,omitempty"`
 }
 
-// Cell returns the value in force in a column: the cell, or the column's default.
+// Cell returns the effective value of a column: the cell, or the column's default.
 func (rw Row) Cell(cl column.Column) string {
 	if value := rw.Cells[cl.Name()]; value != "" {
 		return value
@@ -53,10 +54,10 @@
 
 var rowName = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// Key returns the store's key of a row, or an error for a name that is not allowed.
+// Key returns the key of a row in the store, or an error for an invalid kind or name.
 func Key(kd column.Kind, name string) (string, error) {
 	if column.Of(kd) == nil {
-		return "", fault.New(fault.UnknownRow, "%s: no such kind of row; use workspace or workload", kd)
+		return "", fault.New(fault.UnknownRow, "unknown kind of row %s; use workspace or workload", kd)
 	}
 	if !rowName.MatchString(name) {
 		return "", fault.New(fault.BadRequest,
@@ -65,21 +66,21 @@
 	return Prefix + string(kd) + "/" + name, nil
 }
 
-// splitKey reads the kind and the name out of a key.
+// splitKey returns the kind and the name of the row with a key.
 func splitKey(key string) (column.Kind, string, bool) {
 	kind, name, ok := strings.Cut(strings.TrimPrefix(key, Prefix), "/")
 	return column.Kind(kind), name, ok && column.Of(column.Kind(kind)) != nil
 }
 
-// decodeRow reads a row; cells that this version does not know are kept as they are.
+// decodeRow decodes a row. Cells of columns that this version does not know are preserved.
 func decodeRow(key string, value []byte, version uint64) (Row, error) {
 	kd, name, ok := splitKey(key)
 	if !ok {
-		return Row{}, errors.Errorf("key %q is not a row's", key)
+		return Row{}, errors.Errorf("key %q is not the key of a row", key)
 	}
-	var so stored
+	var so storedRow
 	if err := wire.Decode(value, &so); err != nil {
-		return Row{}, errors.Wrapf(err, "read row %s", key)
+		return Row{}, errors.Wrapf(err, "decode row %s", key)
 	}
 	if so.Cells == nil {
 		so.Cells = map[string]string{}
@@ -87,8 +88,8 @@
 	return Row{Kind: kd, Name: name, Version: version, Cells: so.Cells, History: so.History}, nil
 }
 
-// with returns the row with one cell changed and the edit in its history.
-func (rw Row) with(ed Edit) Row {
+// withEdit returns a copy of the row with the edit applied and added to its history.
+func (rw Row) withEdit(ed Edit) Row {
 	cells := map[string]string{}
 	for name, value := range rw.Cells {
 		cells[name] = value
@@ -100,16 +101,16 @@
 	}
 	rw.Cells = cells
 	history := append([]Edit{ed}, rw.History...)
-	rw.History = history[:min(len(history), keptEdits)]
+	rw.History = history[:min(len(history), maxHistory)]
 	return rw
 }
 
 func (rw Row) encode() ([]byte, error) {
-	return wire.Encode(stored{Cells: rw.Cells, History: rw.History})
+	return wire.Encode(storedRow{Cells: rw.Cells, History: rw.History})
 }
 
-// wrote reports whether the history has the write.
-func (rw Row) wrote(id string) bool {
+// hasWrite reports whether the history contains the write.
+func (rw Row) hasWrite(id string) bool {
 	for _, ed := range rw.History {
 		if ed.WriteID == id {
 			return true
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -9,7 +9,7 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// Workspace is a workspace's row in typed form. A nil limit is none.
+// Workspace is the typed row of a workspace. A nil limit means unlimited.
 type Workspace struct {
 	Name         string
 	Weight       float64
@@ -20,7 +20,7 @@
 	Rate         *float64
 }
 
-// Workload is a workload's row in typed form. A deadline of zero is none.
+// Workload is the typed row of a workload. A zero deadline means none.
 type Workload struct {
 	Name       string
 	Class      string
@@ -30,12 +30,12 @@
 	Repeatable bool
 }
 
-// Snapshot is the table in force at one moment. It does not change.
+// Snapshot is an immutable copy of the table at one moment.
 type Snapshot struct {
 	rows       map[string]Row
 	workspaces map[string]Workspace
 	workloads  map[string]Workload
-	newest     uint64
+	maxVersion uint64
 	digest     uint64
 }
 
@@ -60,17 +60,18 @@
 // Workspaces returns the typed rows of all workspaces.
 func (sn *Snapshot) Workspaces() map[string]Workspace { return sn.workspaces }
 
-// MaxVersion returns the highest version of any row.
-func (sn *Snapshot) MaxVersion() uint64 { return sn.newest }
+// MaxVersion returns the highest version of all rows.
+func (sn *Snapshot) MaxVersion() uint64 { return sn.maxVersion }
 
-// Digest returns a number that is equal on two nodes with the same table.
+// Digest returns a hash of the keys and versions of all rows. Nodes with the same
+// table have the same digest.
 func (sn *Snapshot) Digest() uint64 { return sn.digest }
 
-// reader reads the cells of one row in their types. The cells were checked
-// before they were kept, so a cell that cannot be read counts as empty.
-type reader struct{ row Row }
+// cellReader parses the cells of a row. Cells are validated before they are stored,
+// so a cell that cannot be parsed is treated as empty.
+type cellReader struct{ row Row }
 
-func (rd reader) text(name string) string {
+func (rd cellReader) text(name string) string {
 	cl, err := column.Find(rd.row.Kind, name)
 	if err != nil {
 		return ""
@@ -78,7 +79,7 @@
 	return rd.row.Cell(cl)
 }
 
-func (rd reader) number(name string) *float64 {
+func (rd cellReader) float(name string) *float64 {
 	n, err := strconv.ParseFloat(rd.text(name), 64)
 	if err != nil {
 		return nil
@@ -86,7 +87,7 @@
 	return &n
 }
 
-func (rd reader) whole(name string) *int64 {
+func (rd cellReader) integer(name string) *int64 {
 	n, err := strconv.ParseInt(rd.text(name), 10, 64)
 	if err != nil {
 		return nil
@@ -94,7 +95,7 @@
 	return &n
 }
 
-func value[T any](p *T) T {
+func orZero[T any](p *T) T {
 	if p == nil {
 		var zero T
 		return zero
@@ -102,32 +103,32 @@
 	return *p
 }
 
-func workspaceOf(row Row) Workspace {
-	rd := reader{row}
+func newWorkspace(row Row) Workspace {
+	rd := cellReader{row}
 	return Workspace{
 		Name:         row.Name,
-		Weight:       value(rd.number(column.Weight)),
-		Processors:   rd.number(column.Processors),
-		Memory:       rd.whole(column.Memory),
-		Accelerators: rd.whole(column.Accelerators),
-		Running:      rd.whole(column.Running),
-		Rate:         rd.number(column.Rate),
+		Weight:       orZero(rd.float(column.Weight)),
+		Processors:   rd.float(column.Processors),
+		Memory:       rd.integer(column.Memory),
+		Accelerators: rd.integer(column.Accelerators),
+		Running:      rd.integer(column.Running),
+		Rate:         rd.float(column.Rate),
 	}
 }
 
-func workloadOf(row Row) Workload {
+func newWorkload(row Row) Workload {
 	const milliPerCore = 1000
-	rd := reader{row}
+	rd := cellReader{row}
 	return Workload{
 		Name:  row.Name,
 		Class: rd.text(column.Class),
 		Size: size.New(
-			int64(value(rd.number(column.Processors))*milliPerCore),
-			value(rd.whole(column.Memory)),
-			value(rd.whole(column.Accelerators)),
+			int64(orZero(rd.float(column.Processors))*milliPerCore),
+			orZero(rd.integer(column.Memory)),
+			orZero(rd.integer(column.Accelerators)),
 		),
-		Priority:   int(value(rd.whole(column.Priority))),
-		Deadline:   time.Duration(value(rd.number(column.Deadline)) * float64(time.Second)),
+		Priority:   int(orZero(rd.integer(column.Priority))),
+		Deadline:   time.Duration(orZero(rd.float(column.Deadline)) * float64(time.Second)),
 		Repeatable: rd.text(column.Repeatable) == column.Yes,
 	}
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,10 +1,10 @@
-// Package table is the operators' table on one node: it follows the rows in the
-// store, edits them by compare-and-swap, and tells which nodes have an edit in
-// force.
+// Package table maintains a node's copy of the operators' table. It watches the rows
+// in the store, edits them by compare-and-swap, and reports which nodes have
+// activated an edit.
 //
-// Three ways lead an edit to a node: the editing node's push, the watch of the
-// store, and heartbeats that carry a digest of the table. A row is replaced only
-// by one of a higher version, so a late message never reverts a cell.
+// An edit reaches a node in three ways: by a push from the node that made the edit,
+// by the watch on the store, and by heartbeats, which carry a digest of the table. A
+// row is only replaced by a higher version, so a delayed message never reverts a cell.
 package table
 
 import (
@@ -26,44 +26,45 @@
 	"tackbeam.example/tackbeam/internal/storemsg"
 )
 
-// Times of the table's ways.
+// Interval between full reads of the table, and timeout of pushes and catch-ups.
 const (
-	readAgain   = 5 * time.Minute
-	pushTimeout = 2 * time.Second
+	resyncInterval = 5 * time.Minute
+	pushTimeout    = 2 * time.Second
 )
 
-// keptTombs bounds the versions of deleted rows that are remembered.
-const keptTombs = 4096
+// maxTombstones is the maximum number of deleted rows whose versions are kept.
+const maxTombstones = 4096
 
-// Table is one node's copy.
+// Table is a node's copy of the operators' table.
 type Table struct {
 	clock clockwork.Clock
 	log   logr.Logger
 	store *store.Client
 	peer  *peer.Peer
-	// others returns the addresses of the other nodes, by name.
-	others func(context.Context) map[string]string
+	// otherNodes returns the addresses of the other nodes, by name.
+	otherNodes func(context.Context) map[string]string
 
-	current atomic.Pointer[Snapshot]
-	mu      sync.Mutex
-	tombs   map[string]uint64
-	changed chan struct{}
-	subs    []func(*Snapshot)
-	pulling atomic.Bool
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
+	current     atomic.Pointer[Snapshot]
+	mu          sync.Mutex
+	tombstones  map[string]uint64
+	changed     chan struct{}
+	subscribers []func(*Snapshot)
+	pulling     atomic.Bool
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
 }
 
-// New returns an empty table. Others returns the peer addresses of the other nodes.
+// New returns an empty table. The function others returns the peer addresses of the
+// other nodes, by name.
 func New(
 	clock clockwork.Clock, log logr.Logger, cl *store.Client, pr *peer.Peer,
 	others func(context.Context) map[string]string,
 ) *Table {
 	tb := &Table{
-		clock: clock, log: log.WithName("table"), store: cl, peer: pr, others: others,
-		tombs: map[string]uint64{}, changed: make(chan struct{}),
+		clock: clock, log: log.WithName("table"), store: cl, peer: pr, otherNodes: others,
+		tombstones: map[string]uint64{}, changed: make(chan struct{}),
 	}
-	tb.current.Store(build(map[string]Row{}))
+	tb.current.Store(newSnapshot(map[string]Row{}))
 	if pr != nil {
 		peer.Handle(pr, nodemsg.KindRowPush, tb.onPush)
 		peer.Handle(pr, nodemsg.KindRowsSince, tb.onRowsSince)
@@ -71,24 +72,24 @@
 	return tb
 }
 
-// Snapshot returns the table in force now.
+// Snapshot returns the current snapshot.
 func (tb *Table) Snapshot() *Snapshot { return tb.current.Load() }
 
-// Subscribe calls act with each new snapshot, in order.
-func (tb *Table) Subscribe(act func(*Snapshot)) {
+// Subscribe registers a function that is called with each new snapshot, in order.
+func (tb *Table) Subscribe(notify func(*Snapshot)) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	tb.subs = append(tb.subs, act)
+	tb.subscribers = append(tb.subscribers, notify)
 }
 
-// Start reads the table and begins to follow it. A store that does not answer
-// does not hold the start up.
+// Start reads the table and starts to watch it. An unavailable store does not
+// prevent the start.
 func (tb *Table) Start(ctx context.Context) error {
 	run, cancel := context.WithCancel(context.Background())
 	tb.cancel = cancel
 	items, revision, err := tb.store.List(ctx, store.Table, Prefix)
 	if err != nil {
-		tb.log.Error(err, "Table cannot be read yet.")
+		tb.log.Error(err, "Initial read of the table failed.")
 	} else {
 		tb.applyAll(items, revision)
 	}
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// Stop ends the following.
+// Stop stops watching the table and waits until the watch has ended.
 func (tb *Table) Stop(context.Context) error {
 	if tb.cancel != nil {
 		tb.cancel()
@@ -107,16 +108,16 @@
 	return nil
 }
 
-// follow brings the rows of the store into force, until the context ends.
+// follow applies the changes of the rows in the store until the context ends.
 func (tb *Table) follow(ctx context.Context) {
 	tb.store.Follow(ctx, store.Following{
-		Prefix: Prefix, Class: store.Table, Again: readAgain,
+		Prefix: Prefix, Class: store.Table, Again: resyncInterval,
 		All: tb.applyAll, Changed: tb.applyItems,
 	})
 }
 
-// applyAll takes all rows into force. Rows that are not among them are deleted,
-// unless they came after the reading.
+// applyAll applies a full read of the table at a revision. Rows that are missing
+// from it are deleted, unless their version is newer than the revision.
 func (tb *Table) applyAll(items []storemsg.Item, revision uint64) {
 	present := map[string]bool{}
 	for _, item := range items {
@@ -140,7 +141,8 @@
 	tb.apply(rows)
 }
 
-// apply takes rows of higher versions into force.
+// apply applies the rows whose versions are higher than the current ones, and
+// notifies the subscribers if anything changed.
 func (tb *Table) apply(rows []nodemsg.Row) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -156,55 +158,55 @@
 	if !changed {
 		return
 	}
-	sn := build(next)
+	sn := newSnapshot(next)
 	tb.current.Store(sn)
 	close(tb.changed)
 	tb.changed = make(chan struct{})
-	for _, act := range tb.subs {
-		act(sn)
+	for _, notify := range tb.subscribers {
+		notify(sn)
 	}
 }
 
 func (tb *Table) applyRow(rows map[string]Row, rw nodemsg.Row) bool {
-	if rw.Version <= rows[rw.Key].Version || rw.Version <= tb.tombs[rw.Key] {
+	if rw.Version <= rows[rw.Key].Version || rw.Version <= tb.tombstones[rw.Key] {
 		return false
 	}
 	if rw.Deleted {
 		_, had := rows[rw.Key]
 		delete(rows, rw.Key)
-		if len(tb.tombs) >= keptTombs {
-			tb.tombs = map[string]uint64{} // the watch and the next full read still hold
+		if len(tb.tombstones) >= maxTombstones {
+			tb.tombstones = map[string]uint64{} // the watch and the next full read still delete the rows
 		}
-		tb.tombs[rw.Key] = rw.Version
+		tb.tombstones[rw.Key] = rw.Version
 		return had
 	}
 	row, err := decodeRow(rw.Key, rw.Value, rw.Version)
 	if err != nil {
-		tb.log.Error(err, "Row cannot be read and stays as it was.", "key", rw.Key)
+		tb.log.Error(err, "Row cannot be decoded; keeping its previous version.", "key", rw.Key)
 		return false
 	}
 	rows[rw.Key] = row
 	return true
 }
 
-// build makes the typed forms of all rows.
-func build(rows map[string]Row) *Snapshot {
+// newSnapshot returns a snapshot with the typed forms of all rows.
+func newSnapshot(rows map[string]Row) *Snapshot {
 	sn := &Snapshot{
 		rows: rows, workspaces: map[string]Workspace{}, workloads: map[string]Workload{},
 	}
 	for key, row := range rows {
-		sn.newest = max(sn.newest, row.Version)
+		sn.maxVersion = max(sn.maxVersion, row.Version)
 		sn.digest ^= xxhash.Sum64String(key + "@" + strconv.FormatUint(row.Version, 10))
 		if row.Kind == column.Workspace {
-			sn.workspaces[row.Name] = workspaceOf(row)
+			sn.workspaces[row.Name] = newWorkspace(row)
 		} else {
-			sn.workloads[row.Name] = workloadOf(row)
+			sn.workloads[row.Name] = newWorkload(row)
 		}
 	}
 	return sn
 }
 
-// Rows returns all rows, workspaces before workloads, by name.
+// Rows returns all rows, workspaces before workloads, sorted by name.
 func (tb *Table) Rows() []Row {
 	sn := tb.Snapshot()
 	rows := make([]Row, 0, len(sn.rows))
@@ -220,7 +222,8 @@
 	return rows
 }
 
-// Changes waits until a row has a version above after and returns those rows.
+// Changes returns the rows with versions higher than after. It waits for one until
+// the context ends.
 func (tb *Table) Changes(ctx context.Context, after uint64) []Row {
 	for {
 		tb.mu.Lock()
@@ -243,7 +246,8 @@
 	}
 }
 
-// CatchUp asks the node at the address for the rows this one lacks.
+// CatchUp fetches the rows of the node at the address in the background and applies
+// the newer ones.
 func (tb *Table) CatchUp(addr string) {
 	if !tb.pulling.CompareAndSwap(false, true) {
 		return
@@ -255,7 +259,7 @@
 		got, err := peer.Call[nodemsg.RowsSince, nodemsg.Rows](
 			ctx, tb.peer, addr, nodemsg.KindRowsSince, nodemsg.RowsSince{})
 		if err != nil {
-			tb.log.V(1).Info("Rows of another node cannot be read yet.", "cause", err.Error())
+			tb.log.V(1).Info("Rows of another node could not be fetched.", "cause", err.Error())
 			return
 		}
 		tb.apply(got.Rows)
@@ -276,7 +280,7 @@
 	}
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	for key, version := range tb.tombs {
+	for key, version := range tb.tombstones {
 		res.Rows = append(res.Rows, nodemsg.Row{Key: key, Version: version, Deleted: true})
 	}
 	return res, nil
@@ -286,5 +290,5 @@
 	tb.apply([]nodemsg.Row{rw})
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	return nodemsg.RowState{Version: max(tb.Snapshot().rows[rw.Key].Version, tb.tombs[rw.Key])}, nil
+	return nodemsg.RowState{Version: max(tb.Snapshot().rows[rw.Key].Version, tb.tombstones[rw.Key])}, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire encodes the messages between the system's processes. The codec is
-// CBOR from a library; this package sets the limits under which it reads.
+// Package wire encodes and decodes the messages between processes as CBOR, and
+// limits the size and structure of decoded messages.
 package wire
 
 import (
@@ -11,10 +11,10 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// MaxMessage is the largest message in bytes that is sent or read.
+// MaxMessage is the maximum size of an encoded message in bytes.
 const MaxMessage = 1 << 20
 
-// Limits on what one message may hold, against hostile or broken senders.
+// Limits on the structure of a message, against malicious or faulty senders.
 const (
 	maxElements = 1 << 17
 	maxNesting  = 16
@@ -28,7 +28,7 @@
 func mustEncoder() cbor.EncMode {
 	mode, err := cbor.EncOptions{
 		Sort: cbor.SortBytewiseLexical,
-		Time: cbor.TimeUnixMicro, // the default cuts times to whole seconds
+		Time: cbor.TimeUnixMicro, // the default truncates times to whole seconds
 	}.EncMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -50,7 +50,7 @@
 	return mode
 }
 
-// Encode returns the message in bytes, or an error where it is over MaxMessage.
+// Encode encodes a message. It returns an error if the result is larger than MaxMessage.
 func Encode(msg any) ([]byte, error) {
 	raw, err := encoder.Marshal(msg)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return raw, nil
 }
 
-// Decode reads one message from raw into msg.
+// Decode decodes a message from raw into msg.
 func Decode(raw []byte, msg any) error {
 	if len(raw) > MaxMessage {
 		return fault.New(fault.TooLarge, "message of %d bytes is over %d", len(raw), MaxMessage)
@@ -70,7 +70,7 @@
 	return errors.Wrap(decoder.Unmarshal(raw, msg), "decode message")
 }
 
-// ReadAll reads one message from a stream that ends with it.
+// ReadAll reads a message that ends with the stream.
 func ReadAll(from io.Reader) ([]byte, error) {
 	raw, err := io.ReadAll(io.LimitReader(from, MaxMessage+1))
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,9 +12,9 @@
 	"tackbeam.example/tackbeam/internal/wire"
 )
 
-// TestTimesKeepTheirParts sends times over the wire. Cut to whole seconds, a
-// deadline comes early and the order of jobs is lost.
-func TestTimesKeepTheirParts(t *testing.T) {
+// TestTimePrecision checks that times keep their fractions of a second. Truncated to
+// whole seconds, deadlines expire early and the order of jobs is lost.
+func TestTimePrecision(t *testing.T) {
 	is := is.New(t)
 	sent := nodemsg.JobView{Submitted: time.Unix(1700000000, 123456000)}
 	raw, err := wire.Encode(sent)
@@ -22,7 +22,7 @@
 	var got nodemsg.JobView
 	is.NoErr(wire.Decode(raw, &got))
 	is.True(got.Submitted.Sub(sent.Submitted).Abs() < time.Microsecond)
-	is.True(got.Ended.IsZero()) // no time stays no time
+	is.True(got.Ended.IsZero()) // the zero time is preserved
 }
 
 func TestTooLarge(t *testing.T) {
@@ -33,8 +33,8 @@
 	is.True(fault.Is(err, fault.TooLarge))
 }
 
-// FuzzDecode feeds any bytes to the decoder of the messages between nodes. It
-// may refuse them, but must not panic or take more memory than their size allows.
+// FuzzDecode checks that the decoder may reject arbitrary input, but does not panic
+// or allocate more memory than the size of the input justifies.
 func FuzzDecode(f *testing.F) {
 	seed, err := wire.Encode(nodemsg.Hold{ID: "j.1.0", Tasks: []string{"j.1.0"}})
 	if err != nil {
@@ -50,7 +50,7 @@
 			return
 		}
 		if _, err := wire.Encode(hd); err != nil {
-			t.Errorf("decoded, but cannot be encoded: %v", err)
+			t.Errorf("decoded message cannot be encoded: %v", err)
 		}
 	})
 }
