--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -17,9 +17,9 @@
 	HeaderWorkspace = "Tackbeam-Workspace"
 	// HeaderTimeout is the caller's timeout in seconds, such as 2.5.
 	HeaderTimeout = "Request-Timeout"
-	// HeaderKey is the idempotency key: jobs submitted again with the same key are not
+	// HeaderIdempotencyKey is the idempotency key: jobs submitted again with the same key are not
 	// started twice.
-	HeaderKey = "Idempotency-Key"
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderOperator names the operator that edits the table.
 	HeaderOperator = "Tackbeam-Operator"
 	// HeaderWorker names the worker that ran a lookup.
--- a/internal/cli/cmd_submit.go
+++ b/internal/cli/cmd_submit.go
@@ -50,7 +50,7 @@
 	vw, err := client.Send[api.Job](cm.env.client(), client.Request{
 		Method: http.MethodPost, Path: api.PathJobs,
 		Query:   map[string]string{"wait": strconv.FormatFloat(cm.Wait, 'f', -1, 64)},
-		Headers: map[string]string{api.HeaderKey: cm.Key},
+		Headers: map[string]string{api.HeaderIdempotencyKey: cm.Key},
 		Wait:    time.Duration(cm.Wait * float64(time.Second)),
 	}, api.JobRequest{
 		Workload: cm.Args.Workload, Workspace: cm.Workspace, Tasks: cm.Tasks,
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -5,26 +5,26 @@
 	"testing"
 )
 
-// BenchmarkLookup sends lookups through one node, at several numbers of workers,
-// stand-ins and client in the same process.
+// BenchmarkLookup measures lookups through one node with several numbers of workers.
+// Simulated workers and the client run in the same process.
 func BenchmarkLookup(b *testing.B) {
 	for _, count := range []int{7, 139} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			bd := newBed(b, count, "n1")
+			bd := newTestbed(b, count, "n1")
 			cl := bd.api("n1")
 			setCells(b, cl, "workspace/brno weight 1", "workload/lookup class service")
 			for b.Loop() {
-				if own, err := ask(cl, "brake pad"); err != nil || !own {
-					b.Fatal(own, err)
+				if matches, err := sendLookup(cl, "brake pad"); err != nil || !matches {
+					b.Fatal(matches, err)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkJob submits jobs and waits for their ends, many at once.
+// BenchmarkJob measures concurrent jobs from submission to end.
 func BenchmarkJob(b *testing.B) {
-	bd := newBed(b, 20, "n1")
+	bd := newTestbed(b, 20, "n1")
 	cl := bd.api("n1")
 	setCells(b, cl, "workspace/brno weight 1", "workload/push class batch")
 	b.RunParallel(func(pb *testing.PB) {
--- a/internal/daemon/checkpoint_test.go
+++ b/internal/daemon/checkpoint_test.go
@@ -10,24 +10,25 @@
 	"tackbeam.example/tackbeam/internal/standin/standinworker"
 )
 
-// TestCheckpoint ends an attempt of a repeatable job after a checkpoint. The next
-// attempt goes on from what was saved, every task of it, and does not begin anew.
-func TestCheckpoint(t *testing.T) {
+// TestResumeFromCheckpoint interrupts an attempt of a repeatable job after a
+// checkpoint. All tasks of the next attempt must resume from the checkpoint instead
+// of starting from the beginning.
+func TestResumeFromCheckpoint(t *testing.T) {
 	cases := map[string]struct {
-		workload string
-		tasks    int
-		begun    int
-		end      func(bd *bed, worker string)
+		workload  string
+		tasks     int
+		starts    int
+		interrupt func(bd *testbed, worker string)
 	}{
-		"a gang loses a worker": {"rebuild", 3, 6, func(bd *bed, worker string) {
+		"a gang loses a worker": {"rebuild", 3, 6, func(bd *testbed, worker string) {
 			for _, wk := range bd.workers.Workers() {
 				if wk.Options().Name == worker {
 					_ = wk.Close()
 				}
 			}
 		}},
-		"a task gives way to an urgent one": {"push", 1, 2, func(bd *bed, _ string) {
-			for range 4 { // one of them takes the task's worker
+		"a task is preempted by an urgent one": {"push", 1, 2, func(bd *testbed, _ string) {
+			for range 4 { // one of them preempts the task
 				_, err := submitJob(bd.api("n1"), "urgent", "urgent", 1, 0.1, 0)
 				must(bd.t, err)
 			}
@@ -36,33 +37,33 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			bd := newBed(t, 4, "n1")
+			bd := newTestbed(t, 4, "n1")
 			cl := bd.api("n1")
-			fill(t, cl)
+			setTable(t, cl)
 			setCells(t, cl, "workload/rebuild class gang", "workload/rebuild processors 64", "workload/rebuild repeatable yes")
 			vw, err := submitJob(cl, tc.workload, "job", tc.tasks, 2, 0)
 			is.NoErr(err)
 			path := api.PathJobs + "/" + vw.ID
-			bd.eventually("work was saved", func() bool {
+			bd.eventually("a checkpoint is saved", func() bool {
 				vw, err = client.JSON[api.Job](cl, client.Request{Method: "GET", Path: path})
 				return err == nil && vw.Saved > 0
 			})
-			tc.end(bd, vw.Tasks[0].Worker)
-			vw = bd.ended(vw.ID)
+			tc.interrupt(bd, vw.Tasks[0].Worker)
+			vw = bd.waitJob(vw.ID)
 			is.Equal(vw.Answer, "ran")
 			is.Equal(vw.Result, "ok")
-			begun, resumed := 0, 0
-			for _, rc := range inOrder(bd) {
+			starts, resumed := 0, 0
+			for _, rc := range sortedRecords(bd) {
 				if rc.Mark != "job" || rc.Event != standinworker.EventBegin {
 					continue
 				}
-				begun++
+				starts++
 				if rc.Resume > 0 {
 					resumed++
 				}
 			}
-			is.Equal(begun, tc.begun)
-			is.Equal(resumed, tc.begun/2) // all of the second attempt
+			is.Equal(starts, tc.starts)
+			is.Equal(resumed, tc.starts/2) // all tasks of the second attempt
 		})
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,4 @@
-// Package daemon assembles the services of one node and runs them from the
-// first to the last.
+// Package daemon assembles the services of a node and runs them.
 package daemon
 
 import (
@@ -23,10 +22,10 @@
 	"tackbeam.example/tackbeam/internal/table"
 )
 
-// stopTimeout bounds the last step of a stop, after the drain.
+// stopTimeout limits the time for stopping the services, after the drain.
 const stopTimeout = 10 * time.Second
 
-// Daemon is one node.
+// Daemon runs a node.
 type Daemon struct {
 	settings *settings.Settings
 	clock    clockwork.Clock
@@ -45,7 +44,7 @@
 	meter  *meter.Meter
 }
 
-// New assembles a node from checked settings.
+// New assembles a node from validated settings.
 func New(st *settings.Settings, clock clockwork.Clock, log logr.Logger) (*Daemon, error) {
 	dm := &Daemon{
 		settings: st, clock: clock, log: log.WithValues("node", st.Node),
@@ -60,7 +59,7 @@
 	return dm, dm.find()
 }
 
-// find looks up the services that the daemon itself speaks to.
+// find looks up the services that the daemon itself uses.
 func (dm *Daemon) find() error {
 	fd := dm.kernel.Finder()
 	kernel.Find(fd, nameMember, &dm.member)
@@ -74,7 +73,7 @@
 	return fd.Err()
 }
 
-// Start starts the services.
+// Start starts the services in order.
 func (dm *Daemon) Start(ctx context.Context) error {
 	if err := dm.kernel.Start(ctx); err != nil {
 		return err
@@ -83,23 +82,23 @@
 	return nil
 }
 
-// HTTPAddr returns the address for callers and operators.
+// HTTPAddr returns the address of the HTTP API.
 func (dm *Daemon) HTTPAddr() string { return dm.front.Addr() }
 
-// FreeSlots returns the free slots of the workers that this node owns.
+// FreeSlots returns the number of free slots on the workers that this node owns.
 func (dm *Daemon) FreeSlots() int {
-	room, _ := dm.owner.Room()
-	return room.FreeSlots
+	summary, _ := dm.owner.Room()
+	return summary.FreeSlots
 }
 
-// Peer returns the node's links to other nodes, for tests that cut them.
+// Peer returns the node's connections to other nodes, for tests that block them.
 func (dm *Daemon) Peer() *peer.Peer { return dm.peer }
 
-// Drain asks the node to stop as planned; Run returns then.
+// Drain starts a graceful stop, after which Run returns.
 func (dm *Daemon) Drain() { dm.once.Do(func() { close(dm.drain) }) }
 
-// Run starts the node, tells ready its addresses, and stops it, as planned, when
-// the context ends or a drain is asked for.
+// Run starts the node, calls ready with its addresses, and stops it gracefully when
+// the context ends or Drain is called.
 func (dm *Daemon) Run(ctx context.Context, ready func(callers, nodes string)) error {
 	if err := dm.Start(ctx); err != nil {
 		return err
@@ -112,56 +111,59 @@
 	return dm.Stop()
 }
 
-// Stop hands everything over, waits for what is in flight, and ends. What the
-// drain time does not suffice for is named in the error.
+// Stop hands the node's records and workers over to other nodes, waits for requests
+// and lookups in flight, and stops the services. If the drain timeout expires first,
+// the error says how many are left.
 func (dm *Daemon) Stop() error {
 	dm.log.Info("Node is stopping.")
 	ctx, cancel := context.WithTimeout(context.Background(), dm.settings.Limits.Drain)
 	defer cancel()
 	dm.front.Drain()
 	if err := dm.member.MarkLeaving(ctx); err != nil {
-		dm.log.Error(err, "Node could not say that it leaves.")
+		dm.log.Error(err, "Marking the node as leaving failed.")
 	}
-	left := dm.settle(ctx)
+	drainErr := dm.awaitDrained(ctx)
 	if err := dm.member.Leave(ctx); err != nil {
-		dm.log.Error(err, "Node could not leave the map; others will take it out.")
+		dm.log.Error(err, "Leaving the cluster map failed; other nodes will remove this node.")
 	}
 	stop, cancelStop := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancelStop()
 	dm.kernel.Stop(stop)
 	dm.log.Info("Node has stopped.")
-	return left
+	return drainErr
 }
 
-// settle waits until nothing is in flight and the other nodes have taken over
-// what this one had.
-func (dm *Daemon) settle(ctx context.Context) error {
+// awaitDrained waits until nothing is in flight and the other nodes have taken over
+// the records of this one, and at least for the unready time, in which the load
+// balancer notices that the node is not ready.
+func (dm *Daemon) awaitDrained(ctx context.Context) error {
 	const pause = 20 * time.Millisecond
 	until := dm.clock.Now().Add(dm.settings.Limits.Unready)
 	for {
-		busy := dm.front.InFlight() > 0 || dm.owner.Busy() > 0 || dm.mustHand()
+		busy := dm.front.InFlight() > 0 || dm.owner.Busy() > 0 || dm.handoverPending()
 		if !busy && !dm.clock.Now().Before(until) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("drain time is over with %d requests and %d lookups in flight",
+			return errors.Errorf("drain timeout expired with %d requests and %d lookups in flight",
 				dm.front.InFlight(), dm.owner.Busy())
 		case <-dm.clock.After(pause):
 		}
 	}
 }
 
-// mustHand reports whether another node still has to take records from this one.
-func (dm *Daemon) mustHand() bool {
+// handoverPending reports whether another node still has to take over records from
+// this node's journal.
+func (dm *Daemon) handoverPending() bool {
 	mp := dm.member.Map()
 	if len(mp.Active()) == 0 {
 		return false
 	}
-	log := dm.member.Node().JournalName()
+	journal := dm.member.Node().JournalName()
 	for _, hm := range mp.Homes {
 		for _, former := range hm.Former {
-			if former == log {
+			if former == journal {
 				return true
 			}
 		}
--- a/internal/daemon/info.go
+++ b/internal/daemon/info.go
@@ -2,23 +2,23 @@
 
 import "tackbeam.example/tackbeam/internal/nodemsg"
 
-// The states of a node as operators see them.
+// The states of a node in the operators' view.
 const (
-	stateActive  = "active"
-	stateLeaving = "leaving"
-	stateOut     = "not a member"
+	stateActive    = "active"
+	stateLeaving   = "leaving"
+	stateNotMember = "not a member"
 )
 
-// fillBeat completes a heartbeat with what the services know.
-func (dm *Daemon) fillBeat(bt *nodemsg.Beat) {
+// fillHeartbeat adds the state of the services to a heartbeat.
+func (dm *Daemon) fillHeartbeat(hb *nodemsg.Beat) {
 	if dm.meter == nil {
 		return // the node is still being assembled
 	}
-	bt.Room, bt.Waiting = dm.owner.Room()
-	bt.Digest = dm.table.Snapshot().Digest()
+	hb.Room, hb.Waiting = dm.owner.Room()
+	hb.Digest = dm.table.Snapshot().Digest()
 }
 
-// info describes this node to operators.
+// info returns the description of this node for operators.
 func (dm *Daemon) info() nodemsg.NodeInfo {
 	mp, nd := dm.member.Map(), dm.member.Node()
 	info := nodemsg.NodeInfo{
@@ -28,7 +28,7 @@
 	}
 	switch {
 	case !mp.Has(nd):
-		info.State = stateOut
+		info.State = stateNotMember
 	case dm.member.Draining():
 		info.State = stateLeaving
 	}
@@ -48,7 +48,7 @@
 	return info
 }
 
-// control returns what this node has spent on control.
+// control returns the resources, store calls and traffic that this node has used.
 func (dm *Daemon) control() nodemsg.Control {
 	var ct nodemsg.Control
 	cost := dm.meter.Usage(dm.clock.Now())
@@ -59,14 +59,15 @@
 	return ct
 }
 
-// notReady returns why the balancer should send nothing here, or nothing.
+// notReady returns the reasons why the load balancer should not send requests to
+// this node, or none.
 func (dm *Daemon) notReady() []string {
-	var why []string
+	var reasons []string
 	if !dm.member.Map().Has(dm.member.Node()) {
-		why = append(why, "the node is not a member yet")
+		reasons = append(reasons, "the node is not a member yet")
 	}
 	if dm.member.Draining() {
-		why = append(why, "the node is leaving")
+		reasons = append(reasons, "the node is leaving")
 	}
-	return why
+	return reasons
 }
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -13,13 +13,13 @@
 	"tackbeam.example/tackbeam/internal/trace"
 )
 
-// TestLoad runs the load client against two nodes. Every request has its answer,
-// and an answer that is not the expected one is found.
+// TestLoad runs the load generator against two nodes. Every request must get a
+// response, and unexpected responses must be detected.
 func TestLoad(t *testing.T) {
-	bd := newBed(t, 4, "n1", "n2")
+	bd := newTestbed(t, 4, "n1", "n2")
 	cls := []*client.Client{bd.api("n1"), bd.api("n2")}
 	setCells(t, cls[0], "workspace/brno weight 1", "workload/lookup class service", "workload/push class batch")
-	usual := load.Options{
+	defaults := load.Options{
 		Lookups: 100, Jobs: 10, Span: time.Second, Workspaces: []string{"brno"}, Service: "lookup", Batch: "push",
 		Run: 10 * time.Millisecond, Most: 1000, JobWait: time.Minute, Expect: standinworker.Reply,
 	}
@@ -29,17 +29,17 @@
 		unsent bool
 		errors bool
 	}{
-		"all right":         {func(*load.Options) {}, false, false, false},
+		"expected answers":  {func(*load.Options) {}, false, false, false},
 		"a wrong answer":    {func(op *load.Options) { op.Expect = func([]byte) []byte { return nil } }, true, false, false},
-		"too many at once":  {func(op *load.Options) { op.Most, op.Jobs, op.Run = 1, 50, 300*time.Millisecond }, false, true, false},
+		"over concurrency":  {func(op *load.Options) { op.Most, op.Jobs, op.Run = 1, 50, 300*time.Millisecond }, false, true, false},
 		"no such workspace": {func(op *load.Options) { op.Workspaces = []string{"zlin"} }, false, false, true},
 	}
 	seed := uint64(0)
 	for name, tc := range cases {
-		seed++ // keys are made from it
+		seed++ // idempotency keys are derived from the seed
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			op := usual
+			op := defaults
 			op.Seed = seed
 			tc.change(&op)
 			ld, err := load.New(clockwork.NewRealClock(), cls, op)
@@ -55,10 +55,10 @@
 	}
 }
 
-// TestLoadFromTrace sends the jobs and lookups of a workload trace.
+// TestLoadFromTrace replays the jobs and lookups of a workload trace.
 func TestLoadFromTrace(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 4, "n1")
+	bd := newTestbed(t, 4, "n1")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1", "workload/lookup class service", "workload/push class batch")
 	tr := trace.New(trace.Header{Name: "small"}, []trace.Event{
 		{Job: &trace.Job{ID: "a", Workspace: "brno", Workload: "push", Tasks: 1, Run: time.Millisecond}},
--- a/internal/daemon/lookup_test.go
+++ b/internal/daemon/lookup_test.go
@@ -18,8 +18,9 @@
 	"tackbeam.example/tackbeam/internal/standin/standinworker"
 )
 
-// ask sends one lookup and reports whether the answer is whole and its own.
-func ask(cl *client.Client, body string) (own bool, err error) {
+// sendLookup sends a lookup and reports whether the response is complete and belongs
+// to the request.
+func sendLookup(cl *client.Client, body string) (matches bool, err error) {
 	rsp, err := cl.Do(client.Request{
 		Method: "POST", Path: "/v1/lookups/lookup", Body: []byte(body),
 		Headers: map[string]string{api.HeaderWorkspace: "brno"},
@@ -34,23 +35,24 @@
 	return st.Report.Counters
 }
 
-// TestAnswers lets the workers answer late, out of order, in part, twice, and to
-// nobody, side by side. Only whole answers to the caller's own request arrive.
-func TestAnswers(t *testing.T) {
+// TestFaultyAnswers runs concurrent lookups on workers that answer late, out of order,
+// partially, twice, or requests that were never sent. Callers must only receive
+// complete answers to their own requests.
+func TestFaultyAnswers(t *testing.T) {
 	cases := map[string]struct {
 		faults  standinworker.Faults
 		answers bool
 		counter string
 	}{
 		"in order":         {standinworker.Faults{}, true, ""},
-		"overtaking":       {standinworker.Faults{LookupDelay: 20 * time.Millisecond}, true, ""},
+		"out of order":     {standinworker.Faults{LookupDelay: 20 * time.Millisecond}, true, ""},
 		"foreign answers":  {standinworker.Faults{Foreign: true}, true, owner.CounterLate},
-		"twice":            {standinworker.Faults{Twice: true}, true, owner.CounterLate},
-		"cut short":        {standinworker.Faults{CutShort: true}, false, owner.CounterShort},
-		"all of it":        {standinworker.Faults{CutShort: true, Twice: true, Foreign: true, LookupDelay: time.Millisecond}, false, owner.CounterShort},
-		"fails everything": {standinworker.Faults{FailAll: true}, false, "errors_" + string(fault.Endpoint)},
+		"duplicates":       {standinworker.Faults{Twice: true}, true, owner.CounterLate},
+		"truncated":        {standinworker.Faults{CutShort: true}, false, owner.CounterShort},
+		"all faults":       {standinworker.Faults{CutShort: true, Twice: true, Foreign: true, LookupDelay: time.Millisecond}, false, owner.CounterShort},
+		"fails everything": {standinworker.Faults{FailAll: true}, false, "errors_" + string(fault.EndpointFailed)},
 	}
-	bd := newBed(t, 4, "n1", "n2")
+	bd := newTestbed(t, 4, "n1", "n2")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1", "workload/lookup class service")
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -65,58 +67,59 @@
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					own, err := ask(bd.api([]string{"n1", "n2"}[i%2]), fmt.Sprintf("%s %d", name, i))
+					matches, err := sendLookup(bd.api([]string{"n1", "n2"}[i%2]), fmt.Sprintf("%s %d", name, i))
 					if err == nil {
 						answered.Add(1)
 					}
-					if err == nil && !own {
+					if err == nil && !matches {
 						wrong.Add(1)
 					}
 				}()
 			}
 			wg.Wait()
-			is.Equal(wrong.Load(), int64(0)) // no wrong answer ever arrives
+			is.Equal(wrong.Load(), int64(0)) // no caller receives a wrong answer
 			is.Equal(answered.Load() == 40, tc.answers)
 			is.Equal(answered.Load() == 0, !tc.answers)
 			after := counters(t, bd.api("n1"))[tc.counter] + counters(t, bd.api("n2"))[tc.counter]
-			is.Equal(after > before, tc.counter != "") // what was dropped is counted
+			is.Equal(after > before, tc.counter != "") // dropped answers are counted
 		})
 	}
 }
 
-// TestLateAnswer gives up on a lookup before its answer. The slot stays taken
-// until the worker has answered, and the late answer goes to nobody.
-func TestLateAnswer(t *testing.T) {
+// TestAnswerAfterTimeout lets lookups time out before their answers. A slot must stay
+// in use until the worker has answered, and the late answer must be dropped.
+func TestAnswerAfterTimeout(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 1, "n1")
+	bd := newTestbed(t, 1, "n1")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1", "workload/lookup class service", "workload/lookup repeatable yes")
 	bd.workers.Workers()[0].SetFaults(standinworker.Faults{LookupDelay: 600 * time.Millisecond})
-	short := client.New(200*time.Millisecond, bd.nodes["n1"].HTTPAddr())
+	impatient := client.New(200*time.Millisecond, bd.nodes["n1"].HTTPAddr())
 	late := 0
-	for range 4 { // every second one is slow
-		_, err := ask(short, "brake pad")
+	for range 4 { // every second lookup is delayed
+		_, err := sendLookup(impatient, "brake pad")
 		if fault.Is(err, fault.Timeout) {
 			late++
 		}
 	}
 	is.Equal(late, 2)
-	is.True(bd.nodes["n1"].FreeSlots() < 8) // the worker is still at work
-	bd.eventually("the late answers came and were dropped", func() bool {
+	is.True(bd.nodes["n1"].FreeSlots() < 8) // the worker is still running the lookups
+	bd.eventually("the late answers have freed their slots", func() bool {
 		return bd.nodes["n1"].FreeSlots() == 8
 	})
 	is.Equal(counters(t, bd.api("n1"))[owner.CounterLate], int64(2))
 }
 
-// TestFullIsSaidAtOnce sends more lookups than there are slots and room in the
-// deadline: the rest is refused as not run, with a hint when to come back.
-func TestFullIsSaidAtOnce(t *testing.T) {
+// TestLookupOverload sends more lookups than the slots can run within the deadline.
+// Lookups that do not fit must be refused with Full as not run, and none may fail in
+// another way than by Full or a timeout.
+func TestLookupOverload(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 1, "n1")
+	bd := newTestbed(t, 1, "n1")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1", "workload/lookup class service")
 	bd.workers.Workers()[0].SetFaults(standinworker.Faults{LookupDelay: 300 * time.Millisecond})
 	cl := client.New(400*time.Millisecond, bd.nodes["n1"].HTTPAddr())
 	for range 8 {
-		_, err := ask(client.New(5*time.Second, bd.nodes["n1"].HTTPAddr()), "warm up")
+		_, err := sendLookup(client.New(5*time.Second, bd.nodes["n1"].HTTPAddr()), "warm up")
 		is.NoErr(err)
 	}
 	var wg sync.WaitGroup
@@ -125,7 +128,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_, err := ask(cl, fmt.Sprint("crowd ", i))
+			_, err := sendLookup(cl, fmt.Sprint("crowd ", i))
 			switch {
 			case fault.Is(err, fault.Full) && !fault.From(err).MayHaveRun:
 				full.Add(1)
@@ -136,16 +139,16 @@
 	}
 	wg.Wait()
 	is.True(full.Load() > 0)
-	is.Equal(other.Load(), int64(0)) // answered, refused or late: nothing else
+	is.Equal(other.Load(), int64(0)) // only success, Full or Timeout
 }
 
-// TestHistograms shows the latencies by class and workspace.
+// TestHistograms checks the latency histogram of a class and workspace.
 func TestHistograms(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 1, "n1")
+	bd := newTestbed(t, 1, "n1")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1", "workload/lookup class service")
 	for range 5 {
-		_, err := ask(bd.api("n1"), "x")
+		_, err := sendLookup(bd.api("n1"), "x")
 		is.NoErr(err)
 	}
 	st, err := client.JSON[api.Stats](bd.api("n1"), client.Request{Method: "GET", Path: api.PathStats})
@@ -160,12 +163,12 @@
 	is.True(got.P50 > 0 && got.P50 <= got.Max)
 }
 
-// TestLinkBreaks cuts the links to the workers by turns, under more lookups than
-// there are slots. No lookup runs twice at once, though many are tried again, and
-// every slot comes back.
-func TestLinkBreaks(t *testing.T) {
+// TestWorkerConnectionLoss closes the connections to the workers in turn, under more
+// concurrent lookups than there are slots. No lookup may run twice at the same time,
+// although many are retried, and all slots must become free again.
+func TestWorkerConnectionLoss(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 2, "n1")
+	bd := newTestbed(t, 2, "n1")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1", "workload/lookup class service", "workload/lookup repeatable yes")
 	for _, wk := range bd.workers.Workers() {
 		wk.SetFaults(standinworker.Faults{LookupDelay: 30 * time.Millisecond})
@@ -183,7 +186,7 @@
 					return
 				default:
 				}
-				if own, err := ask(bd.api("n1"), fmt.Sprintf("part %d of client %d", n, i)); err == nil && own {
+				if matches, err := sendLookup(bd.api("n1"), fmt.Sprintf("part %d of client %d", n, i)); err == nil && matches {
 					answered.Add(1)
 				}
 			}
@@ -191,29 +194,29 @@
 	}
 	for n := range 10 {
 		time.Sleep(50 * time.Millisecond)
-		bd.workers.Workers()[n%2].Cut() // the other worker's queue stands meanwhile
+		bd.workers.Workers()[n%2].Cut() // the other worker keeps its connection and queue
 	}
 	close(stop)
 	wg.Wait()
 	is.True(answered.Load() > 0)
-	bd.eventually("every slot came back", func() bool { return bd.nodes["n1"].FreeSlots() == 16 })
+	bd.eventually("all slots are free again", func() bool { return bd.nodes["n1"].FreeSlots() == 16 })
 	running := map[string]int{}
-	for _, rc := range inOrder(bd) {
+	for _, rc := range sortedRecords(bd) {
 		switch rc.Event {
 		case standinworker.EventOver:
-			t.Errorf("worker %s was over its size", rc.Worker)
+			t.Errorf("worker %s exceeded its capacity", rc.Worker)
 		case standinworker.EventEnd:
 			running[rc.Mark]--
 		case standinworker.EventBegin:
 			if running[rc.Mark]++; running[rc.Mark] > 1 {
-				t.Errorf("%s ran twice at once", rc.Mark)
+				t.Errorf("%s ran twice at the same time", rc.Mark)
 			}
 		}
 	}
 }
 
-// inOrder returns the records of all workers by time.
-func inOrder(bd *bed) []standinworker.Record {
+// sortedRecords returns the records of all workers in order of time.
+func sortedRecords(bd *testbed) []standinworker.Record {
 	var all []standinworker.Record
 	for _, wk := range bd.workers.Workers() {
 		all = append(all, wk.Records()...)
--- a/internal/daemon/urgent_test.go
+++ b/internal/daemon/preemption_test.go
@@ -14,7 +14,7 @@
 	"tackbeam.example/tackbeam/internal/standin/standinworker"
 )
 
-// submitJob submits a job and waits up to so many seconds for its end.
+// submitJob submits a job and waits for its end for up to wait seconds.
 func submitJob(cl *client.Client, workload, mark string, tasks int, run, wait float64) (api.Job, error) {
 	return client.Send[api.Job](cl, client.Request{
 		Method: "POST", Path: api.PathJobs, Query: map[string]string{"wait": fmt.Sprint(wait)},
@@ -24,8 +24,9 @@
 	})
 }
 
-// fill gives a bed a table in which one task takes a whole worker.
-func fill(t *testing.T, cl *client.Client) {
+// setTable sets up a table with workloads whose tasks use a whole worker, except for
+// those of workload small.
+func setTable(t *testing.T, cl *client.Client) {
 	t.Helper()
 	setCells(t, cl, "workspace/brno weight 1",
 		"workload/push class batch", "workload/push processors 64", "workload/push repeatable yes",
@@ -35,8 +36,8 @@
 		"workload/urgent class batch", "workload/urgent processors 64", "workload/urgent priority 9")
 }
 
-// bothRan submits two jobs side by side and waits until both ran.
-func bothRan(t *testing.T, what string, submit func(i int) (api.Job, error)) {
+// runTwoJobs submits two jobs concurrently and waits until both have run.
+func runTwoJobs(t *testing.T, what string, submit func(i int) (api.Job, error)) {
 	t.Helper()
 	is := is.New(t)
 	answers := make(chan api.Job, 2)
@@ -56,26 +57,26 @@
 	}
 }
 
-// TestUrgentWork fills every worker with long tasks and submits urgent ones. A
-// task that may be repeated is stopped for each, and runs again later; one that
-// may not be is left alone.
-func TestUrgentWork(t *testing.T) {
+// TestUrgentPreemption fills every worker with long tasks and submits urgent jobs. Each
+// must preempt one repeatable task, which runs again later. Tasks that are not
+// repeatable must not be stopped.
+func TestUrgentPreemption(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 4, "n1", "n2")
+	bd := newTestbed(t, 4, "n1", "n2")
 	cl := bd.api("n1")
-	fill(t, cl)
+	setTable(t, cl)
 	for i := range 4 {
 		workload := []string{"push", "once"}[i%2]
 		_, err := submitJob(cl, workload, fmt.Sprint(workload, i), 1, 3, 0)
 		is.NoErr(err)
 	}
-	bd.eventually("every worker is full", func() bool { return len(inOrder(bd)) == 4 })
-	bothRan(t, "urgent job", func(i int) (api.Job, error) {
+	bd.eventually("every worker runs a task", func() bool { return len(sortedRecords(bd)) == 4 })
+	runTwoJobs(t, "urgent job", func(i int) (api.Job, error) {
 		return submitJob(cl, "urgent", fmt.Sprint("urgent", i), 1, 1, 20)
 	})
-	bd.eventually("the stopped tasks ran again", func() bool {
+	bd.eventually("the preempted tasks ran again", func() bool {
 		ends := map[string]int{}
-		for _, rc := range inOrder(bd) {
+		for _, rc := range sortedRecords(bd) {
 			if rc.Event == standinworker.EventEnd {
 				ends[rc.Mark]++
 			}
@@ -83,19 +84,19 @@
 		return ends["push0"]+ends["push2"] == 4 && ends["once1"] == 1 && ends["once3"] == 1
 	})
 	stopped := counters(t, bd.api("n1"))[owner.CounterPreempted] + counters(t, bd.api("n2"))[owner.CounterPreempted]
-	is.Equal(stopped, int64(2)) // as few as needed
+	is.Equal(stopped, int64(2)) // no more than needed
 }
 
-// TestGangAgainstStream submits a gang that needs every worker while small tasks
-// keep arriving. The gang reserves room as it comes free, and runs while the
-// stream goes on; two such gangs do not block each other.
-func TestGangAgainstStream(t *testing.T) {
+// TestGangUnderSmallTasks submits gangs that need every worker while small tasks keep
+// arriving. A gang must reserve capacity as it becomes free, and run while small tasks
+// continue to arrive. Two such gangs must not block each other.
+func TestGangUnderSmallTasks(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 4, "n1", "n2")
-	fill(t, bd.api("n1"))
+	bd := newTestbed(t, 4, "n1", "n2")
+	setTable(t, bd.api("n1"))
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	for i := range 20 { // more than the 16 that fit
+	for i := range 20 { // more than the 16 that fit at the same time
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -110,12 +111,12 @@
 		}()
 	}
 	time.Sleep(time.Second)
-	bothRan(t, "gang", func(i int) (api.Job, error) {
+	runTwoJobs(t, "gang", func(i int) (api.Job, error) {
 		return submitJob(bd.api([]string{"n1", "n2"}[i]), "gang", fmt.Sprint("gang", i), 4, 0.1, 60)
 	})
 	close(stop)
 	wg.Wait()
-	for _, rc := range inOrder(bd) {
-		is.True(rc.Event != standinworker.EventOver) // no worker was over its size
+	for _, rc := range sortedRecords(bd) {
+		is.True(rc.Event != standinworker.EventOver) // no worker exceeded its capacity
 	}
 }
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -23,7 +23,7 @@
 	policy "tackbeam.example/policy/owner"
 )
 
-// The names that services find each other by.
+// The names of the services.
 const (
 	nameMeter    = "meter"
 	nameRecorder = "recorder"
@@ -39,7 +39,7 @@
 	nameJoin     = "join"
 )
 
-// services lists the services in the order in which they start.
+// services returns the services in start order.
 func (dm *Daemon) services() []*kernel.Service {
 	return []*kernel.Service{
 		dm.meterService(), dm.recorderService(), dm.storeService(), dm.peerService(),
@@ -118,7 +118,7 @@
 		if addr == "" {
 			addr = pr.Addr()
 		}
-		pr.SetSelf(addr)
+		pr.SetOwnAddr(addr)
 		return member.New(dm.clock, dm.log, cl, pr, member.Options{
 			Node: clustermap.Node{
 				Name: st.Node, Peer: addr, HTTP: st.HTTP.Listen, Region: st.Region, Hall: st.Hall,
@@ -170,11 +170,11 @@
 	return &kernel.Service{
 		Name: nameOwner,
 		Build: func(kn *kernel.Kernel) (any, error) {
-			pt, err := dm.ownerParts(kn)
+			sv, err := dm.ownerServices(kn)
 			if err != nil {
 				return nil, err
 			}
-			ow = owner.New(pt, owner.Options{
+			ow = owner.New(sv, owner.Options{
 				Name: dm.settings.Node, Limits: dm.limits(), Drain: dm.settings.Limits.Drain, Guard: dm.settings.Owner.Guard, Lease: dm.settings.Owner.Lease,
 			})
 			return ow, nil
@@ -184,15 +184,15 @@
 	}
 }
 
-func (dm *Daemon) ownerParts(kn *kernel.Kernel) (owner.Parts, error) {
-	pt := owner.Parts{Clock: dm.clock, Log: dm.log}
+func (dm *Daemon) ownerServices(kn *kernel.Kernel) (owner.Parts, error) {
+	sv := owner.Parts{Clock: dm.clock, Log: dm.log}
 	fd := kn.Finder()
-	kernel.Find(fd, nameMember, &pt.Member)
-	kernel.Find(fd, nameVMs, &pt.VMs)
-	kernel.Find(fd, namePeer, &pt.Peer)
-	kernel.Find(fd, nameMeter, &pt.Meter)
-	kernel.Find(fd, nameRecorder, &pt.Recorder)
-	return pt, fd.Err()
+	kernel.Find(fd, nameMember, &sv.Member)
+	kernel.Find(fd, nameVMs, &sv.VMs)
+	kernel.Find(fd, namePeer, &sv.Peer)
+	kernel.Find(fd, nameMeter, &sv.Meter)
+	kernel.Find(fd, nameRecorder, &sv.Recorder)
+	return sv, fd.Err()
 }
 
 func (dm *Daemon) homeService() *kernel.Service {
@@ -200,11 +200,11 @@
 	return &kernel.Service{
 		Name: nameHome,
 		Build: func(kn *kernel.Kernel) (any, error) {
-			pt, err := dm.homeParts(kn)
+			sv, err := dm.homeServices(kn)
 			if err != nil {
 				return nil, err
 			}
-			hm = home.New(pt, home.Options{
+			hm = home.New(sv, home.Options{
 				WaitingJobs: dm.settings.Limits.WaitingJobs, KeepJobs: dm.settings.Limits.KeepJobs,
 				Ask: dm.settings.Limits.Ask,
 			})
@@ -215,24 +215,24 @@
 	}
 }
 
-func (dm *Daemon) homeParts(kn *kernel.Kernel) (home.Parts, error) {
-	pt := home.Parts{Clock: dm.clock, Log: dm.log}
+func (dm *Daemon) homeServices(kn *kernel.Kernel) (home.Parts, error) {
+	sv := home.Parts{Clock: dm.clock, Log: dm.log}
 	fd := kn.Finder()
 	var ow *owner.Owner
 	kernel.Find(fd, nameOwner, &ow)
 	var ls *vms.List
 	kernel.Find(fd, nameVMs, &ls)
-	pt.Local = home.Local{
+	sv.Local = home.Local{
 		VMs: ls.Len, Room: ow.Room, Hold: ow.Hold, Commit: ow.Commit, Release: ow.Release,
 		Order: ow.Order, Ack: ow.Ack,
 	}
-	kernel.Find(fd, nameMember, &pt.Member)
-	kernel.Find(fd, nameStore, &pt.Store)
-	kernel.Find(fd, namePeer, &pt.Peer)
-	kernel.Find(fd, nameTable, &pt.Table)
-	kernel.Find(fd, nameMeter, &pt.Meter)
-	kernel.Find(fd, nameRecorder, &pt.Recorder)
-	return pt, fd.Err()
+	kernel.Find(fd, nameMember, &sv.Member)
+	kernel.Find(fd, nameStore, &sv.Store)
+	kernel.Find(fd, namePeer, &sv.Peer)
+	kernel.Find(fd, nameTable, &sv.Table)
+	kernel.Find(fd, nameMeter, &sv.Meter)
+	kernel.Find(fd, nameRecorder, &sv.Recorder)
+	return sv, fd.Err()
 }
 
 func (dm *Daemon) routerService() *kernel.Service {
@@ -262,12 +262,12 @@
 	return &kernel.Service{
 		Name: nameFront,
 		Build: func(kn *kernel.Kernel) (any, error) {
-			pt, err := dm.frontParts(kn)
+			sv, err := dm.frontServices(kn)
 			if err != nil {
 				return nil, err
 			}
 			st := dm.settings
-			fr = front.New(pt, front.Options{
+			fr = front.New(sv, front.Options{
 				Listen: st.HTTP.Listen, MaxLookupBody: st.Limits.LookupBody, MaxJobBody: st.Limits.JobBody,
 				DefaultTimeout: st.Limits.DefaultTimeout, MaxTimeout: st.Limits.MaxTimeout,
 				MaxTasks: st.Limits.Tasks, DrainTimeout: st.Limits.Drain,
@@ -279,30 +279,30 @@
 	}
 }
 
-func (dm *Daemon) frontParts(kn *kernel.Kernel) (front.Services, error) {
-	pt := front.Services{Clock: dm.clock, Log: dm.log}
+func (dm *Daemon) frontServices(kn *kernel.Kernel) (front.Services, error) {
+	sv := front.Services{Clock: dm.clock, Log: dm.log}
 	fd := kn.Finder()
 	var ow *owner.Owner
 	var hm *home.Home
 	kernel.Find(fd, nameOwner, &ow)
 	kernel.Find(fd, nameHome, &hm)
-	kernel.Find(fd, nameMember, &pt.Member)
-	kernel.Find(fd, namePeer, &pt.Peer)
-	kernel.Find(fd, nameRouter, &pt.Router)
-	kernel.Find(fd, nameTable, &pt.Table)
-	kernel.Find(fd, nameMeter, &pt.Meter)
+	kernel.Find(fd, nameMember, &sv.Member)
+	kernel.Find(fd, namePeer, &sv.Peer)
+	kernel.Find(fd, nameRouter, &sv.Router)
+	kernel.Find(fd, nameTable, &sv.Table)
+	kernel.Find(fd, nameMeter, &sv.Meter)
 	if fd.Err() != nil {
-		return pt, fd.Err()
+		return sv, fd.Err()
 	}
-	dm.handleOperators(pt.Peer, ow)
-	pt.Local = front.Local{
+	dm.handleOperatorRequests(sv.Peer, ow)
+	sv.Local = front.Local{
 		Info: dm.info, Workers: ow.Workers, Jobs: hm.List,
 		DrainNode: dm.Drain, DrainWorker: ow.DrainWorker, NotReadyReasons: dm.notReady,
 	}
-	return pt, nil
+	return sv, nil
 }
 
-func (dm *Daemon) handleOperators(pr *peer.Peer, ow *owner.Owner) {
+func (dm *Daemon) handleOperatorRequests(pr *peer.Peer, ow *owner.Owner) {
 	peer.Handle(pr, nodemsg.KindWorkers, func(context.Context, string, nodemsg.Empty) (nodemsg.Workers, error) {
 		return ow.Workers(), nil
 	})
@@ -318,7 +318,8 @@
 	})
 }
 
-// joinService makes the node a member once everything else is ready for work.
+// joinService makes the node a member of the cluster after all other services have
+// started.
 func (dm *Daemon) joinService() *kernel.Service {
 	var mb *member.Member
 	var ls *vms.List
@@ -329,7 +330,7 @@
 			kernel.Find(fd, nameVMs, &ls)
 			kernel.Find(fd, nameMember, &mb)
 			if fd.Err() == nil {
-				mb.SetHeartbeatFiller(dm.fillBeat)
+				mb.SetHeartbeatFiller(dm.fillHeartbeat)
 			}
 			return nameJoin, fd.Err()
 		},
--- a/internal/daemon/table_test.go
+++ b/internal/daemon/table_test.go
@@ -38,12 +38,12 @@
 	return row.Cells["weight"], row.Version
 }
 
-// TestRaceForACell lets operators at two nodes set the same cell, again and
-// again, while the store loses answers. One of each pair wins; the other is told
-// both values; every node ends with the winner's, and no version goes down.
-func TestRaceForACell(t *testing.T) {
+// TestConcurrentCellEdits sets the same cell at two nodes concurrently, several times,
+// while the store loses responses. One edit of each pair must succeed, the other must
+// get a conflict that names both values, and all nodes must end with the winning value.
+func TestConcurrentCellEdits(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 2, "n1", "n2")
+	bd := newTestbed(t, 2, "n1", "n2")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1")
 	bd.store.SetFaults(standinstore.Faults{LoseEvery: 3})
 	value := "1"
@@ -64,42 +64,42 @@
 		if a.err != nil {
 			a, b = b, a
 		}
-		is.NoErr(a.err)                                           // one wins
-		is.True(fault.Is(b.err, fault.Conflict))                  // the other does not
-		is.True(strings.Contains(b.err.Error(), `"`+b.value+`"`)) // and is told its own value
-		is.True(strings.Contains(b.err.Error(), `"`+a.value+`"`)) // and the winner's
+		is.NoErr(a.err)                                           // one edit succeeds
+		is.True(fault.Is(b.err, fault.Conflict))                  // the other is a conflict
+		is.True(strings.Contains(b.err.Error(), `"`+b.value+`"`)) // that names its own value
+		is.True(strings.Contains(b.err.Error(), `"`+a.value+`"`)) // and the winning one
 		value = a.value
 	}
 	for _, name := range []string{"n1", "n2"} {
-		bd.eventually("the winner is in force", func() bool {
+		bd.eventually("the winning value is active", func() bool {
 			got, _ := weight(bd.api(name))
 			return got == value
 		})
 	}
 }
 
-// TestCutNode edits the table while one node is cut off from the other. The
-// answer names the node that has not confirmed; that node still gets the edit
-// by its watch, and a late push of an old row changes nothing.
-func TestCutNode(t *testing.T) {
+// TestEditWithUnreachableNode edits the table while the two nodes cannot reach each
+// other. The response must name the node that has not confirmed the edit, and that
+// node must still receive the edit through its watch on the store.
+func TestEditWithUnreachableNode(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 2, "n1", "n2")
+	bd := newTestbed(t, 2, "n1", "n2")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1")
-	cut := func(string) bool { return true }
-	bd.nodes["n1"].Peer().Block(cut)
-	bd.nodes["n2"].Peer().Block(cut)
-	kept, err := setCell(bd.api("n1"), "7", "1")
+	all := func(string) bool { return true }
+	bd.nodes["n1"].Peer().Block(all)
+	bd.nodes["n2"].Peer().Block(all)
+	result, err := setCell(bd.api("n1"), "7", "1")
 	is.NoErr(err)
-	is.Equal(kept.Unconfirmed, []string{"n2"}) // said so, not passed over
-	bd.eventually("the watch brings the edit", func() bool {
+	is.Equal(result.Unconfirmed, []string{"n2"}) // reported as unconfirmed
+	bd.eventually("the watch delivers the edit", func() bool {
 		got, _ := weight(bd.api("n2"))
 		return got == "7"
 	})
 }
 
-// deafGate lets a node's calls to the store through, except its watches: these hang,
-// so that the node learns of no change that it does not read itself.
-func deafGate(t *testing.T, bd *bed) *gate {
+// proxyWithoutWatches forwards a node's calls to the store, but lets watches hang, so
+// that the node only sees changes that it reads itself.
+func proxyWithoutWatches(t *testing.T, bd *testbed) *storeProxy {
 	t.Helper()
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: bd.store.Addr()})
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
@@ -110,21 +110,21 @@
 		proxy.ServeHTTP(rw, rq)
 	}))
 	t.Cleanup(server.Close)
-	return newGate(t, server.Listener.Addr().String())
+	return newStoreProxy(t, server.Listener.Addr().String())
 }
 
-// TestEditNamesNewMembers edits the table at a node that has not been told yet of
-// another one's joining. The answer names that one among those without the edit.
+// TestEditNamesNewMembers edits the table at a node that does not yet know that
+// another node has joined. The response must list the new node as unconfirmed.
 func TestEditNamesNewMembers(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 2)
-	bd.gates = map[string]*gate{"n1": deafGate(t, bd)}
+	bd := newTestbed(t, 2)
+	bd.storeProxies = map[string]*storeProxy{"n1": proxyWithoutWatches(t, bd)}
 	bd.start("n1")
 	bd.waitSlots(16)
 	cl := store.New(clockwork.NewRealClock(), store.HTTP([]string{bd.store.Addr()}), store.Options{
-		Writes: 1000, Reads: 1000, Timeout: patience,
+		Writes: 1000, Reads: 1000, Timeout: waitTimeout,
 	})
-	for joined := false; !joined; { // n1 may write the map meanwhile
+	for joined := false; !joined; { // n1 may write the map concurrently
 		item, err := cl.Get(t.Context(), store.Ownership, clustermap.Key)
 		is.NoErr(err)
 		mp := clustermap.New()
@@ -136,22 +136,22 @@
 		})
 		is.NoErr(err)
 	}
-	kept, err := setCell(bd.api("n1"), "7", "")
+	result, err := setCell(bd.api("n1"), "7", "")
 	is.NoErr(err)
-	is.Equal(kept.Unconfirmed, []string{"n2"})
+	is.Equal(result.Unconfirmed, []string{"n2"})
 }
 
-// TestIsolatedNode cuts a node off from the store and from the other node. It
-// says that its table may be stale, and takes no jobs.
+// TestIsolatedNode isolates a node from the store and from the other node. It must
+// report that its table may be stale, and refuse jobs.
 func TestIsolatedNode(t *testing.T) {
 	is := is.New(t)
-	bd := newBed(t, 2, "n1", "n2")
+	bd := newTestbed(t, 2, "n1", "n2")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1", "workload/push class batch")
-	cut := func(string) bool { return true }
-	bd.nodes["n1"].Peer().Block(cut)
-	bd.nodes["n2"].Peer().Block(cut)
+	all := func(string) bool { return true }
+	bd.nodes["n1"].Peer().Block(all)
+	bd.nodes["n2"].Peer().Block(all)
 	bd.store.SetFaults(standinstore.Faults{Down: true})
-	bd.eventually("the node knows that it may be stale", func() bool {
+	bd.eventually("the node reports its table as stale", func() bool {
 		tb, err := client.JSON[api.Table](bd.api("n1"), client.Request{Method: "GET", Path: api.PathTable})
 		return err == nil && tb.Stale
 	})
@@ -161,18 +161,18 @@
 	is.True(!fault.From(err).MayHaveRun) // not run
 	bd.nodes["n1"].Peer().Block(nil)
 	bd.nodes["n2"].Peer().Block(nil)
-	bd.eventually("the nodes hear each other; with the store down for both nothing is stale", func() bool {
+	bd.eventually("the nodes reach each other, and nothing is stale while the store is down for both", func() bool {
 		tb, err := client.JSON[api.Table](bd.api("n1"), client.Request{Method: "GET", Path: api.PathTable})
 		return err == nil && !tb.Stale
 	})
 }
 
-// TestEditInAnOutage says of an edit that the store did not take that it is not
-// kept, and of one without an answer that it may be.
-func TestEditInAnOutage(t *testing.T) {
+// TestEditDuringStoreOutage checks that an edit during an outage of the store is
+// reported as not stored if the store certainly has not stored it.
+func TestEditDuringStoreOutage(t *testing.T) {
 	cases := map[string]struct {
-		faults standinstore.Faults
-		begun  bool
+		faults     standinstore.Faults
+		mayHaveRun bool
 	}{
 		"down":  {standinstore.Faults{Down: true}, false},
 		"hangs": {standinstore.Faults{Hang: true}, false}, // the read before the write already fails
@@ -180,12 +180,12 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			bd := newBed(t, 1, "n1")
+			bd := newTestbed(t, 1, "n1")
 			setCells(t, bd.api("n1"), "workspace/brno weight 1")
 			bd.store.SetFaults(tc.faults)
 			_, err := setCell(client.New(time.Second, bd.nodes["n1"].HTTPAddr()), "2", "1")
 			is.Equal(fault.From(err).Kind, fault.Unavailable)
-			is.Equal(fault.From(err).MayHaveRun, tc.begun)
+			is.Equal(fault.From(err).MayHaveRun, tc.mayHaveRun)
 			bd.store.SetFaults(standinstore.Faults{})
 			got, _ := weight(bd.api("n1"))
 			is.Equal(got, "1")
--- a/internal/daemon/bed_test.go
+++ b/internal/daemon/testbed_test.go
@@ -21,66 +21,67 @@
 	"tackbeam.example/tackbeam/internal/standin/standinworker"
 )
 
-// patience bounds every wait; it is no measure.
-const patience = 60 * time.Second
+// waitTimeout limits every wait for a condition. It is generous, so that only a
+// condition that is never reached fails a test.
+const waitTimeout = 60 * time.Second
 
-// skewed is a clock that is ahead of the real one, or behind it.
-type skewed struct {
+// skewedClock is a clock that is ahead of another clock by an offset, or behind it.
+type skewedClock struct {
 	clockwork.Clock
-	ahead time.Duration
+	offset time.Duration
 }
 
-// Now returns the skewed time.
-func (sk skewed) Now() time.Time { return sk.Clock.Now().Add(sk.ahead) }
+// Now returns the time with the offset added.
+func (sk skewedClock) Now() time.Time { return sk.Clock.Now().Add(sk.offset) }
 
-// Since returns the time since a moment of the skewed clock.
-func (sk skewed) Since(at time.Time) time.Duration { return sk.Now().Sub(at) }
+// Since returns the time since a moment on this clock.
+func (sk skewedClock) Since(at time.Time) time.Duration { return sk.Now().Sub(at) }
 
-// Until returns the time until a moment of the skewed clock.
-func (sk skewed) Until(at time.Time) time.Duration { return at.Sub(sk.Now()) }
+// Until returns the time until a moment on this clock.
+func (sk skewedClock) Until(at time.Time) time.Duration { return at.Sub(sk.Now()) }
 
-// bed is a cluster in one process.
-type bed struct {
+// testbed is a cluster in one process: nodes, a store, a list of VMs and workers.
+type testbed struct {
 	t       testing.TB
 	dir     string
 	store   *standinstore.Store
-	list    *standinvms.List
+	vms     *standinvms.List
 	workers *fleet.Fleet
 	nodes   map[string]*daemon.Daemon
-	// skew is how far the clocks of some nodes are ahead.
-	skew map[string]time.Duration
-	keep time.Duration
-	// gates stand between some nodes and the store.
-	gates map[string]*gate
+	// clockOffsets holds how far the clocks of some nodes are ahead.
+	clockOffsets map[string]time.Duration
+	keepJobs     time.Duration
+	// storeProxies are the proxies between some nodes and the store.
+	storeProxies map[string]*storeProxy
 }
 
-// quick is a worker whose lease runs out soon.
-var quick = standinworker.Options{Lease: 2 * time.Second, Beat: 200 * time.Millisecond}
+// shortLease configures a worker with a short lease.
+var shortLease = standinworker.Options{Lease: 2 * time.Second, Beat: 200 * time.Millisecond}
 
-// newBed starts nodes over count workers.
-func newBed(t testing.TB, count int, names ...string) *bed {
+// newTestbed starts nodes and count workers with short leases.
+func newTestbed(t testing.TB, count int, names ...string) *testbed {
 	t.Helper()
-	return newBedOf(t, count, quick, names...)
+	return newTestbedWith(t, count, shortLease, names...)
 }
 
-// newBedOf starts nodes over count workers of a pattern.
-func newBedOf(t testing.TB, count int, pattern standinworker.Options, names ...string) *bed {
+// newTestbedWith starts nodes and count workers with the given options.
+func newTestbedWith(t testing.TB, count int, pattern standinworker.Options, names ...string) *testbed {
 	t.Helper()
-	bd := &bed{t: t, dir: t.TempDir(), nodes: map[string]*daemon.Daemon{}}
+	bd := &testbed{t: t, dir: t.TempDir(), nodes: map[string]*daemon.Daemon{}}
 	must(t, keys.Issue(bd.dir, []string{"n1", "n2", "n3", "n4"}))
 	var err error
 	bd.store, err = standinstore.New(standinstore.Options{Writes: 1000, Reads: 10000})
 	must(t, err)
-	bd.list, err = standinvms.New("")
+	bd.vms, err = standinvms.New("")
 	must(t, err)
 	bd.workers, err = fleet.New(fleet.Options{Count: count, First: 1, Halls: 2, Rack: 4, Worker: pattern})
 	must(t, err)
 	for _, vm := range bd.workers.VMs() {
-		bd.list.Put(vm)
+		bd.vms.Put(vm)
 	}
 	t.Cleanup(func() {
 		_ = bd.workers.Close()
-		_ = bd.list.Close()
+		_ = bd.vms.Close()
 		_ = bd.store.Close()
 	})
 	for _, name := range names {
@@ -99,7 +100,7 @@
 	}
 }
 
-func (bd *bed) settings(name string) *settings.Settings {
+func (bd *testbed) settings(name string) *settings.Settings {
 	st := settings.New()
 	st.Node = name
 	st.HTTP.Listen, st.Peer.Listen = "127.0.0.1:0", "127.0.0.1:0"
@@ -107,27 +108,27 @@
 	st.Peer.Key = filepath.Join(bd.dir, name+keys.KeySuffix)
 	st.Peer.CA = filepath.Join(bd.dir, keys.CAFile)
 	st.Store.Addresses = []string{bd.store.Addr()}
-	if ga := bd.gates[name]; ga != nil {
-		st.Store.Addresses = []string{ga.listener.Addr().String()}
+	if px := bd.storeProxies[name]; px != nil {
+		st.Store.Addresses = []string{px.listener.Addr().String()}
 	}
 	st.Store.Lease = 2 * time.Second
-	st.VMs.Address = bd.list.Addr()
+	st.VMs.Address = bd.vms.Addr()
 	st.VMs.Every = 100 * time.Millisecond
 	st.Owner.Lease, st.Owner.Guard = 3*time.Second, 2*time.Second
 	st.Member.Beat, st.Member.Suspect = 100*time.Millisecond, 800*time.Millisecond
 	st.Limits.Unready, st.Limits.Drain = 0, time.Second
-	if bd.keep > 0 {
-		st.Limits.KeepJobs = bd.keep
+	if bd.keepJobs > 0 {
+		st.Limits.KeepJobs = bd.keepJobs
 	}
 	st.Limits.Ask = 200 * time.Millisecond
 	st.Limits.LookupBody, st.Limits.JobBody = 1024, 1024
 	return st
 }
 
-// start starts a node; it is stopped with the test.
-func (bd *bed) start(name string) *daemon.Daemon {
+// start starts a node, which is stopped at the end of the test.
+func (bd *testbed) start(name string) *daemon.Daemon {
 	bd.t.Helper()
-	clock := skewed{clockwork.NewRealClock(), bd.skew[name]}
+	clock := skewedClock{clockwork.NewRealClock(), bd.clockOffsets[name]}
 	dm, err := daemon.New(bd.settings(name), clock, logr.Discard())
 	must(bd.t, err)
 	must(bd.t, dm.Start(context.Background()))
@@ -136,14 +137,14 @@
 	return dm
 }
 
-func (bd *bed) api(name string) *client.Client {
+func (bd *testbed) api(name string) *client.Client {
 	return client.New(5*time.Second, bd.nodes[name].HTTPAddr())
 }
 
-// ended waits for a job's answer.
-func (bd *bed) ended(id string) (vw api.Job) {
+// waitJob waits until a job has ended.
+func (bd *testbed) waitJob(id string) (vw api.Job) {
 	bd.t.Helper()
-	bd.eventually("job "+id+" has its answer", func() bool {
+	bd.eventually("job "+id+" has ended", func() bool {
 		var err error
 		vw, err = client.JSON[api.Job](bd.api("n1"), client.Request{Method: "GET", Path: api.PathJobs + "/" + id})
 		return err == nil && vw.Answer != ""
@@ -151,19 +152,20 @@
 	return vw
 }
 
-func (bd *bed) eventually(what string, holds func() bool) {
+func (bd *testbed) eventually(condition string, holds func() bool) {
 	bd.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	bd.t.Fatalf("not reached: %s", what)
+	bd.t.Fatalf("condition not reached: %s", condition)
 }
 
-// split cuts the links between two groups of nodes; without groups, all work.
-func (bd *bed) split(one, other []string) {
-	cut := func(names, from []string) {
+// partition blocks the connections between two groups of nodes. Without groups it
+// unblocks all connections.
+func (bd *testbed) partition(one, other []string) {
+	block := func(names, from []string) {
 		for _, name := range names {
 			bd.nodes[name].Peer().Block(func(addr string) bool {
 				return slices.ContainsFunc(from, func(far string) bool { return bd.nodes[far].Peer().Addr() == addr })
@@ -175,14 +177,14 @@
 			dm.Peer().Block(nil)
 		}
 	}
-	cut(one, other)
-	cut(other, one)
+	block(one, other)
+	block(other, one)
 }
 
-// waitSlots waits until the nodes together have so many free slots.
-func (bd *bed) waitSlots(slots int) {
+// waitSlots waits until the nodes have the given number of free slots in total.
+func (bd *testbed) waitSlots(slots int) {
 	bd.t.Helper()
-	bd.eventually("all workers attached", func() bool {
+	bd.eventually("all slots are free", func() bool {
 		free := 0
 		for _, dm := range bd.nodes {
 			free += dm.FreeSlots()
--- a/internal/daemon/silent_test.go
+++ b/internal/daemon/unresponsive_test.go
@@ -9,47 +9,47 @@
 	"tackbeam.example/tackbeam/internal/standin/standinworker"
 )
 
-// TestSilentWorkers has workers fall silent while their connections stay open, as
-// a machine without power does. Their jobs end as unknown once the leases have
-// surely run out, and the names are taken back when they are heard again.
-func TestSilentWorkers(t *testing.T) {
+// TestUnresponsiveWorkers lets workers stop answering while their connections stay
+// open, as when a VM loses power. Their jobs must end as unknown after the leases have
+// expired, and workers of the same names must be accepted when they answer again.
+func TestUnresponsiveWorkers(t *testing.T) {
 	cases := map[string]struct {
-		early bool
-		back  func(bd *bed)
+		beforeExpiry bool
+		restore      func(bd *testbed)
 	}{
-		"the same machines": {false, func(bd *bed) {
+		"the same VMs": {false, func(bd *testbed) {
 			for _, wk := range bd.workers.Workers() {
 				wk.SetFaults(standinworker.Faults{})
 			}
 		}},
-		"new machines, listed while the links to the old ones stand": {true, func(bd *bed) {
-			fl, err := fleet.New(fleet.Options{Count: 2, First: 1, Halls: 2, Rack: 4, Worker: quick})
+		"new VMs, listed while the connections to the old ones are open": {true, func(bd *testbed) {
+			fl, err := fleet.New(fleet.Options{Count: 2, First: 1, Halls: 2, Rack: 4, Worker: shortLease})
 			must(bd.t, err)
 			bd.t.Cleanup(func() { _ = fl.Close() })
 			for _, vm := range fl.VMs() {
-				bd.list.Put(vm)
+				bd.vms.Put(vm)
 			}
 		}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			bd := newBed(t, 2, "n1")
+			bd := newTestbed(t, 2, "n1")
 			cl := bd.api("n1")
 			setCells(t, cl, "workspace/brno weight 1", "workload/push class batch")
 			vw, err := submitJob(cl, "push", "job", 1, 600, 0)
 			is.NoErr(err)
-			bd.eventually("the job runs", func() bool { return len(inOrder(bd)) == 1 })
+			bd.eventually("the job runs", func() bool { return len(sortedRecords(bd)) == 1 })
 			for _, wk := range bd.workers.Workers() {
 				wk.SetFaults(standinworker.Faults{Mute: true})
 			}
-			if tc.early {
-				tc.back(bd)
+			if tc.beforeExpiry {
+				tc.restore(bd)
 			}
-			vw = bd.ended(vw.ID)
+			vw = bd.waitJob(vw.ID)
 			is.Equal(vw.Answer, "unknown")
-			if !tc.early {
-				tc.back(bd)
+			if !tc.beforeExpiry {
+				tc.restore(bd)
 			}
 			bd.waitSlots(16)
 			vw, err = submitJob(cl, "push", "next", 1, 0.1, 10)
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -14,27 +14,27 @@
 
 // The kinds of errors. The list is closed: each kind has an entry in infos.
 const (
-	BadRequest   Kind = "bad_request"
-	TooLarge     Kind = "too_large"
-	UnknownRow   Kind = "unknown_row"
-	BadCell      Kind = "bad_cell"
-	NeverFits    Kind = "never_fits"
-	NotFound     Kind = "not_found"
-	Conflict     Kind = "conflict"
-	KeyReused    Kind = "key_reused"
-	PastDeadline Kind = "past_deadline"
-	RateLimited  Kind = "rate_limited"
-	Full         Kind = "full"
-	Draining     Kind = "draining"
-	Unavailable  Kind = "unavailable"
-	Stale        Kind = "stale"
-	Timeout      Kind = "timeout"
-	Endpoint     Kind = "endpoint_failed"
-	Denied       Kind = "denied"
-	Unauthorized Kind = "unauthorized"
-	NotConfirmed Kind = "not_confirmed"
-	WrongAnswer  Kind = "wrong_answer"
-	Internal     Kind = "internal"
+	BadRequest     Kind = "bad_request"
+	TooLarge       Kind = "too_large"
+	UnknownRow     Kind = "unknown_row"
+	BadCell        Kind = "bad_cell"
+	NeverFits      Kind = "never_fits"
+	NotFound       Kind = "not_found"
+	Conflict       Kind = "conflict"
+	KeyReused      Kind = "key_reused"
+	PastDeadline   Kind = "past_deadline"
+	RateLimited    Kind = "rate_limited"
+	Full           Kind = "full"
+	Draining       Kind = "draining"
+	Unavailable    Kind = "unavailable"
+	Stale          Kind = "stale"
+	Timeout        Kind = "timeout"
+	EndpointFailed Kind = "endpoint_failed"
+	Denied         Kind = "denied"
+	Unauthorized   Kind = "unauthorized"
+	NotConfirmed   Kind = "not_confirmed"
+	WrongAnswer    Kind = "wrong_answer"
+	Internal       Kind = "internal"
 )
 
 // Info describes what a kind of error means to a client.
@@ -59,27 +59,27 @@
 
 // infos has an entry for each kind.
 var infos = map[Kind]Info{
-	BadRequest:   {400, 2, false, "the request is malformed; mend it as the message says"},
-	TooLarge:     {413, 3, false, "the body is over the size limit"},
-	UnknownRow:   {404, 4, false, "the table has no such workspace or workload"},
-	BadCell:      {422, 5, false, "the value is not allowed in this cell"},
-	NeverFits:    {422, 6, false, "no worker or limit can ever carry this; not run"},
-	NotFound:     {404, 7, false, "there is no such job, worker, node or path"},
-	Conflict:     {409, 8, false, "somebody else changed the cell first; read it and decide again"},
-	KeyReused:    {409, 9, false, "the idempotency key was used with another request"},
-	PastDeadline: {400, 10, false, "the deadline has passed; not run"},
-	RateLimited:  {429, 11, true, "the workspace is over its rate; come back when told"},
-	Full:         {503, 12, true, "no free room in time; not run, come back when told"},
-	Draining:     {503, 13, true, "the node is stopping; ask another"},
-	Unavailable:  {503, 14, true, "the store or an owner cannot be reached; come back when told"},
-	Stale:        {503, 15, true, "this node is cut off and may hold an old table"},
-	Timeout:      {504, 16, false, "no answer within the deadline; whether it ran is unknown"},
-	Endpoint:     {502, 17, true, "the endpoint failed the request"},
-	Denied:       {403, 18, false, "an explicit allow is missing, or the peer is a stranger"},
-	Unauthorized: {401, 21, false, "the call has no API key, or one that no workspace has; not run"},
-	NotConfirmed: {202, 19, true, "the edit is kept but not every node has confirmed it"},
-	WrongAnswer:  {500, 20, false, "a checked answer was wrong"},
-	Internal:     {500, 1, false, "the node failed; the log has the cause"},
+	BadRequest:     {400, 2, false, "the request is malformed; mend it as the message says"},
+	TooLarge:       {413, 3, false, "the body is over the size limit"},
+	UnknownRow:     {404, 4, false, "the table has no such workspace or workload"},
+	BadCell:        {422, 5, false, "the value is not allowed in this cell"},
+	NeverFits:      {422, 6, false, "no worker or limit can ever carry this; not run"},
+	NotFound:       {404, 7, false, "there is no such job, worker, node or path"},
+	Conflict:       {409, 8, false, "somebody else changed the cell first; read it and decide again"},
+	KeyReused:      {409, 9, false, "the idempotency key was used with another request"},
+	PastDeadline:   {400, 10, false, "the deadline has passed; not run"},
+	RateLimited:    {429, 11, true, "the workspace is over its rate; come back when told"},
+	Full:           {503, 12, true, "no free room in time; not run, come back when told"},
+	Draining:       {503, 13, true, "the node is stopping; ask another"},
+	Unavailable:    {503, 14, true, "the store or an owner cannot be reached; come back when told"},
+	Stale:          {503, 15, true, "this node is cut off and may hold an old table"},
+	Timeout:        {504, 16, false, "no answer within the deadline; whether it ran is unknown"},
+	EndpointFailed: {502, 17, true, "the endpoint failed the request"},
+	Denied:         {403, 18, false, "an explicit allow is missing, or the peer is a stranger"},
+	Unauthorized:   {401, 21, false, "the call has no API key, or one that no workspace has; not run"},
+	NotConfirmed:   {202, 19, true, "the edit is kept but not every node has confirmed it"},
+	WrongAnswer:    {500, 20, false, "a checked answer was wrong"},
+	Internal:       {500, 1, false, "the node failed; the log has the cause"},
 }
 
 // Kinds returns all kinds with their infos.
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -27,7 +27,7 @@
 
 // New wraps a WebSocket connection.
 func New(ws *websocket.Conn) *Conn {
-	ws.SetReadLimit(wire.MaxMessage)
+	ws.SetReadLimit(wire.MaxMessageSize)
 	return &Conn{ws: ws}
 }
 
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -189,9 +189,9 @@
 	if wl.Class == column.Service {
 		return nodemsg.Submit{}, fault.New(fault.BadRequest, "workload %s is a service; send a lookup", wl.Name)
 	}
-	key := c.Get(api.HeaderKey)
+	key := c.Get(api.HeaderIdempotencyKey)
 	if len(key) > maxKeyLength {
-		return nodemsg.Submit{}, fault.New(fault.BadRequest, "header %s is over %d bytes", api.HeaderKey, maxKeyLength)
+		return nodemsg.Submit{}, fault.New(fault.BadRequest, "header %s is over %d bytes", api.HeaderIdempotencyKey, maxKeyLength)
 	}
 	msg := nodemsg.Submit{
 		Workspace: ws.Name, Workload: wl.Name, Class: wl.Class, Key: key,
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -69,7 +69,7 @@
 	}
 	return client.Send[api.Job](ld.client(), client.Request{
 		Method: "POST", Path: api.PathJobs, Query: map[string]string{"wait": fmt.Sprint(wait.Seconds())}, Wait: wait,
-		Headers: map[string]string{api.HeaderKey: jb.ID},
+		Headers: map[string]string{api.HeaderIdempotencyKey: jb.ID},
 	}, req)
 }
 
--- a/internal/owner/lookup.go
+++ b/internal/owner/lookup.go
@@ -226,11 +226,11 @@
 		en.err = fault.New(fault.Unavailable, "worker %s refused: %s", kp.vm.Name, an.Refusal)
 	case an.Failed != "":
 		en.over, en.failed = true, true
-		en.err = fault.New(fault.Endpoint, "worker %s failed: %s", kp.vm.Name, an.Failed).MarkMayHaveRun()
+		en.err = fault.New(fault.EndpointFailed, "worker %s failed: %s", kp.vm.Name, an.Failed).MarkMayHaveRun()
 	case len(an.Body) != an.Length:
 		ow.Meter.Count(CounterShort, 1)
 		en.over, en.failed = true, true
-		en.err = fault.New(fault.Endpoint, "the answer of worker %s was cut short", kp.vm.Name).MarkMayHaveRun()
+		en.err = fault.New(fault.EndpointFailed, "the answer of worker %s was cut short", kp.vm.Name).MarkMayHaveRun()
 	}
 	ow.finish(an.ID, en, latency)
 }
@@ -244,7 +244,7 @@
 		}
 		ow.finish(id, end{
 			worker: name, over: running != nil,
-			err: fault.New(fault.Endpoint, "the link to worker %s was lost", name).MarkMayHaveRun(),
+			err: fault.New(fault.EndpointFailed, "the link to worker %s was lost", name).MarkMayHaveRun(),
 		}, 0)
 	}
 }
--- a/internal/owner/task.go
+++ b/internal/owner/task.go
@@ -291,7 +291,7 @@
 		ow.step(policy.Event{Ended: &policy.Ended{Task: en.Task}})
 		ow.finish(id, end{
 			worker: kp.vm.Name, over: true,
-			err: fault.New(fault.Endpoint, "the answer of worker %s was lost", kp.vm.Name).MarkMayHaveRun(),
+			err: fault.New(fault.EndpointFailed, "the answer of worker %s was lost", kp.vm.Name).MarkMayHaveRun(),
 		}, 0)
 		return
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -65,9 +65,9 @@
 	ownAddr string
 }
 
-// SetSelf sets the address at which other nodes reach this node. Calls to that
-// address are handled without the network. SetSelf must be called before Serve.
-func (pr *Peer) SetSelf(addr string) {
+// SetOwnAddr sets the address at which other nodes reach this node. Calls to that
+// address are handled without the network. SetOwnAddr must be called before Serve.
+func (pr *Peer) SetOwnAddr(addr string) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	pr.ownAddr = addr
@@ -106,7 +106,7 @@
 		MaxIdleTimeout:                 idleTimeout,
 		MaxIncomingStreams:             maxStreams,
 		InitialStreamReceiveWindow:     streamWindow,
-		MaxStreamReceiveWindow:         wire.MaxMessage,
+		MaxStreamReceiveWindow:         wire.MaxMessageSize,
 		InitialConnectionReceiveWindow: connWindow,
 		DisablePathMTUDiscovery:        true,
 	}
@@ -146,12 +146,12 @@
 	return errors.Wrap(pr.transport.Conn.Close(), "close peer socket")
 }
 
-// Block makes calls to the addresses for which cut returns true fail; nil unblocks
+// Block makes calls to the addresses for which match returns true fail; nil unblocks
 // all. Tests block both sides to simulate network partitions.
-func (pr *Peer) Block(cut func(addr string) bool) {
+func (pr *Peer) Block(match func(addr string) bool) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pr.blocked = cut
+	pr.blocked = match
 }
 
 func (pr *Peer) isBlocked(addr string) bool {
@@ -308,7 +308,7 @@
 	}
 	var rsp response
 	if err := wire.Decode(answer, &rsp); err != nil {
-		return res, fault.New(fault.Unavailable, "answer of node at %s: %v", addr, err).MarkMayHaveRun()
+		return res, fault.New(fault.Unavailable, "response of node at %s: %v", addr, err).MarkMayHaveRun()
 	}
 	return decodeResponse[Res](addr, rsp)
 }
@@ -320,7 +320,7 @@
 		return res, rsp.Err
 	}
 	if err := wire.Decode(rsp.Body, &res); err != nil {
-		return res, fault.New(fault.Unavailable, "answer of node at %s: %v", addr, err).MarkMayHaveRun()
+		return res, fault.New(fault.Unavailable, "response of node at %s: %v", addr, err).MarkMayHaveRun()
 	}
 	return res, nil
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -68,7 +68,7 @@
 	}{
 		"a node of the cluster":       {newPeer(t, dir, "b", "b"), 10, ""},
 		"a large message":             {newPeer(t, dir, "b", "b"), 900 << 10, ""},
-		"a message over the limit":    {newPeer(t, dir, "b", "b"), wire.MaxMessage, fault.TooLarge},
+		"a message over the limit":    {newPeer(t, dir, "b", "b"), wire.MaxMessageSize, fault.TooLarge},
 		"a name that is not its own":  {newPeer(t, dir, "c", "b"), 10, fault.Denied},
 		"a certificate of another CA": {newPeer(t, otherCA, "b", "b"), 10, fault.Unavailable},
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,8 +11,8 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// MaxMessage is the maximum size of an encoded message in bytes.
-const MaxMessage = 1 << 20
+// MaxMessageSize is the maximum size of an encoded message in bytes.
+const MaxMessageSize = 1 << 20
 
 // Limits on the structure of a message, against malicious or faulty senders.
 const (
@@ -50,34 +50,34 @@
 	return mode
 }
 
-// Encode encodes a message. It returns an error if the result is larger than MaxMessage.
+// Encode encodes a message. It returns an error if the result is larger than MaxMessageSize.
 func Encode(msg any) ([]byte, error) {
 	raw, err := encoder.Marshal(msg)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode message")
 	}
-	if len(raw) > MaxMessage {
-		return nil, fault.New(fault.TooLarge, "message of %d bytes is over %d", len(raw), MaxMessage)
+	if len(raw) > MaxMessageSize {
+		return nil, fault.New(fault.TooLarge, "message of %d bytes is over %d", len(raw), MaxMessageSize)
 	}
 	return raw, nil
 }
 
 // Decode decodes a message from raw into msg.
 func Decode(raw []byte, msg any) error {
-	if len(raw) > MaxMessage {
-		return fault.New(fault.TooLarge, "message of %d bytes is over %d", len(raw), MaxMessage)
+	if len(raw) > MaxMessageSize {
+		return fault.New(fault.TooLarge, "message of %d bytes is over %d", len(raw), MaxMessageSize)
 	}
 	return errors.Wrap(decoder.Unmarshal(raw, msg), "decode message")
 }
 
 // ReadAll reads a message that ends with the stream.
 func ReadAll(from io.Reader) ([]byte, error) {
-	raw, err := io.ReadAll(io.LimitReader(from, MaxMessage+1))
+	raw, err := io.ReadAll(io.LimitReader(from, MaxMessageSize+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "read message")
 	}
-	if len(raw) > MaxMessage {
-		return nil, fault.New(fault.TooLarge, "message is over %d bytes", MaxMessage)
+	if len(raw) > MaxMessageSize {
+		return nil, fault.New(fault.TooLarge, "message is over %d bytes", MaxMessageSize)
 	}
 	return raw, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,9 +27,9 @@
 
 func TestTooLarge(t *testing.T) {
 	is := is.New(t)
-	_, err := wire.Encode(strings.Repeat("x", wire.MaxMessage))
+	_, err := wire.Encode(strings.Repeat("x", wire.MaxMessageSize))
 	is.True(fault.Is(err, fault.TooLarge))
-	_, err = wire.ReadAll(strings.NewReader(strings.Repeat("x", wire.MaxMessage+1)))
+	_, err = wire.ReadAll(strings.NewReader(strings.Repeat("x", wire.MaxMessageSize+1)))
 	is.True(fault.Is(err, fault.TooLarge))
 }
 
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -128,7 +128,7 @@
 	for end := time.Now().Add(patience); time.Now().Before(end); {
 		vw, err := client.Send[api.Job](ld.targets(), client.Request{
 			Method: "POST", Path: api.PathJobs, Query: map[string]string{"wait": "5"}, Wait: 5 * time.Second,
-			Headers: map[string]string{api.HeaderKey: mark},
+			Headers: map[string]string{api.HeaderIdempotencyKey: mark},
 		}, req)
 		if err == nil && vw.Answer != "" {
 			ld.note(claim{mark: mark, ran: vw.Answer, repeatable: workload == "refresh"})
--- a/test/outage_test.go
+++ b/test/outage_test.go
@@ -58,7 +58,7 @@
 func (cl *cluster) submitUntilKept(n int) {
 	cl.eventually("job is accepted", func() bool {
 		_, err := client.Send[api.Job](cl.api(), client.Request{
-			Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderKey: fmt.Sprint("outage-", n)},
+			Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderIdempotencyKey: fmt.Sprint("outage-", n)},
 		}, api.JobRequest{Workload: "push", Workspace: workspaceOf(n)})
 		return err == nil
 	})
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -99,7 +99,7 @@
 func (st *starts) job(cl *client.Client, n int) {
 	sent := time.Now()
 	vw, err := client.Send[api.Job](cl, client.Request{
-		Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderKey: fmt.Sprint("key-", n)},
+		Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderIdempotencyKey: fmt.Sprint("key-", n)},
 	}, api.JobRequest{Workload: "push", Workspace: workspaceOf(n), Payload: map[string]any{"run": 0.5}})
 	accepted := time.Since(sent)
 	if err == nil {
--- a/test/wave_test.go
+++ b/test/wave_test.go
@@ -42,7 +42,7 @@
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if id == "" {
 			vw, err := client.Send[api.Job](cl, client.Request{
-				Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderKey: mark},
+				Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderIdempotencyKey: mark},
 			}, api.JobRequest{
 				Workload: "push", Workspace: workspaceOf(n), Payload: map[string]any{"run": 0.2, "mark": mark},
 			})
