--- a/internal/member/watch.go
+++ b/internal/member/watch.go
@@ -61,16 +61,16 @@
 			mb.applyItem(item)
 		}
 	}
-	mb.store.Follow(ctx, store.Following{
+	mb.store.Follow(ctx, store.FollowOptions{
 		Prefix: clustermap.Key, Class: store.Ownership,
-		All: func(items []storemsg.Item, _ uint64) { apply(items) }, Changed: apply,
+		OnSnapshot: func(items []storemsg.Item, _ uint64) { apply(items) }, OnChange: apply,
 	})
 }
 
 // watchLive follows the live keys of the nodes.
 func (mb *Member) watchLive(ctx context.Context) {
-	mb.store.Follow(ctx, store.Following{
-		Prefix: livePrefix, Class: store.Ownership, All: mb.resetLive, Changed: mb.updateLive,
+	mb.store.Follow(ctx, store.FollowOptions{
+		Prefix: livePrefix, Class: store.Ownership, OnSnapshot: mb.resetLive, OnChange: mb.updateLive,
 	})
 }
 
--- a/internal/planner/records.go
+++ b/internal/planner/records.go
@@ -113,7 +113,7 @@
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}, {Key: key}},
 		Puts:       []kv.Put{{Key: key, Value: raw}},
 	}
-	_, items, err := ld.opts.Store.Settle(ctx, kv.Settling{Clock: ld.clock, Hedge: commitHedge}, txn)
+	_, items, err := ld.opts.Store.CommitWithRetry(ctx, kv.CommitOptions{Clock: ld.clock, HedgeDelay: commitHedge}, txn)
 	switch {
 	case err == nil:
 		return true
--- a/internal/table/edit.go
+++ b/internal/table/edit.go
@@ -81,7 +81,7 @@
 		}
 		item, ok, err := tb.store.Put(ctx, store.Table, store.Write{
 			Key: key, Value: raw, Version: item.Version,
-			Mine: func(value []byte) bool {
+			IsApplied: func(value []byte) bool {
 				stored, err := decodeRow(key, value, 0)
 				return err == nil && stored.hasWrite(ed.WriteID)
 			},
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -110,9 +110,9 @@
 
 // follow applies the changes of the rows in the store until the context ends.
 func (tb *Table) follow(ctx context.Context) {
-	tb.store.Follow(ctx, store.Following{
-		Prefix: Prefix, Class: store.Table, Again: resyncInterval,
-		All: tb.applyAll, Changed: tb.applyItems,
+	tb.store.Follow(ctx, store.FollowOptions{
+		Prefix: Prefix, Class: store.Table, ResyncAfter: resyncInterval,
+		OnSnapshot: tb.applyAll, OnChange: tb.applyItems,
 	})
 }
 
--- a/internal/term/election.go
+++ b/internal/term/election.go
@@ -36,7 +36,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, er.opts.TTL/2)
 	defer cancel()
-	revision, items, err := er.store.Settle(call, kv.Settling{Clock: er.clock, Hedge: campaignHedge}, kv.Txn{
+	revision, items, err := er.store.CommitWithRetry(call, kv.CommitOptions{Clock: er.clock, HedgeDelay: campaignHedge}, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: held}},
 		Puts: []kv.Put{
 			{Key: joblog.Leader, Value: raw, Lease: lease},
@@ -48,7 +48,7 @@
 		er.onChange([]kv.Item{{Key: joblog.Leader, Value: raw, Revision: revision}}, false)
 	case errors.Is(err, kv.ErrConflict):
 		er.onChange(items, false)
-	case errors.Is(err, kv.ErrLeaseGone):
+	case errors.Is(err, kv.ErrLeaseExpired):
 		er.dropLease(lease, "not found in the store")
 	default:
 		er.log.Info("Outcome of the election is unknown; waiting for the watch.", "reason", err.Error())
@@ -131,7 +131,7 @@
 		er.applyLeader(item)
 	case item.Key == joblog.Backlog:
 		er.applyBacklog(item)
-	case item.Gone:
+	case item.Deleted:
 		delete(er.members, item.Key)
 		er.registered = er.registered && item.Key != joblog.Nodes+er.opts.Node
 	default:
@@ -149,7 +149,7 @@
 	if er.opts.OnBacklog == nil {
 		return
 	}
-	if item.Gone {
+	if item.Deleted {
 		er.opts.OnBacklog(joblog.BacklogSize{})
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 func (er *Elector) applyLeader(item kv.Item) {
-	if item.Gone || item.Revision == 0 {
+	if item.Deleted || item.Revision == 0 {
 		if er.leaderRevision > 0 && (item.Revision == 0 || item.Revision >= er.leaderRevision) {
 			er.leaderRevision, er.vacantSince = 0, er.clock.Now()
 		}
@@ -251,13 +251,13 @@
 	}
 	call, cancel := context.WithTimeout(ctx, er.opts.TTL/2)
 	defer cancel()
-	revision, items, err := er.store.Settle(call, kv.Settling{Clock: er.clock, Hedge: campaignHedge}, kv.Txn{
+	revision, items, err := er.store.CommitWithRetry(call, kv.CommitOptions{Clock: er.clock, HedgeDelay: campaignHedge}, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: token}},
-		Removes:    []string{joblog.Leader},
+		Deletes:    []string{joblog.Leader},
 	})
 	switch {
 	case err == nil:
-		er.onChange([]kv.Item{{Key: joblog.Leader, Revision: revision, Gone: true}}, false)
+		er.onChange([]kv.Item{{Key: joblog.Leader, Revision: revision, Deleted: true}}, false)
 	case errors.Is(err, kv.ErrConflict):
 		er.onChange(items, false)
 	case ctx.Err() == nil:
