--- a/internal/cellnode/admission.go
+++ b/internal/cellnode/admission.go
@@ -26,5 +26,5 @@
 	}
 	metrics.GetOrRegisterCounter("callers.refused_for_backlog", nd.meters).Inc(1)
 	nd.log.Info("Job refused because of the backlog.", "job", jb.ID, "queue", jb.Queue.Name, "come_back", retryAfter.String())
-	return fault.New(fault.Full, "backlog too long to start the job soon; not run").After(retryAfter)
+	return fault.New(fault.Full, "backlog too long to start the job soon; not run").WithRetryAfter(retryAfter)
 }
--- a/internal/cellnode/config.go
+++ b/internal/cellnode/config.go
@@ -47,11 +47,11 @@
 	age, loaded := nd.config.Age()
 	switch {
 	case !loaded || nd.table.Config() == nil:
-		return fault.New(fault.Unavailable, "no configuration loaded").After(retryAfter)
+		return fault.New(fault.Unavailable, "no configuration loaded").WithRetryAfter(retryAfter)
 	case age > nd.staleAfter() && nd.health.Down():
-		return fault.New(fault.Unavailable, "store unavailable, configuration %s old; not run", age.Round(time.Millisecond)).After(retryAfter)
+		return fault.New(fault.Unavailable, "store unavailable, configuration %s old; not run", age.Round(time.Millisecond)).WithRetryAfter(retryAfter)
 	case age > nd.staleAfter():
-		return fault.New(fault.Stale, "configuration is %s old; not run", age.Round(time.Millisecond)).After(retryAfter)
+		return fault.New(fault.Stale, "configuration is %s old; not run", age.Round(time.Millisecond)).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 		return err
 	}
 	if nd.config.Behind() {
-		return fault.New(fault.Stale, "newer configuration not loaded yet").After(retryAfter)
+		return fault.New(fault.Stale, "newer configuration not loaded yet").WithRetryAfter(retryAfter)
 	}
 	return nil
 }
--- a/internal/cellnode/requests.go
+++ b/internal/cellnode/requests.go
@@ -84,7 +84,7 @@
 func (nd *Node) askPlanner(ctx context.Context, rq peerlink.Request) (peerlink.Reply, error) {
 	leader, ok := nd.term.Leader()
 	if !ok {
-		return peerlink.Reply{}, fault.New(fault.Unavailable, "no planner known").After(retryAfter)
+		return peerlink.Reply{}, fault.New(fault.Unavailable, "no planner known").WithRetryAfter(retryAfter)
 	}
 	ctx, cancel := context.WithTimeout(ctx, plannerTimeout)
 	defer cancel()
--- a/internal/home/place.go
+++ b/internal/home/place.go
@@ -226,7 +226,7 @@
 // no start was sent, and a later attempt gets a number of its own.
 func (hm *Home) intentRecorded(en *entry, rec job.Record, err error) {
 	if err != nil || en.frozen || en.rec.Cancelled {
-		if err != nil && fault.From(err).Begun {
+		if err != nil && fault.From(err).MayHaveRun {
 			en.rec.Version = rec.Version // the write may have been applied; the next one needs a higher version
 		}
 		if err == nil {
--- a/internal/home/run.go
+++ b/internal/home/run.go
@@ -226,7 +226,7 @@
 		if !ts.Known {
 			continue
 		}
-		if _, _, index, ok := ids.TaskJob(ts.Task); ok {
+		if _, _, index, ok := ids.ParseTask(ts.Task); ok {
 			en.recordSaved(index, ts.Saved)
 			hm.setStatus(en, index, job.StatusOf(ts.State, ts.Started))
 		}
@@ -257,7 +257,7 @@
 // TaskEnded processes an owner's report of the end of a task. The report is acknowledged once the job's end is in the
 // journal, or if there is no such job. Until then, ends of an earlier attempt's tasks are not acknowledged.
 func (hm *Home) TaskEnded(end nodemsg.TaskEnded) (nodemsg.TaskEndedReply, error) {
-	id, number, index, ok := ids.TaskJob(end.Task)
+	id, number, index, ok := ids.ParseTask(end.Task)
 	if !ok {
 		return nodemsg.TaskEndedReply{Acked: true}, nil
 	}
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -48,11 +48,11 @@
 
 // unconfirmedError returns the error for a submission that the journal has not confirmed.
 func (hm *Home) unconfirmedError(err error) error {
-	if fault.From(err).Begun {
+	if fault.From(err).MayHaveRun {
 		return fault.New(fault.Unavailable, "the store did not confirm the job in time, "+
-			"it may have been accepted; retry with the same idempotency key").After(time.Second).AfterStart()
+			"it may have been accepted; retry with the same idempotency key").WithRetryAfter(time.Second).MarkMayHaveRun()
 	}
-	return fault.New(fault.Unavailable, "the store did not accept the job; not run").After(time.Second)
+	return fault.New(fault.Unavailable, "the store did not accept the job; not run").WithRetryAfter(time.Second)
 }
 
 func (hm *Home) currentJournal() *journal.Journal {
@@ -66,7 +66,7 @@
 func (hm *Home) admit(req nodemsg.Submit) (*entry, error) {
 	part := ids.Partition(req.Workspace)
 	if hm.parts[part].state != owned {
-		return nil, fault.New(fault.Unavailable, "the workspace's home is moving").After(moveRetryAfter)
+		return nil, fault.New(fault.Unavailable, "the workspace's home is moving").WithRetryAfter(moveRetryAfter)
 	}
 	if en, err := hm.findByKey(req); en != nil || err != nil {
 		return en, err
@@ -112,7 +112,7 @@
 		return fault.New(fault.PastDeadline, "the deadline passed %v ago; not run", -req.Budget)
 	}
 	if hm.unfinished >= hm.opts.MaxUnfinishedJobs {
-		return fault.New(fault.Full, "this node has %d unfinished jobs, which is the limit; not run", hm.unfinished).After(time.Second)
+		return fault.New(fault.Full, "this node has %d unfinished jobs, which is the limit; not run", hm.unfinished).WithRetryAfter(time.Second)
 	}
 	if !hm.capacityComplete {
 		return nil // a larger worker may not have been seen yet
@@ -201,7 +201,7 @@
 		return nil, fault.New(fault.NotFound, "%q is not a job id", id)
 	}
 	if hm.parts[part].state != owned {
-		return nil, fault.New(fault.Unavailable, "the job's home is moving").After(moveRetryAfter)
+		return nil, fault.New(fault.Unavailable, "the job's home is moving").WithRetryAfter(moveRetryAfter)
 	}
 	en, ok := hm.jobs[id]
 	if !ok {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -147,7 +147,7 @@
 }
 
 // Wait waits for an append. If the context ends first, records that were not sent are withdrawn, and the error means
-// that nothing was stored. If they were sent, the error is marked with AfterStart.
+// that nothing was stored. If they were sent, the error is marked with MarkMayHaveRun.
 func (jr *Journal) Wait(ctx context.Context, pd *Pending) error {
 	select {
 	case <-pd.Done():
@@ -163,7 +163,7 @@
 			return pd.err
 		}
 	}
-	return fault.New(fault.Unavailable, "store has not confirmed the record in time").AfterStart()
+	return fault.New(fault.Unavailable, "store has not confirmed the record in time").MarkMayHaveRun()
 }
 
 // run writes batches until the context ends.
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -119,9 +119,9 @@
 	sent := jr.Append(record("sent", 1))
 	short, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	is.True(fault.From(jr.Wait(short, sent)).Begun) // may be stored
+	is.True(fault.From(jr.Wait(short, sent)).MayHaveRun) // may be stored
 	behind := jr.Append(record("behind", 1))
-	is.True(!fault.From(jr.Wait(short, behind)).Begun) // certainly not stored
+	is.True(!fault.From(jr.Wait(short, behind)).MayHaveRun) // certainly not stored
 	st.SetFaults(standinstore.Faults{})
 	<-sent.Done()
 	is.NoErr(sent.Err()) // stored once the store answers again
--- a/internal/owner/lookup.go
+++ b/internal/owner/lookup.go
@@ -61,7 +61,7 @@
 		if rs.err == nil {
 			return nodemsg.Answer{ID: req.ID, Worker: rs.worker, Body: rs.body}, nil
 		}
-		retryable := rs.ended && (req.Repeatable || !rs.err.Begun)
+		retryable := rs.ended && (req.Repeatable || !rs.err.MayHaveRun)
 		if !retryable || try == maxTries || !ow.Clock.Now().Before(deadline) || !ow.spendRetry(req.Workspace) {
 			return nodemsg.Answer{}, rs.err
 		}
@@ -127,7 +127,7 @@
 		ow.step(policy.Event{LookupDone: &policy.LookupDone{ID: lk.name()}})
 		return result{err: fault.New(fault.Full, "no slot became free before the deadline; not run")}
 	}
-	return result{err: fault.New(fault.Timeout, "worker %s did not answer in time", lk.worker).AfterStart()}
+	return result{err: fault.New(fault.Timeout, "worker %s did not answer in time", lk.worker).MarkMayHaveRun()}
 }
 
 func lookupID(name string) (uint64, bool) {
@@ -159,7 +159,7 @@
 		if err == nil {
 			return
 		}
-		if er := fault.From(err); !er.Begun {
+		if er := fault.From(err); !er.MayHaveRun {
 			ow.notSent(id, sd.Worker)
 		} // else the inventory of the next attachment decides
 	}()
@@ -188,7 +188,7 @@
 	if rf.Reason == policy.ReasonEmpty {
 		kind = fault.Unavailable // another owner may have the workers now
 	}
-	lk.done <- result{err: fault.New(kind, "%s: no slot in time; not run", rf.Reason).After(rf.RetryAfter)}
+	lk.done <- result{err: fault.New(kind, "%s: no slot in time; not run", rf.Reason).WithRetryAfter(rf.RetryAfter)}
 }
 
 // finish ends a lookup and frees its slot. The caller holds the lock.
@@ -223,11 +223,11 @@
 		rs.err = fault.New(fault.Unavailable, "worker %s refused: %s", wc.vm.Name, an.Refusal)
 	case an.Failed != "":
 		rs.ended, rs.workerFailed = true, true
-		rs.err = fault.New(fault.Endpoint, "worker %s failed: %s", wc.vm.Name, an.Failed).AfterStart()
+		rs.err = fault.New(fault.EndpointFailed, "worker %s failed: %s", wc.vm.Name, an.Failed).MarkMayHaveRun()
 	case len(an.Body) != an.Length:
 		ow.Meter.Count(CounterTruncated, 1)
 		rs.ended, rs.workerFailed = true, true
-		rs.err = fault.New(fault.Endpoint, "the answer of worker %s is truncated", wc.vm.Name).AfterStart()
+		rs.err = fault.New(fault.EndpointFailed, "the answer of worker %s is truncated", wc.vm.Name).MarkMayHaveRun()
 	}
 	ow.finish(an.ID, rs, latency)
 }
@@ -241,7 +241,7 @@
 		}
 		ow.finish(id, result{
 			worker: name, ended: running != nil,
-			err: fault.New(fault.Endpoint, "the link to worker %s was lost", name).AfterStart(),
+			err: fault.New(fault.EndpointFailed, "the link to worker %s was lost", name).MarkMayHaveRun(),
 		}, 0)
 	}
 }
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -19,7 +19,7 @@
 // reportEnd reports the end of a task to the job's home. If the home acknowledges it, the worker may forget the task;
 // otherwise the home acknowledges it later, or the end is reported again.
 func (ow *Owner) reportEnd(en workermsg.Ended) {
-	job, _, _, ok := ids.TaskJob(en.Task)
+	job, _, _, ok := ids.ParseTask(en.Task)
 	part, valid := ids.JobPartition(job)
 	if !ok || !valid {
 		ow.ack(en.Task) // not a task of a job
--- a/internal/owner/task.go
+++ b/internal/owner/task.go
@@ -136,7 +136,7 @@
 		Task: pl.Task, Size: cm.Size, Payload: cm.Payload, Prepared: cm.Prepared,
 		Priority: cm.Priority, Repeatable: cm.Repeatable, Resume: cm.Resume,
 	})
-	if err != nil && !fault.From(err).Begun {
+	if err != nil && !fault.From(err).MayHaveRun {
 		return ow.notStarted(pl, err.Error())
 	}
 	if err != nil {
@@ -292,7 +292,7 @@
 		ow.step(policy.Event{Ended: &policy.Ended{Task: en.Task}})
 		ow.finish(id, result{
 			worker: wc.vm.Name, ended: true,
-			err: fault.New(fault.Endpoint, "the answer of worker %s was lost", wc.vm.Name).AfterStart(),
+			err: fault.New(fault.EndpointFailed, "the answer of worker %s was lost", wc.vm.Name).MarkMayHaveRun(),
 		}, 0)
 		return
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -90,11 +90,11 @@
 	for {
 		an, err := rt.tryOwners(ctx, req, deadline)
 		er := fault.From(err)
-		if err == nil || er.Kind != fault.Unavailable || er.Begun {
+		if err == nil || er.Kind != fault.Unavailable || er.MayHaveRun {
 			return an, err
 		}
 		if !rt.clock.Now().Before(giveUpAt) || ctx.Err() != nil {
-			return an, fault.New(fault.Full, "%s; not run", er.Message).After(time.Second)
+			return an, fault.New(fault.Full, "%s; not run", er.Message).WithRetryAfter(time.Second)
 		}
 		rt.clock.Sleep(movePollPause)
 	}
@@ -118,13 +118,13 @@
 		}
 		an, err := rt.serve(ctx, tg, req)
 		if err == nil && an.ID != req.ID {
-			err = fault.New(fault.Unavailable, "node %s answered a different lookup", tg.name).AfterStart()
+			err = fault.New(fault.Unavailable, "node %s answered a different lookup", tg.name).MarkMayHaveRun()
 		}
 		if err == nil {
 			return an, nil
 		}
 		last = err
-		if fault.From(err).Begun || ctx.Err() != nil {
+		if fault.From(err).MayHaveRun || ctx.Err() != nil {
 			break
 		}
 	}
@@ -231,7 +231,7 @@
 // Submit sends a job to the home of its workspace. While the home is moving or unreachable, it retries until the
 // context ends. A request that may have arrived is only repeated with an idempotency key.
 func (rt *Router) Submit(ctx context.Context, req nodemsg.Submit) (nodemsg.JobView, error) {
-	retryable := func(er *fault.Error) bool { return !er.Begun || req.Key != "" }
+	retryable := func(er *fault.Error) bool { return !er.MayHaveRun || req.Key != "" }
 	return callHome(ctx, rt, ids.Partition(req.Workspace), nodemsg.KindSubmit, req, rt.local.Submit, retryable)
 }
 
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -62,7 +62,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.Unavailable, "store call budget exhausted; retry later").After(pause)
+			return fault.New(fault.Unavailable, "store call budget exhausted; retry later").WithRetryAfter(pause)
 		case <-bg.clock.After(pause):
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -163,7 +163,7 @@
 
 func unavailable(what string, err error) *fault.Error {
 	const retryAfter = time.Second
-	return fault.New(fault.Unavailable, "store did not answer a %s: %v", what, err).After(retryAfter)
+	return fault.New(fault.Unavailable, "store did not answer a %s: %v", what, err).WithRetryAfter(retryAfter)
 }
 
 // Write is a compare-and-swap of one key.
@@ -193,7 +193,7 @@
 
 // Put executes a write. It returns true and the written key, or false and the current key if another write was first.
 // If the response is lost, it reads the key and repeats the same compare-and-swap until the outcome is known. An error
-// with Begun set means that the write may have taken effect, or may still do so.
+// with MayHaveRun set means that the write may have taken effect, or may still do so.
 func (cl *Client) Put(ctx context.Context, class Class, wr Write) (storemsg.Item, bool, error) {
 	req := storemsg.PutRequest{
 		Key: wr.Key, Value: wr.Value, Version: wr.Version, Delete: wr.Delete, Lease: wr.Lease,
@@ -220,7 +220,7 @@
 		}
 		if !retry {
 			er := unavailable("write", err)
-			er.Begun = mayHaveApplied
+			er.MayHaveRun = mayHaveApplied
 			return storemsg.Item{}, false, er
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire encodes the messages between the system's processes. The codec is
-// CBOR from a library; this package sets the limits under which it reads.
+// Package wire encodes and decodes the messages between processes as CBOR, and
+// limits the size and structure of decoded messages.
 package wire
 
 import (
@@ -11,10 +11,10 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// MaxMessage is the largest message in bytes that is sent or read.
-const MaxMessage = 1 << 20
+// MaxMessageSize is the maximum size of an encoded message in bytes.
+const MaxMessageSize = 1 << 20
 
-// Limits on what one message may hold, against hostile or broken senders.
+// Limits on the structure of a message, against malicious or faulty senders.
 const (
 	maxElements = 1 << 17
 	maxNesting  = 16
@@ -28,7 +28,7 @@
 func mustEncoder() cbor.EncMode {
 	mode, err := cbor.EncOptions{
 		Sort: cbor.SortBytewiseLexical,
-		Time: cbor.TimeUnixMicro, // the default cuts times to whole seconds
+		Time: cbor.TimeUnixMicro, // the default truncates times to whole seconds
 	}.EncMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -50,34 +50,34 @@
 	return mode
 }
 
-// Encode returns the message in bytes, or an error where it is over MaxMessage.
+// Encode encodes a message. It returns an error if the result is larger than MaxMessageSize.
 func Encode(msg any) ([]byte, error) {
 	raw, err := encoder.Marshal(msg)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode message")
 	}
-	if len(raw) > MaxMessage {
-		return nil, fault.New(fault.TooLarge, "message of %d bytes is over %d", len(raw), MaxMessage)
+	if len(raw) > MaxMessageSize {
+		return nil, fault.New(fault.TooLarge, "message of %d bytes is over %d", len(raw), MaxMessageSize)
 	}
 	return raw, nil
 }
 
-// Decode reads one message from raw into msg.
+// Decode decodes a message from raw into msg.
 func Decode(raw []byte, msg any) error {
-	if len(raw) > MaxMessage {
-		return fault.New(fault.TooLarge, "message of %d bytes is over %d", len(raw), MaxMessage)
+	if len(raw) > MaxMessageSize {
+		return fault.New(fault.TooLarge, "message of %d bytes is over %d", len(raw), MaxMessageSize)
 	}
 	return errors.Wrap(decoder.Unmarshal(raw, msg), "decode message")
 }
 
-// ReadAll reads one message from a stream that ends with it.
+// ReadAll reads a message that ends with the stream.
 func ReadAll(from io.Reader) ([]byte, error) {
-	raw, err := io.ReadAll(io.LimitReader(from, MaxMessage+1))
+	raw, err := io.ReadAll(io.LimitReader(from, MaxMessageSize+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "read message")
 	}
-	if len(raw) > MaxMessage {
-		return nil, fault.New(fault.TooLarge, "message is over %d bytes", MaxMessage)
+	if len(raw) > MaxMessageSize {
+		return nil, fault.New(fault.TooLarge, "message is over %d bytes", MaxMessageSize)
 	}
 	return raw, nil
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -327,7 +327,7 @@
 }
 
 func (ln *Link) noReplyError(cause error) error {
-	return fault.New(fault.Unavailable, "worker %s did not reply: %v", ln.opts.Name, cause).AfterStart()
+	return fault.New(fault.Unavailable, "worker %s did not reply: %v", ln.opts.Name, cause).MarkMayHaveRun()
 }
 
 // Lookup sends a lookup; the answer is reported as an event. If MayHaveRun of the error is set, the lookup may have
