--- a/internal/cellnode/cellnode_test.go
+++ b/internal/cellnode/cellnode_test.go
@@ -106,7 +106,7 @@
 		case "commit", "grant", "keep", "end":
 			return memkv.None
 		}
-		return memkv.Silent
+		return memkv.RequestLost
 	})
 }
 
@@ -178,7 +178,7 @@
 	}
 	dp.store.SetFault(func(client, call string) memkv.Fault {
 		if client == "n1" && (call == "watch" || call == "range") {
-			return memkv.Silent
+			return memkv.RequestLost
 		}
 		return memkv.None
 	})
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -23,8 +23,8 @@
 
 // Point says which part of the requests waited at most how long.
 type Point struct {
-	Wait time.Duration
-	Part float64
+	Wait     time.Duration
+	Fraction float64
 }
 
 // Points returns the points of a histogram of microseconds.
@@ -57,15 +57,15 @@
 	return &Chart{plot: pl}
 }
 
-// Line adds a distribution; one without points is left out.
-func (ch *Chart) Line(name string, points []Point) error {
+// AddLine adds a distribution; one without points is left out.
+func (ch *Chart) AddLine(name string, points []Point) error {
 	if len(points) == 0 {
 		return nil
 	}
 	first := max(points[0].Wait, shortest).Seconds()
 	list := plotter.XYs{{X: first, Y: 0}}
 	for _, pt := range points {
-		list = append(list, plotter.XY{X: max(pt.Wait, shortest).Seconds(), Y: pt.Part})
+		list = append(list, plotter.XY{X: max(pt.Wait, shortest).Seconds(), Y: pt.Fraction})
 	}
 	line, err := plotter.NewLine(list)
 	if err != nil {
--- a/internal/cli/cmd_load.go
+++ b/internal/cli/cmd_load.go
@@ -71,20 +71,20 @@
 	if err := cm.env.print(rp, func(out io.Writer) { printLoad(out, rp) }); err != nil {
 		return err
 	}
-	if len(rp.Wrong) > 0 {
-		return fault.New(fault.WrongAnswer, "%d wrong answers, for example: %s", len(rp.Wrong), rp.Wrong[0])
+	if len(rp.WrongAnswers) > 0 {
+		return fault.New(fault.WrongAnswer, "%d wrong answers, for example: %s", len(rp.WrongAnswers), rp.WrongAnswers[0])
 	}
 	return nil
 }
 
 func (cm *loadCommand) plan() (*load.Load, error) {
 	op := load.Options{
-		Lookups: cm.Lookups, Jobs: cm.Jobs, Span: cm.Time, Seed: cm.Seed, Workspaces: cm.Workspaces,
-		Service: cm.Service, Batch: cm.Batch, Run: cm.Run, Most: cm.Most, JobWait: cm.JobWait,
-		Expect: standinworker.Reply,
+		LookupRate: cm.Lookups, JobRate: cm.Jobs, Span: cm.Time, Seed: cm.Seed, Workspaces: cm.Workspaces,
+		Service: cm.Service, Batch: cm.Batch, RunTime: cm.Run, MaxInFlight: cm.Most, JobWait: cm.JobWait,
+		ExpectedAnswer: standinworker.ExpectedAnswer,
 	}
 	if cm.AnyAnswer {
-		op.Expect = nil
+		op.ExpectedAnswer = nil
 	}
 	clock := clockwork.NewRealClock()
 	if cm.Trace == "" {
@@ -125,7 +125,7 @@
 func drawLoad(path string, rp load.Report) error {
 	ch := chart.New("latencies under load")
 	for _, name := range slices.Sorted(maps.Keys(rp.Workloads)) {
-		if err := ch.Line(name, rp.Workloads[name].Curve); err != nil {
+		if err := ch.AddLine(name, rp.Workloads[name].Distribution); err != nil {
 			return err
 		}
 	}
@@ -141,8 +141,8 @@
 	printLatencies(gr, rp.Workspaces)
 	gr.flush()
 	_, _ = fmt.Fprintf(out, "\ntook %v; jobs %v; errors %v; not sent %d; wrong answers %d\n",
-		rp.Took.Round(time.Millisecond), rp.Answers, rp.Errors, rp.Unsent, len(rp.Wrong))
-	for _, text := range rp.Samples {
+		rp.Elapsed.Round(time.Millisecond), rp.JobOutcomes, rp.Errors, rp.NotSent, len(rp.WrongAnswers))
+	for _, text := range rp.ErrorSamples {
 		_, _ = fmt.Fprintln(out, "error:", text)
 	}
 }
--- a/internal/cli/cmd_lookup.go
+++ b/internal/cli/cmd_lookup.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	if want := standinworker.Reply(body); cm.Check && string(want) != string(rsp.Body) {
+	if want := standinworker.ExpectedAnswer(body); cm.Check && string(want) != string(rsp.Body) {
 		return fault.New(fault.WrongAnswer, "asked %q, got %q", body, rsp.Body)
 	}
 	an := lookupAnswer{Worker: rsp.Worker, Answer: string(rsp.Body), Stale: rsp.Stale}
--- a/internal/cli/cmd_replay.go
+++ b/internal/cli/cmd_replay.go
@@ -26,7 +26,7 @@
 		"and they must come out as recorded. A workload trace (see tackbeam trace) is run through the decisions in virtual time, " +
 		"and its stated outcomes must come about; with --compare it is run through several policies, and nothing is checked. " +
 		"Policies: " + strings.Join(lo.Map(trial.Policies(), func(pl trial.Policy, _ int) string {
-		return pl.Name() + " (" + pl.About() + ")"
+		return pl.Name() + " (" + pl.Description() + ")"
 	}), ", ") + ". Ends with an error where something differs from what is recorded or stated.",
 	New: func(env *Env) any { return &replayCommand{env: env} },
 }
@@ -98,17 +98,17 @@
 	gr := newGrid(out, "trace", "node", "inputs", "decisions", "differences", "span", "took", "inputs/s")
 	for i, rp := range reports {
 		rate := "-"
-		if rp.Took > 0 {
-			rate = fmt.Sprintf("%.0f", float64(rp.Inputs)/rp.Took.Seconds())
+		if rp.Elapsed > 0 {
+			rate = fmt.Sprintf("%.0f", float64(rp.Inputs)/rp.Elapsed.Seconds())
 		}
 		gr.line(paths[i], rp.Node, fmt.Sprint(rp.Inputs), fmt.Sprint(rp.Decisions),
 			fmt.Sprint(rp.Differences), rp.Span.Round(time.Millisecond).String(),
-			rp.Took.Round(time.Microsecond).String(), rate)
+			rp.Elapsed.Round(time.Microsecond).String(), rate)
 	}
 	gr.flush()
 	for _, rp := range reports {
-		if rp.First != "" {
-			_, _ = fmt.Fprintln(out, "first difference:", rp.First)
+		if rp.FirstDifference != "" {
+			_, _ = fmt.Fprintln(out, "first difference:", rp.FirstDifference)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 func drawTrials(path string, reports []trial.Report) error {
 	ch := chart.New("waits of jobs, trace " + reports[0].Trace)
 	for _, rp := range reports {
-		if err := ch.Line(rp.Policy, rp.Curve); err != nil {
+		if err := ch.AddLine(rp.Policy, rp.Distribution); err != nil {
 			return err
 		}
 	}
@@ -161,14 +161,14 @@
 func (cm *replayCommand) policies() ([]trial.Policy, error) {
 	switch cm.Compare {
 	case "":
-		pl, err := trial.Find(trial.Now)
+		pl, err := trial.FindPolicy(trial.CurrentPolicy)
 		return []trial.Policy{pl}, err
 	case "all":
 		return trial.Policies(), nil
 	}
 	var list []trial.Policy
 	for _, name := range strings.Split(cm.Compare, ",") {
-		pl, err := trial.Find(strings.TrimSpace(name))
+		pl, err := trial.FindPolicy(strings.TrimSpace(name))
 		if err != nil {
 			return nil, err
 		}
@@ -181,7 +181,7 @@
 func unmet(reports []trial.Report) error {
 	var list []string
 	for _, rp := range reports {
-		for _, why := range rp.Broken {
+		for _, why := range rp.UnmetOutcomes {
 			list = append(list, rp.Trace+": "+why)
 		}
 	}
@@ -196,9 +196,9 @@
 		"shed", "preempted", "lost work", "decisions/s", "p99")
 	for _, rp := range reports {
 		gr.line(rp.Trace, rp.Policy, fmt.Sprint(rp.Ran), fmt.Sprint(rp.Refused), fmt.Sprint(rp.Missed), fmt.Sprint(rp.Failed),
-			fmt.Sprintf("%.3f", rp.Packing), rp.Backlog.Round(time.Second).String(), fmt.Sprintf("%.3f", rp.Fairness),
+			fmt.Sprintf("%.3f", rp.Packing), rp.BacklogTime.Round(time.Second).String(), fmt.Sprintf("%.3f", rp.Fairness),
 			fmt.Sprint(rp.Shed), fmt.Sprint(rp.Preempted), rp.LostWork.Round(time.Second).String(),
-			fmt.Sprintf("%.0f", rp.Rate()), rp.DecisionP99.String())
+			fmt.Sprintf("%.0f", rp.DecisionRate()), rp.DecisionP99.String())
 	}
 	gr.flush()
 	_, _ = fmt.Fprintln(out)
--- a/internal/cli/cmd_standin_store.go
+++ b/internal/cli/cmd_standin_store.go
@@ -25,7 +25,7 @@
 
 // Execute carries the command out.
 func (cm *standinStore) Execute([]string) error {
-	st, err := standinstore.New(standinstore.Options{Listen: cm.Listen, Writes: cm.Writes, Reads: cm.Reads})
+	st, err := standinstore.New(standinstore.Options{Listen: cm.Listen, WriteRate: cm.Writes, ReadRate: cm.Reads})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/cmd_standin_workers.go
+++ b/internal/cli/cmd_standin_workers.go
@@ -48,10 +48,10 @@
 		return err
 	}
 	fl, err := fleet.New(fleet.Options{
-		Count: cm.Count, First: cm.First, Halls: cm.Halls, Hall: cm.Hall, Rack: cm.Rack,
+		Count: cm.Count, FirstNumber: cm.First, Halls: cm.Halls, Hall: cm.Hall, RackSize: cm.Rack,
 		Worker: standinworker.Options{
 			Capacity: size.New(cm.Cores*milliPerCore, cm.Memory, cm.Accels),
-			Lease:    cm.Lease, Beat: cm.Beat, LookupTime: cm.Lookup, Records: records,
+			LeaseTTL: cm.Lease, HeartbeatInterval: cm.Beat, LookupTime: cm.Lookup, Records: records,
 		},
 	})
 	if err != nil {
--- a/internal/cli/cmd_trace.go
+++ b/internal/cli/cmd_trace.go
@@ -26,7 +26,7 @@
 
 // Execute carries the command out.
 func (cm *traceCommand) Execute([]string) error {
-	tr, err := trace.Make(cm.Args.Name, cm.Seed)
+	tr, err := trace.Generate(cm.Args.Name, cm.Seed)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/bed_test.go
+++ b/internal/daemon/bed_test.go
@@ -55,7 +55,7 @@
 }
 
 // quick is a worker whose lease runs out soon.
-var quick = standinworker.Options{Lease: 2 * time.Second, Beat: 200 * time.Millisecond}
+var quick = standinworker.Options{LeaseTTL: 2 * time.Second, HeartbeatInterval: 200 * time.Millisecond}
 
 // newBed starts nodes over count workers.
 func newBed(t testing.TB, count int, names ...string) *bed {
@@ -69,11 +69,11 @@
 	bd := &bed{t: t, dir: t.TempDir(), nodes: map[string]*daemon.Daemon{}}
 	must(t, keys.Issue(bd.dir, []string{"n1", "n2", "n3", "n4"}))
 	var err error
-	bd.store, err = standinstore.New(standinstore.Options{Writes: 1000, Reads: 10000})
+	bd.store, err = standinstore.New(standinstore.Options{WriteRate: 1000, ReadRate: 10000})
 	must(t, err)
 	bd.list, err = standinvms.New("")
 	must(t, err)
-	bd.workers, err = fleet.New(fleet.Options{Count: count, First: 1, Halls: 2, Rack: 4, Worker: pattern})
+	bd.workers, err = fleet.New(fleet.Options{Count: count, FirstNumber: 1, Halls: 2, RackSize: 4, Worker: pattern})
 	must(t, err)
 	for _, vm := range bd.workers.VMs() {
 		bd.list.Put(vm)
--- a/internal/daemon/load_test.go
+++ b/internal/daemon/load_test.go
@@ -20,8 +20,8 @@
 	cls := []*client.Client{bd.api("n1"), bd.api("n2")}
 	setCells(t, cls[0], "workspace/brno weight 1", "workload/lookup class service", "workload/push class batch")
 	usual := load.Options{
-		Lookups: 100, Jobs: 10, Span: time.Second, Workspaces: []string{"brno"}, Service: "lookup", Batch: "push",
-		Run: 10 * time.Millisecond, Most: 1000, JobWait: time.Minute, Expect: standinworker.Reply,
+		LookupRate: 100, JobRate: 10, Span: time.Second, Workspaces: []string{"brno"}, Service: "lookup", Batch: "push",
+		RunTime: 10 * time.Millisecond, MaxInFlight: 1000, JobWait: time.Minute, ExpectedAnswer: standinworker.ExpectedAnswer,
 	}
 	cases := map[string]struct {
 		change func(*load.Options)
@@ -30,8 +30,8 @@
 		errors bool
 	}{
 		"all right":         {func(*load.Options) {}, false, false, false},
-		"a wrong answer":    {func(op *load.Options) { op.Expect = func([]byte) []byte { return nil } }, true, false, false},
-		"too many at once":  {func(op *load.Options) { op.Most, op.Jobs, op.Run = 1, 50, 300*time.Millisecond }, false, true, false},
+		"a wrong answer":    {func(op *load.Options) { op.ExpectedAnswer = func([]byte) []byte { return nil } }, true, false, false},
+		"too many at once":  {func(op *load.Options) { op.MaxInFlight, op.JobRate, op.RunTime = 1, 50, 300*time.Millisecond }, false, true, false},
 		"no such workspace": {func(op *load.Options) { op.Workspaces = []string{"zlin"} }, false, false, true},
 	}
 	seed := uint64(0)
@@ -45,12 +45,12 @@
 			ld, err := load.New(clockwork.NewRealClock(), cls, op)
 			is.NoErr(err)
 			rp := ld.Run(t.Context())
-			is.Equal(len(rp.Wrong) > 0, tc.wrong)
-			is.Equal(rp.Unsent > 0, tc.unsent)
+			is.Equal(len(rp.WrongAnswers) > 0, tc.wrong)
+			is.Equal(rp.NotSent > 0, tc.unsent)
 			is.Equal(len(rp.Errors) > 0, tc.errors)
 			sent, answered := ld.Progress()
 			is.Equal(sent, answered)
-			is.Equal(int(sent)+rp.Unsent, ld.Planned())
+			is.Equal(int(sent)+rp.NotSent, ld.Planned())
 		})
 	}
 }
@@ -61,14 +61,14 @@
 	bd := newBed(t, 4, "n1")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1", "workload/lookup class service", "workload/push class batch")
 	tr := trace.New(trace.Header{Name: "small"}, []trace.Event{
-		{Job: &trace.Job{ID: "a", Workspace: "brno", Workload: "push", Tasks: 1, Run: time.Millisecond}},
-		{Lookups: &trace.Lookups{Workspace: "brno", Rate: 100, For: time.Second, Run: 1, Budget: 1, Seed: 3}},
+		{Job: &trace.Job{ID: "a", Workspace: "brno", Workload: "push", Tasks: 1, RunTime: time.Millisecond}},
+		{Lookups: &trace.Lookups{Workspace: "brno", Rate: 100, Duration: time.Second, RunTime: 1, Budget: 1, Seed: 3}},
 	})
 	ld, err := load.FromTrace(clockwork.NewRealClock(), []*client.Client{bd.api("n1")},
-		load.Options{Span: time.Minute, Service: "lookup", Most: 100, JobWait: time.Minute, Expect: standinworker.Reply}, tr)
+		load.Options{Span: time.Minute, Service: "lookup", MaxInFlight: 100, JobWait: time.Minute, ExpectedAnswer: standinworker.ExpectedAnswer}, tr)
 	is.NoErr(err)
 	rp := ld.Run(t.Context())
-	is.Equal(rp.Answers, map[string]int{"ran": 1})
+	is.Equal(rp.JobOutcomes, map[string]int{"ran": 1})
 	is.Equal(rp.Workloads["lookup"].Count, int64(ld.Planned()-1))
-	is.Equal(len(rp.Wrong)+len(rp.Errors), 0)
+	is.Equal(len(rp.WrongAnswers)+len(rp.Errors), 0)
 }
--- a/internal/daemon/lookup_test.go
+++ b/internal/daemon/lookup_test.go
@@ -24,7 +24,7 @@
 		Method: "POST", Path: "/v1/lookups/lookup", Body: []byte(body),
 		Headers: map[string]string{api.HeaderWorkspace: "brno"},
 	})
-	return string(rsp.Body) == string(standinworker.Reply([]byte(body))), err
+	return string(rsp.Body) == string(standinworker.ExpectedAnswer([]byte(body))), err
 }
 
 func counters(t *testing.T, cl *client.Client) map[string]int64 {
@@ -44,10 +44,10 @@
 	}{
 		"in order":         {standinworker.Faults{}, true, ""},
 		"overtaking":       {standinworker.Faults{LookupDelay: 20 * time.Millisecond}, true, ""},
-		"foreign answers":  {standinworker.Faults{Foreign: true}, true, owner.CounterLate},
-		"twice":            {standinworker.Faults{Twice: true}, true, owner.CounterLate},
-		"cut short":        {standinworker.Faults{CutShort: true}, false, owner.CounterShort},
-		"all of it":        {standinworker.Faults{CutShort: true, Twice: true, Foreign: true, LookupDelay: time.Millisecond}, false, owner.CounterShort},
+		"foreign answers":  {standinworker.Faults{SendUnrequested: true}, true, owner.CounterLate},
+		"twice":            {standinworker.Faults{SendTwice: true}, true, owner.CounterLate},
+		"cut short":        {standinworker.Faults{Truncate: true}, false, owner.CounterShort},
+		"all of it":        {standinworker.Faults{Truncate: true, SendTwice: true, SendUnrequested: true, LookupDelay: time.Millisecond}, false, owner.CounterShort},
 		"fails everything": {standinworker.Faults{FailAll: true}, false, "errors_" + string(fault.Endpoint)},
 	}
 	bd := newBed(t, 4, "n1", "n2")
@@ -191,7 +191,7 @@
 	}
 	for n := range 10 {
 		time.Sleep(50 * time.Millisecond)
-		bd.workers.Workers()[n%2].Cut() // the other worker's queue stands meanwhile
+		bd.workers.Workers()[n%2].CloseConnections() // the other worker's queue stands meanwhile
 	}
 	close(stop)
 	wg.Wait()
@@ -200,7 +200,7 @@
 	running := map[string]int{}
 	for _, rc := range inOrder(bd) {
 		switch rc.Event {
-		case standinworker.EventOver:
+		case standinworker.EventOverCapacity:
 			t.Errorf("worker %s was over its size", rc.Worker)
 		case standinworker.EventEnd:
 			running[rc.Mark]--
--- a/internal/daemon/plain_test.go
+++ b/internal/daemon/plain_test.go
@@ -30,7 +30,7 @@
 			t.Parallel()
 			is := is.New(t)
 			bd := newBedOf(t, 1, standinworker.Options{
-				Lease: time.Second, Beat: 200 * time.Millisecond, Capabilities: tc.capabilities,
+				LeaseTTL: time.Second, HeartbeatInterval: 200 * time.Millisecond, Capabilities: tc.capabilities,
 			}, "n1")
 			setCells(t, bd.api("n1"), "workspace/brno weight 1", "workload/push class batch", "workload/push repeatable yes")
 			vw, err := client.Send[api.Job](bd.api("n1"), client.Request{Method: "POST", Path: api.PathJobs},
--- a/internal/daemon/silent_test.go
+++ b/internal/daemon/silent_test.go
@@ -23,7 +23,7 @@
 			}
 		}},
 		"new machines, listed while the links to the old ones stand": {true, func(bd *bed) {
-			fl, err := fleet.New(fleet.Options{Count: 2, First: 1, Halls: 2, Rack: 4, Worker: quick})
+			fl, err := fleet.New(fleet.Options{Count: 2, FirstNumber: 1, Halls: 2, RackSize: 4, Worker: quick})
 			must(bd.t, err)
 			bd.t.Cleanup(func() { _ = fl.Close() })
 			for _, vm := range fl.VMs() {
@@ -41,7 +41,7 @@
 			is.NoErr(err)
 			bd.eventually("the job runs", func() bool { return len(inOrder(bd)) == 1 })
 			for _, wk := range bd.workers.Workers() {
-				wk.SetFaults(standinworker.Faults{Mute: true})
+				wk.SetFaults(standinworker.Faults{DropSends: true})
 			}
 			if tc.early {
 				tc.back(bd)
--- a/internal/daemon/split_test.go
+++ b/internal/daemon/split_test.go
@@ -81,7 +81,7 @@
 			t.Parallel()
 			is := is.New(t)
 			bd := newBedOf(t, 32, standinworker.Options{
-				Lease: time.Second, Beat: 200 * time.Millisecond, Capabilities: capabilities,
+				LeaseTTL: time.Second, HeartbeatInterval: 200 * time.Millisecond, Capabilities: capabilities,
 			})
 			bd.gates = map[string]*gate{}
 			for _, node := range []string{"n1", "n2", "n3", "n4"} {
@@ -111,7 +111,7 @@
 			bd.waitSlots(32 * 8)
 			begun := map[string]int{}
 			for _, rc := range inOrder(bd) {
-				is.True(rc.Event != standinworker.EventOver) // no worker is over its size
+				is.True(rc.Event != standinworker.EventOverCapacity) // no worker is over its size
 				if rc.Event == standinworker.EventBegin {
 					begun[rc.Mark]++
 					is.True(begun[rc.Mark] == 1) // nothing runs twice
--- a/internal/daemon/table_test.go
+++ b/internal/daemon/table_test.go
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	bd := newBed(t, 2, "n1", "n2")
 	setCells(t, bd.api("n1"), "workspace/brno weight 1")
-	bd.store.SetFaults(standinstore.Faults{LoseEvery: 3})
+	bd.store.SetFaults(standinstore.Faults{DropResponseEvery: 3})
 	value := "1"
 	for n := 2; n < 12; n++ {
 		type answer struct {
--- a/internal/daemon/urgent_test.go
+++ b/internal/daemon/urgent_test.go
@@ -116,6 +116,6 @@
 	close(stop)
 	wg.Wait()
 	for _, rc := range inOrder(bd) {
-		is.True(rc.Event != standinworker.EventOver) // no worker was over its size
+		is.True(rc.Event != standinworker.EventOverCapacity) // no worker was over its size
 	}
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -171,7 +171,7 @@
 		lost := 0
 		bd.mem.SetFault(func(string, string) memkv.Fault {
 			if lost++; lost%3 == 0 {
-				return memkv.Lost
+				return memkv.ResponseLost
 			}
 			return memkv.None
 		})
@@ -232,7 +232,7 @@
 				if changed {
 					bd.write(1, 1)
 				}
-				bd.mem.Forget()
+				bd.mem.Compact()
 				bd.out.count()
 				bd.mem.SetFault(func(string, string) memkv.Fault { return memkv.None })
 				is.True(bd.awaitActive(time.Minute) < maxDelay)
@@ -280,7 +280,7 @@
 		bd.awaitActive(time.Minute)
 		nd := bd.nodes[0]
 		for _, outage := range []time.Duration{5000 * time.Millisecond, 5170 * time.Millisecond, 5340 * time.Millisecond} {
-			bd.mem.SetFault(func(string, string) memkv.Fault { return memkv.Silent })
+			bd.mem.SetFault(func(string, string) memkv.Fault { return memkv.RequestLost })
 			time.Sleep(outage)
 			bd.mem.SetFault(func(string, string) memkv.Fault { return memkv.None })
 			nd.feed.Refresh()
--- a/internal/feed/soak_test.go
+++ b/internal/feed/soak_test.go
@@ -107,13 +107,13 @@
 	case 3:
 		sk.testbed.set(func() { sk.testbed.storeDelay = time.Duration(sk.rnd.IntN(400)) * time.Millisecond })
 	case 4:
-		store(memkv.Lost, lossy)
+		store(memkv.ResponseLost, lossy)
 	case 5:
 		store(memkv.Refused, 1)
 	case 6:
-		store(memkv.Silent, 1)
+		store(memkv.RequestLost, 1)
 	case 7:
-		sk.testbed.mem.Forget()
+		sk.testbed.mem.Compact()
 	case 8:
 		sk.testbed.set(func() { sk.testbed.peersSilent = true })
 	case 9:
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -198,7 +198,7 @@
 func (hm *Home) step(ev policy.Event) {
 	ev.At = hm.now()
 	acts := hm.machine.Step(ev)
-	hm.Recorder.Home(ev, acts)
+	hm.Recorder.RecordHome(ev, acts)
 	if ev.Tick == nil && hm.machine.Waiting() > 0 {
 		hm.pacer.Kick()
 	}
--- a/internal/httpcall/streamed_test.go
+++ b/internal/httpcall/streamed_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path.Narrow(slowLink)
+	path.SetBandwidth(slowLink)
 	t.Cleanup(func() {
 		_ = path.Close()
 		_ = ln.Close()
@@ -80,7 +80,7 @@
 				is := is.New(t)
 				fr := newSlowRemote(t)
 				if tc.stallAfter > 0 {
-					time.AfterFunc(tc.stallAfter, fr.path.Silence)
+					time.AfterFunc(tc.stallAfter, fr.path.Blackhole)
 				}
 				rq := tc.rq
 				rq.LongPoll = longPoll
@@ -121,8 +121,8 @@
 	is.True(time.Since(startedAt) <= margin)
 	is.NoErr(fr.call("/short", httpcall.Request{Streamed: true, LongPoll: true, MaxBody: maxBody}, time.Second))
 	time.Sleep(margin)
-	t.Log("bytes carried:", fr.path.Carried())
-	is.True(fr.path.Carried() <= maxBody)
+	t.Log("bytes carried:", fr.path.BytesReturned())
+	is.True(fr.path.BytesReturned() <= maxBody)
 }
 
 // TestStreamedIsNotOverdue guards against closing the idle connections of an address while a streamed response arrives.
--- a/internal/httpcall/unresponsive_test.go
+++ b/internal/httpcall/unresponsive_test.go
@@ -109,7 +109,7 @@
 				})
 			}
 			time.Sleep(work / 2)
-			fr.path.Silence()
+			fr.path.Blackhole()
 			startedAt := time.Now()
 			failed := 0
 			for fr.call("/", httpcall.Request{LongPoll: tc.longPoll}, callTimeout) != nil {
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	fr := newRemote(t, 64)
 	fr.openConns(24)
-	fr.path.Silence()
+	fr.path.Blackhole()
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	var failed time.Duration
@@ -205,7 +205,7 @@
 	is := is.New(t)
 	fr := newRemote(t, maxConns)
 	fr.openConns(maxConns)
-	fr.path.Silence()
+	fr.path.Blackhole()
 	var group sync.WaitGroup
 	for range maxConns {
 		group.Go(func() {
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -42,7 +42,7 @@
 		answer := make(chan error)
 		go func() { answer <- submit("second") }()
 		time.Sleep(50 * time.Millisecond)
-		store.SetFault(func(string, string) memkv.Fault { return memkv.Silent })
+		store.SetFault(func(string, string) memkv.Fault { return memkv.RequestLost })
 		down.Store(true)
 		began := time.Now()
 		err := <-answer
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -19,7 +19,7 @@
 
 func startStore(t *testing.T) (*standinstore.Store, *store.Client) {
 	t.Helper()
-	st, err := standinstore.New(standinstore.Options{Writes: 5000, Reads: 5000})
+	st, err := standinstore.New(standinstore.Options{WriteRate: 5000, ReadRate: 5000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 func TestWrapAroundKeepsRecords(t *testing.T) {
 	is := is.New(t)
 	st, cl := startStore(t)
-	st.SetFaults(standinstore.Faults{LoseEvery: 7})
+	st.SetFaults(standinstore.Faults{DropResponseEvery: 7})
 	jr := startJournal(t, cl)
 	wait(t, jr, jr.Append(record("old", 1), record("ended", 1)))
 	for n := uint64(1); n <= 150; n++ {
@@ -68,7 +68,7 @@
 	is.Equal(len(got), 2)
 	is.Equal(got[0], record("hot", 150)) // the latest version
 	is.Equal(got[1], record("old", 1))   // carried along in two rounds of the ring
-	is.True(st.Counts().Lost > 0)
+	is.True(st.Counts().ResponsesDropped > 0)
 }
 
 // TestSealFencesPausedWriter guards against a paused writer that still owns its journal as far as it knows. Its next
--- a/internal/kv/commit_test.go
+++ b/internal/kv/commit_test.go
@@ -24,14 +24,14 @@
 		written bool
 	}{
 		"answered":                      {nil, memkv.None, nil, 10 * time.Millisecond, true},
-		"response lost once":            {[]memkv.Fault{memkv.Lost}, memkv.None, kv.ErrConflict, 100 * time.Millisecond, true},
-		"not carried out once":          {[]memkv.Fault{memkv.Silent}, memkv.None, nil, 100 * time.Millisecond, true},
-		"responses lost three times":    {[]memkv.Fault{memkv.Silent, memkv.Lost, memkv.Silent}, memkv.None, kv.ErrConflict, 400 * time.Millisecond, true},
+		"response lost once":            {[]memkv.Fault{memkv.ResponseLost}, memkv.None, kv.ErrConflict, 100 * time.Millisecond, true},
+		"not carried out once":          {[]memkv.Fault{memkv.RequestLost}, memkv.None, nil, 100 * time.Millisecond, true},
+		"responses lost three times":    {[]memkv.Fault{memkv.RequestLost, memkv.ResponseLost, memkv.RequestLost}, memkv.None, kv.ErrConflict, 400 * time.Millisecond, true},
 		"refused, then answered":        {[]memkv.Fault{memkv.Refused, memkv.Refused}, memkv.None, nil, 200 * time.Millisecond, true},
 		"always refused":                {nil, memkv.Refused, kv.ErrRefused, time.Second, false},
-		"never answered":                {nil, memkv.Silent, kv.ErrNoAnswer, 3 * time.Second, false},
-		"refused after a lost response": {[]memkv.Fault{memkv.Lost, memkv.Refused, memkv.Refused}, memkv.None, kv.ErrConflict, 400 * time.Millisecond, true},
-		"refused after no answer":       {[]memkv.Fault{memkv.Silent, memkv.Refused}, memkv.None, nil, 400 * time.Millisecond, true},
+		"never answered":                {nil, memkv.RequestLost, kv.ErrNoAnswer, 3 * time.Second, false},
+		"refused after a lost response": {[]memkv.Fault{memkv.ResponseLost, memkv.Refused, memkv.Refused}, memkv.None, kv.ErrConflict, 400 * time.Millisecond, true},
+		"refused after no answer":       {[]memkv.Fault{memkv.RequestLost, memkv.Refused}, memkv.None, nil, 400 * time.Millisecond, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -22,21 +22,21 @@
 
 // Options of a load.
 type Options struct {
-	// Lookups and Jobs are the mean rates a second.
-	Lookups, Jobs float64
-	Span          time.Duration
-	Seed          uint64
-	Workspaces    []string
+	// LookupRate and JobRate are the mean rates a second.
+	LookupRate, JobRate float64
+	Span                time.Duration
+	Seed                uint64
+	Workspaces          []string
 	// Service and Batch are the workloads that lookups and jobs are of.
 	Service, Batch string
-	// Run is how long each job runs.
-	Run time.Duration
-	// Most bounds the requests under way; what comes on top is not sent and counted.
-	Most int
+	// RunTime is how long each job runs.
+	RunTime time.Duration
+	// MaxInFlight bounds the requests under way; what comes on top is not sent and counted.
+	MaxInFlight int
 	// JobWait is how long a job's end is waited for.
 	JobWait time.Duration
-	// Expect returns the answer that a lookup must get; nil takes any.
-	Expect func(body []byte) []byte
+	// ExpectedAnswer returns the answer that a lookup must get; nil takes any.
+	ExpectedAnswer func(body []byte) []byte
 }
 
 // arrival is one request and when it is to be sent.
@@ -60,7 +60,7 @@
 
 // New plans a load at even mean rates, with gaps by chance from the seed.
 func New(clock clockwork.Clock, cls []*client.Client, op Options) (*Load, error) {
-	if op.Span <= 0 || op.Lookups < 0 || op.Jobs < 0 || op.Lookups+op.Jobs == 0 {
+	if op.Span <= 0 || op.LookupRate < 0 || op.JobRate < 0 || op.LookupRate+op.JobRate == 0 {
 		return nil, fault.New(fault.BadRequest, "give a time and a rate of lookups or jobs above 0")
 	}
 	if len(op.Workspaces) == 0 {
@@ -68,15 +68,15 @@
 	}
 	ld := newLoad(clock, cls, op)
 	rd := rand.New(rand.NewPCG(op.Seed, 0))
-	ld.stream(rd, op.Lookups, func(n int) func(*Load, time.Time) {
+	ld.stream(rd, op.LookupRate, func(n int) func(*Load, time.Time) {
 		workspace := op.Workspaces[rd.IntN(len(op.Workspaces))]
 		body := fmt.Appendf(nil, "lookup %d of seed %d", n, op.Seed)
 		return func(ld *Load, due time.Time) { ld.lookup(workspace, op.Service, body, due) }
 	})
-	ld.stream(rd, op.Jobs, func(n int) func(*Load, time.Time) {
+	ld.stream(rd, op.JobRate, func(n int) func(*Load, time.Time) {
 		jb := trace.Job{
 			ID: fmt.Sprintf("load-%d-%d", op.Seed, n), Workspace: op.Workspaces[rd.IntN(len(op.Workspaces))],
-			Workload: op.Batch, Tasks: 1, Run: op.Run,
+			Workload: op.Batch, Tasks: 1, RunTime: op.RunTime,
 		}
 		return func(ld *Load, due time.Time) { ld.job(jb, due) }
 	})
@@ -100,7 +100,7 @@
 }
 
 func newLoad(clock clockwork.Clock, cls []*client.Client, op Options) *Load {
-	return &Load{opts: op, clock: clock, clients: cls, slots: make(chan struct{}, max(1, op.Most)), tally: newTally()}
+	return &Load{opts: op, clock: clock, clients: cls, slots: make(chan struct{}, max(1, op.MaxInFlight)), tally: newTally()}
 }
 
 // client returns the client whose turn it is, as a balancer would.
@@ -130,7 +130,7 @@
 	at := from
 	for n := 0; ; n++ {
 		at += time.Duration(rd.ExpFloat64() / st.Rate * float64(time.Second))
-		if at >= from+st.For {
+		if at >= from+st.Duration {
 			return
 		}
 		body := fmt.Appendf(nil, "lookup %d of %s from seed %d", n, st.Workspace, st.Seed)
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -29,20 +29,20 @@
 	P90   time.Duration `json:"p90"`
 	P99   time.Duration `json:"p99"`
 	Max   time.Duration `json:"max"`
-	// Curve is the whole distribution, for a chart.
-	Curve []chart.Point `json:"-"`
+	// Distribution is the whole distribution, for a chart.
+	Distribution []chart.Point `json:"-"`
 }
 
 // Report is what a load came to.
 type Report struct {
-	Took       time.Duration      `json:"took"`
-	Workloads  map[string]Latency `json:"workloads"`
-	Workspaces map[string]Latency `json:"workspaces"`
-	Answers    map[string]int     `json:"job_answers"`
-	Errors     map[fault.Kind]int `json:"errors"`
-	Samples    []string           `json:"error_samples,omitempty"`
-	Wrong      []string           `json:"wrong_answers,omitempty"`
-	Unsent     int                `json:"not_sent"`
+	Elapsed      time.Duration      `json:"took"`
+	Workloads    map[string]Latency `json:"workloads"`
+	Workspaces   map[string]Latency `json:"workspaces"`
+	JobOutcomes  map[string]int     `json:"job_answers"`
+	Errors       map[fault.Kind]int `json:"errors"`
+	ErrorSamples []string           `json:"error_samples,omitempty"`
+	WrongAnswers []string           `json:"wrong_answers,omitempty"`
+	NotSent      int                `json:"not_sent"`
 }
 
 // tally counts answers as they come.
@@ -56,7 +56,7 @@
 func newTally() *tally {
 	return &tally{
 		workloads: map[string]*hdrhistogram.Histogram{}, workspaces: map[string]*hdrhistogram.Histogram{},
-		rp: Report{Answers: map[string]int{}, Errors: map[fault.Kind]int{}},
+		rp: Report{JobOutcomes: map[string]int{}, Errors: map[fault.Kind]int{}},
 	}
 }
 
@@ -80,35 +80,35 @@
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.rp.Errors[fault.From(err).Kind]++
-	if len(ta.rp.Samples) < samples {
-		ta.rp.Samples = append(ta.rp.Samples, workload+": "+err.Error())
+	if len(ta.rp.ErrorSamples) < samples {
+		ta.rp.ErrorSamples = append(ta.rp.ErrorSamples, workload+": "+err.Error())
 	}
 }
 
 func (ta *tally) ended(answer string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	ta.rp.Answers[answer]++
+	ta.rp.JobOutcomes[answer]++
 }
 
 func (ta *tally) wrong(what string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	ta.rp.Wrong = append(ta.rp.Wrong, what)
+	ta.rp.WrongAnswers = append(ta.rp.WrongAnswers, what)
 }
 
 func (ta *tally) unsent() {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	ta.rp.Unsent++
+	ta.rp.NotSent++
 }
 
 func (ta *tally) report(took time.Duration) Report {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	rp := ta.rp
-	rp.Took = took
-	rp.Answers, rp.Errors = maps.Clone(rp.Answers), maps.Clone(rp.Errors)
+	rp.Elapsed = took
+	rp.JobOutcomes, rp.Errors = maps.Clone(rp.JobOutcomes), maps.Clone(rp.Errors)
 	rp.Workloads, rp.Workspaces = latencies(ta.workloads), latencies(ta.workspaces)
 	return rp
 }
@@ -119,7 +119,7 @@
 		at := func(q float64) time.Duration { return time.Duration(hi.ValueAtQuantile(q)) * time.Microsecond }
 		all[name] = Latency{
 			Count: hi.TotalCount(), P50: at(50), P90: at(90), P99: at(99),
-			Max: time.Duration(hi.Max()) * time.Microsecond, Curve: chart.Points(hi),
+			Max: time.Duration(hi.Max()) * time.Microsecond, Distribution: chart.Points(hi),
 		}
 	}
 	return all
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -24,7 +24,7 @@
 	switch {
 	case err != nil:
 		ld.tally.failed(service, err)
-	case ld.opts.Expect != nil && !bytes.Equal(rsp.Body, ld.opts.Expect(body)):
+	case ld.opts.ExpectedAnswer != nil && !bytes.Equal(rsp.Body, ld.opts.ExpectedAnswer(body)):
 		ld.tally.wrong(fmt.Sprintf("asked %q, got %q", body, rsp.Body))
 	default:
 		ld.tally.answered(service, workspace, took)
@@ -57,7 +57,7 @@
 	const wait = 20 * time.Second
 	req := api.JobRequest{
 		Workload: jb.Workload, Workspace: jb.Workspace, Tasks: jb.Tasks,
-		Payload: map[string]any{"run": jb.Run.Seconds(), "mark": jb.ID},
+		Payload: map[string]any{"run": jb.RunTime.Seconds(), "mark": jb.ID},
 	}
 	if !jb.Size.IsZero() {
 		cores, memory, devices := float64(jb.Size.Processors())/1000, jb.Size.Memory(), jb.Size.Accelerators()
--- a/internal/mirror/pages_test.go
+++ b/internal/mirror/pages_test.go
@@ -105,7 +105,7 @@
 		reads := 0
 		st.SetFault(func(_, call string) memkv.Fault {
 			if reads++; call == "range" && reads > 1 {
-				return memkv.Lost
+				return memkv.ResponseLost
 			}
 			return memkv.None
 		})
@@ -119,8 +119,8 @@
 		for _, key := range []string{"a/0003", "a/1100", "a/0003-new", "a/1100-new"} {
 			st.Set(key, nil)
 		}
-		st.Remove("a/0004")
-		st.Remove("a/1101")
+		st.Delete("a/0004")
+		st.Delete("a/1101")
 		time.Sleep(400 * time.Millisecond)
 		st.SetFault(func(string, string) memkv.Fault { return memkv.None })
 		loaded, age := false, time.Duration(0)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -176,7 +176,7 @@
 func (ow *Owner) step(ev policy.Event) []policy.Action {
 	ev.At = ow.now()
 	acts := ow.machine.Step(ev)
-	ow.Recorder.Owner(ev, acts)
+	ow.Recorder.RecordOwner(ev, acts)
 	if ev.Tick == nil && ow.machine.NeedsTick() {
 		ow.pacer.Kick()
 	}
--- a/internal/peerlink/unresponsive_test.go
+++ b/internal/peerlink/unresponsive_test.go
@@ -129,7 +129,7 @@
 			is := is.New(t)
 			pr := newPair(t)
 			pr.openConns(idle)
-			pr.path.Silence()
+			pr.path.Blackhole()
 			for range 3 {
 				startedAt := time.Now()
 				ctx, cancel := context.WithTimeout(t.Context(), tc.within)
@@ -151,7 +151,7 @@
 	is := is.New(t)
 	pr := newPair(t)
 	pr.openConns(idle)
-	pr.path.Silence()
+	pr.path.Blackhole()
 	re := relay.Relay{
 		Node: "near", Call: pr.near.Call,
 		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", PeerAddr: pr.path.Address()}} },
@@ -211,7 +211,7 @@
 	is := is.New(t)
 	pr := newPair(t)
 	pr.openConns(idle)
-	pr.path.Silence()
+	pr.path.Blackhole()
 	pool := advisor.New(advisor.Options{
 		Clock: clockwork.NewRealClock(), Node: "near", Call: pr.near.Call,
 		Members: func() []joblog.Member { return []joblog.Member{{Node: "far", PeerAddr: pr.path.Address()}} },
--- a/internal/planner/capacity_test.go
+++ b/internal/planner/capacity_test.go
@@ -20,7 +20,7 @@
 
 // setCapacity changes the number of tasks that a worker can run. Its next heartbeat publishes the change.
 func (bd *testbed) setCapacity(id string, tasks int) {
-	bd.fleet.SetRoom(id, tasks, contact+heartbeat)
+	bd.fleet.SetTaskCapacity(id, tasks, contact+heartbeat)
 	bd.clock.AfterFunc(heartbeat, func() { bd.store.Set(workersPrefix+id, fmt.Appendf(nil, "room %d", tasks)) })
 }
 
@@ -34,16 +34,16 @@
 		"the store answers no reads, but renews leases": func(bd *testbed, _ *node) {
 			bd.store.SetFault(func(_, call string) memkv.Fault {
 				if call == "watch" || call == "range" {
-					return memkv.Silent
+					return memkv.RequestLost
 				}
 				return memkv.None
 			})
 		},
 		"the store does not answer": func(bd *testbed, _ *node) {
-			bd.store.SetFault(func(string, string) memkv.Fault { return memkv.Silent })
+			bd.store.SetFault(func(string, string) memkv.Fault { return memkv.RequestLost })
 		},
 		"the store loses its history": func(bd *testbed, _ *node) {
-			bd.clock.AfterFunc(heartbeat+10*time.Millisecond, bd.store.Forget)
+			bd.clock.AfterFunc(heartbeat+10*time.Millisecond, bd.store.Compact)
 		},
 		"the planner dies": func(bd *testbed, first *node) {
 			bd.cutOff("n1")
--- a/internal/planner/crashes_test.go
+++ b/internal/planner/crashes_test.go
@@ -60,7 +60,7 @@
 			return
 		}
 		incarnations++
-		bd.store.Remove(workersPrefix + id)
+		bd.store.Delete(workersPrefix + id)
 		bd.addWorker(fmt.Sprintf("%s.%d", id, incarnations))
 	})
 }
@@ -198,7 +198,7 @@
 		bd.submit(nd, "a", 6)
 		for n := range cuts {
 			time.Sleep(calm)
-			bd.fleet.SetFault(func(string, string) memworkers.Fault { return memworkers.Silent })
+			bd.fleet.SetFault(func(string, string) memworkers.Fault { return memworkers.RequestLost })
 			time.Sleep(cut)
 			if n%2 == 1 {
 				follower := bd.addNode(fmt.Sprintf("n%d", n))
--- a/internal/planner/manyworkers_test.go
+++ b/internal/planner/manyworkers_test.go
@@ -91,7 +91,7 @@
 				}
 				bd.fleet.SetFault(func(worker, _ string) memworkers.Fault {
 					if dead[worker] {
-						return memworkers.Silent
+						return memworkers.RequestLost
 					}
 					return memworkers.None
 				})
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -61,11 +61,11 @@
 		time.Sleep(time.Second)
 		bd.fleet.SetFault(func(worker, _ string) memworkers.Fault {
 			if worker == "w1" {
-				return memworkers.Silent
+				return memworkers.RequestLost
 			}
 			return memworkers.None
 		})
-		bd.store.Remove(workersPrefix + "w1")
+		bd.store.Delete(workersPrefix + "w1")
 		bd.await("a", cell.Succeeded, 14*time.Second)
 	})
 }
@@ -73,9 +73,9 @@
 // TestOrdersDelayed loses answers to orders and carries orders out late. No task may run twice.
 func TestOrdersDelayed(t *testing.T) {
 	cases := map[string]memworkers.Fault{
-		"not carried out":           memworkers.Silent,
-		"carried out, not answered": memworkers.Lost,
-		"carried out late":          memworkers.Late,
+		"not carried out":           memworkers.RequestLost,
+		"carried out, not answered": memworkers.ResponseLost,
+		"carried out late":          memworkers.Delayed,
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -108,8 +108,8 @@
 		fault  memkv.Fault
 		revoke bool
 	}{
-		"silent":                {memkv.Silent, false},
-		"silent, leases expire": {memkv.Silent, true},
+		"silent":                {memkv.RequestLost, false},
+		"silent, leases expire": {memkv.RequestLost, true},
 		"refuses":               {memkv.Refused, false},
 	}
 	for name, tc := range cases {
@@ -124,7 +124,7 @@
 				bd.store.SetFault(func(string, string) memkv.Fault { return tc.fault })
 				time.Sleep(4 * time.Second)
 				if tc.revoke {
-					bd.store.Revoke()
+					bd.store.RevokeLeases()
 				}
 				bd.store.SetFault(func(string, string) memkv.Fault { return memkv.None })
 				bd.await("a", cell.Succeeded, 6*time.Second)
@@ -146,7 +146,7 @@
 		nd := bd.addNode("n1")
 		time.Sleep(time.Second)
 		bd.submit(nd, "a", 1)
-		bd.store.Forget()
+		bd.store.Compact()
 		bd.submit(nd, "b", 1)
 		bd.await("a", cell.Succeeded, 3*time.Second)
 		bd.await("b", cell.Succeeded, 3*time.Second)
@@ -168,7 +168,7 @@
 				return memkv.None
 			}
 			if count[client+call]++; count[client+call]%2 == 0 {
-				return memkv.Lost
+				return memkv.ResponseLost
 			}
 			return memkv.None
 		})
@@ -201,7 +201,7 @@
 		bd.fleet.SetFault(func(_, order string) memworkers.Fault {
 			if order == "start" && first {
 				first = false
-				return memworkers.Silent
+				return memworkers.RequestLost
 			}
 			return memworkers.None
 		})
@@ -223,7 +223,7 @@
 		}
 		bd.store.SetFault(func(_, call string) memkv.Fault {
 			if call == "watch" || call == "range" {
-				return memkv.Silent
+				return memkv.RequestLost
 			}
 			return memkv.None
 		})
@@ -250,7 +250,7 @@
 		// The next start gets no answer at the time of the end, so that a report is requested from w1.
 		bd.fleet.SetFault(func(_, order string) memworkers.Fault {
 			if order == "start" {
-				return memworkers.Silent
+				return memworkers.RequestLost
 			}
 			return memworkers.None
 		})
@@ -260,11 +260,11 @@
 		time.Sleep(300 * time.Millisecond)
 		bd.fleet.SetFault(func(worker, _ string) memworkers.Fault {
 			if worker == began.Worker.WorkerID() {
-				return memworkers.Silent
+				return memworkers.RequestLost
 			}
 			return memworkers.None
 		})
-		bd.store.Remove(workersPrefix + began.Worker.WorkerID())
+		bd.store.Delete(workersPrefix + began.Worker.WorkerID())
 		bd.await("a", cell.Succeeded, time.Second)
 		bd.await("b", cell.Succeeded, 12*time.Second)
 	})
--- a/internal/planner/restarts_test.go
+++ b/internal/planner/restarts_test.go
@@ -110,7 +110,7 @@
 						return memworkers.None
 					}
 					if tries++; tries <= tt.late {
-						return memworkers.Late
+						return memworkers.Delayed
 					}
 					return memworkers.None
 				})
@@ -131,12 +131,12 @@
 						return memworkers.None
 					}
 					if bd.clock.Since(since) < tt.silence {
-						return memworkers.Silent
+						return memworkers.RequestLost
 					}
 					return memworkers.None
 				})
 				bd.await("a", cell.Succeeded, 10*time.Second)
-				time.Sleep(memworkers.LateBy)
+				time.Sleep(memworkers.DelayedBy)
 				if starts := len(bd.fleet.Starts()); starts != tt.starts {
 					t.Errorf("%d starts, want %d", starts, tt.starts)
 				}
@@ -161,16 +161,16 @@
 		time.Sleep(time.Second)
 		bd.fleet.SetFault(func(_, order string) memworkers.Fault {
 			if order == "start" {
-				return memworkers.Late
+				return memworkers.Delayed
 			}
 			return memworkers.None
 		})
 		bd.submit(bd.leader(), "a", 1)
 		time.Sleep(30 * time.Millisecond) // the start is under way
-		bd.fleet.End("w1")
+		bd.fleet.Kill("w1")
 		bd.clearFaults()
-		bd.clock.AfterFunc(memworkers.LateBy-35*time.Millisecond, func() { bd.fleet.Add("w1") })
-		bd.clock.AfterFunc(memworkers.LateBy, func() { bd.list("w1") })
+		bd.clock.AfterFunc(memworkers.DelayedBy-35*time.Millisecond, func() { bd.fleet.Add("w1") })
+		bd.clock.AfterFunc(memworkers.DelayedBy, func() { bd.list("w1") })
 		bd.await("a", cell.Succeeded, 10*time.Second)
 	})
 }
@@ -210,12 +210,12 @@
 		defer bd.end()
 		bd.addNode("n1")
 		time.Sleep(time.Second)
-		bd.fleet.End("w1")
+		bd.fleet.Kill("w1")
 		bd.fleet.Add("w1")
 		time.Sleep(time.Second)
 		bd.submit(bd.leader(), "a", 1)
 		time.Sleep(500 * time.Millisecond)
-		bd.store.Remove(workersPrefix + "w1")
+		bd.store.Delete(workersPrefix + "w1")
 		time.Sleep(500 * time.Millisecond)
 		if starts := len(bd.fleet.Starts()); starts > 0 {
 			t.Errorf("%d starts on a worker without an entry", starts)
@@ -238,12 +238,12 @@
 		time.Sleep(time.Second)
 		bd.fleet.SetFault(func(worker, order string) memworkers.Fault {
 			if worker == "w1" && order == "hold" {
-				return memworkers.Silent
+				return memworkers.RequestLost
 			}
 			return memworkers.None
 		})
 		time.Sleep(1010 * time.Millisecond) // the pending hold is answered, the next one is not
-		bd.fleet.End("w1")
+		bd.fleet.Kill("w1")
 		bd.fleet.Add("w1")
 		bd.submit(second, "a", 1)
 		time.Sleep(100 * time.Millisecond)
@@ -256,7 +256,7 @@
 				return memworkers.None
 			}
 			if answers++; answers == 2 {
-				return memworkers.Silent
+				return memworkers.RequestLost
 			}
 			return memworkers.None
 		})
@@ -275,13 +275,13 @@
 		time.Sleep(time.Second)
 		silence := func(worker, order string) memworkers.Fault {
 			if worker == "w1" && order == "hold" {
-				return memworkers.Silent
+				return memworkers.RequestLost
 			}
 			return memworkers.None
 		}
 		bd.fleet.SetFault(silence)
 		time.Sleep(1010 * time.Millisecond) // the pending hold is answered, the next one is not
-		bd.fleet.End("w1")
+		bd.fleet.Kill("w1")
 		bd.fleet.Add("w1")
 		bd.submit(second, "a", 1)
 		time.Sleep(100 * time.Millisecond)
@@ -354,7 +354,7 @@
 		if rnd.Float64() >= odds {
 			return memworkers.None
 		}
-		return []memworkers.Fault{memworkers.Silent, memworkers.Lost, memworkers.Late}[rnd.IntN(3)]
+		return []memworkers.Fault{memworkers.RequestLost, memworkers.ResponseLost, memworkers.Delayed}[rnd.IntN(3)]
 	})
 	draw := func(most int) int {
 		mu.Lock()
@@ -385,9 +385,9 @@
 		phase, err := bd.leader().planner.JobPhase(t.Context(), id, "")
 		switch {
 		case phase == cell.Succeeded:
-		case phase == cell.Failed && bd.fleet.Losses(id) >= minLosses:
+		case phase == cell.Failed && bd.fleet.LostRuns(id) >= minLosses:
 		default:
-			t.Errorf("job %s is %q, %v, after the end of %d incarnations that ran it", id, phase, err, bd.fleet.Losses(id))
+			t.Errorf("job %s is %q, %v, after the end of %d incarnations that ran it", id, phase, err, bd.fleet.LostRuns(id))
 		}
 	}
 }
--- a/internal/planner/takeover_test.go
+++ b/internal/planner/takeover_test.go
@@ -65,11 +65,11 @@
 		time.Sleep(time.Second)
 		bd.fleet.SetFault(func(worker, _ string) memworkers.Fault {
 			if worker == "w1" {
-				return memworkers.Silent
+				return memworkers.RequestLost
 			}
 			return memworkers.None
 		})
-		bd.store.Remove(workersPrefix + "w1")
+		bd.store.Delete(workersPrefix + "w1")
 		bd.submit(second, "b", 8)
 		time.Sleep(2 * time.Second)
 		bd.cutOff("n1")
--- a/internal/planner/terms_test.go
+++ b/internal/planner/terms_test.go
@@ -49,11 +49,11 @@
 		lasts time.Duration
 	}{
 		"writes refused temporarily":                    {yield, commits("", memkv.Refused), 2500 * time.Millisecond},
-		"writes unanswered temporarily":                 {yield, commits("", memkv.Silent), 2500 * time.Millisecond},
+		"writes unanswered temporarily":                 {yield, commits("", memkv.RequestLost), 2500 * time.Millisecond},
 		"planner's writes refused permanently":          {yield, commits("n1", memkv.Refused), time.Hour},
-		"planner's writes unanswered permanently":       {yield, commits("n1", memkv.Silent), time.Hour},
+		"planner's writes unanswered permanently":       {yield, commits("n1", memkv.RequestLost), time.Hour},
 		"stepped down":                                  {depose, commits("", memkv.None), 0},
-		"stepped down while answers to writes are lost": {depose, commits("", memkv.Lost), 2500 * time.Millisecond},
+		"stepped down while answers to writes are lost": {depose, commits("", memkv.ResponseLost), 2500 * time.Millisecond},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	bd.store.SetFault(func(_, call string) memkv.Fault {
 		if call == "range" && rnd.Float64() < lost {
-			return memkv.Lost
+			return memkv.ResponseLost
 		}
 		return memkv.None
 	})
@@ -142,11 +142,11 @@
 		nodes []string
 		end   func(bd *testbed, nd *node)
 	}{
-		"next term of the same node": {[]string{"n1"}, func(bd *testbed, _ *node) { bd.store.Revoke() }},
+		"next term of the same node": {[]string{"n1"}, func(bd *testbed, _ *node) { bd.store.RevokeLeases() }},
 		"term of another node": {[]string{"n1", "n2"}, func(_ *testbed, nd *node) {
 			nd.currentTerm().Yield("test")
 		}},
-		"expired lease": {[]string{"n1", "n2"}, func(bd *testbed, _ *node) { bd.store.Revoke() }},
+		"expired lease": {[]string{"n1", "n2"}, func(bd *testbed, _ *node) { bd.store.RevokeLeases() }},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -168,7 +168,7 @@
 				bd.store.SetFault(func(client, call string) memkv.Fault {
 					if call == "commit" && client == "n1" {
 						if asked++; asked == 1 {
-							return memkv.Silent
+							return memkv.RequestLost
 						}
 					}
 					return memkv.None
@@ -212,7 +212,7 @@
 func TestEndedTermHoldsNoLease(t *testing.T) {
 	cases := map[string]func(bd *testbed, nd *node){
 		"stepped down": func(_ *testbed, nd *node) { nd.currentTerm().StepDown("test") },
-		"lease lost":   func(bd *testbed, _ *node) { bd.store.Revoke() },
+		"lease lost":   func(bd *testbed, _ *node) { bd.store.RevokeLeases() },
 	}
 	for name, end := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/planner/testbed_test.go
+++ b/internal/planner/testbed_test.go
@@ -103,7 +103,7 @@
 
 // list writes the entry of a worker's current incarnation, with additional words.
 func (bd *testbed) list(id string, words ...string) {
-	value := append([]string{"born", strconv.FormatInt(bd.fleet.Born(id), 10)}, words...)
+	value := append([]string{"born", strconv.FormatInt(bd.fleet.StartedAt(id), 10)}, words...)
 	bd.store.Set(workersPrefix+id, []byte(strings.Join(value, " ")))
 }
 
@@ -112,7 +112,7 @@
 func (bd *testbed) restart(away time.Duration, ids ...string) {
 	const heartbeatDelay = 100 * time.Millisecond
 	for _, id := range ids {
-		bd.fleet.End(id)
+		bd.fleet.Kill(id)
 		bd.clock.AfterFunc(away, func() { bd.fleet.Add(id) })
 		bd.clock.AfterFunc(away+heartbeatDelay, func() { bd.list(id) })
 	}
@@ -142,7 +142,7 @@
 func (bd *testbed) cutOff(name string) {
 	bd.store.SetFault(func(client, _ string) memkv.Fault {
 		if client == name {
-			return memkv.Silent
+			return memkv.RequestLost
 		}
 		return memkv.None
 	})
@@ -262,7 +262,7 @@
 		nd.cancel()
 	}
 	time.Sleep(5 * time.Second)
-	for _, what := range bd.fleet.Trouble() {
+	for _, what := range bd.fleet.Violations() {
 		bd.t.Error(what)
 	}
 }
--- a/internal/planner/unanswered_test.go
+++ b/internal/planner/unanswered_test.go
@@ -17,9 +17,9 @@
 // That refusal proves nothing.
 func TestUnansweredStartsAreRepeated(t *testing.T) {
 	faults := map[string]memworkers.Fault{
-		"carried out, not answered": memworkers.Lost,
-		"carried out late":          memworkers.Late,
-		"never carried out":         memworkers.Silent,
+		"carried out, not answered": memworkers.ResponseLost,
+		"carried out late":          memworkers.Delayed,
+		"never carried out":         memworkers.RequestLost,
 	}
 	runs := map[string]time.Duration{"of 0.6 s": 600 * time.Millisecond, "shorter than the timeout": 20 * time.Millisecond}
 	for what, fault := range faults {
@@ -67,7 +67,7 @@
 		count := 0
 		bd.fleet.SetFault(func(string, string) memworkers.Fault {
 			if count++; count%12 == 0 {
-				return memworkers.Late
+				return memworkers.Delayed
 			}
 			return memworkers.None
 		})
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -25,11 +25,11 @@
 // a home. Acts is the number of decisions that the input led to, and Sum a digest
 // of them.
 type Line struct {
-	Trace *Header      `json:"trace,omitempty"`
-	Owner *owner.Event `json:"owner,omitempty"`
-	Home  *home.Event  `json:"home,omitempty"`
-	Acts  int          `json:"acts,omitempty"`
-	Sum   string       `json:"sum,omitempty"`
+	Trace        *Header      `json:"trace,omitempty"`
+	Owner        *owner.Event `json:"owner,omitempty"`
+	Home         *home.Event  `json:"home,omitempty"`
+	ActionCount  int          `json:"acts,omitempty"`
+	ActionDigest string       `json:"sum,omitempty"`
 }
 
 // Digest returns the number and a digest of some decisions.
@@ -78,19 +78,19 @@
 	return rc, nil
 }
 
-// Owner records an input of the owner's machine.
-func (rc *Recorder) Owner(ev owner.Event, acts []owner.Action) {
+// RecordOwner records an input of the owner's machine.
+func (rc *Recorder) RecordOwner(ev owner.Event, acts []owner.Action) {
 	if rc.enc != nil {
 		count, sum := Digest(acts)
-		rc.write(Line{Owner: &ev, Acts: count, Sum: sum})
+		rc.write(Line{Owner: &ev, ActionCount: count, ActionDigest: sum})
 	}
 }
 
-// Home records an input of the home's machine.
-func (rc *Recorder) Home(ev home.Event, acts []home.Action) {
+// RecordHome records an input of the home's machine.
+func (rc *Recorder) RecordHome(ev home.Event, acts []home.Action) {
 	if rc.enc != nil {
 		count, sum := Digest(acts)
-		rc.write(Line{Home: &ev, Acts: count, Sum: sum})
+		rc.write(Line{Home: &ev, ActionCount: count, ActionDigest: sum})
 	}
 }
 
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -21,13 +21,13 @@
 
 // Report is what a replay found.
 type Report struct {
-	Node        string        `json:"node"`
-	Inputs      int           `json:"inputs"`
-	Decisions   int           `json:"decisions"`
-	Differences int           `json:"differences"`
-	First       string        `json:"first_difference,omitempty"`
-	Span        time.Duration `json:"span"`
-	Took        time.Duration `json:"took"`
+	Node            string        `json:"node"`
+	Inputs          int           `json:"inputs"`
+	Decisions       int           `json:"decisions"`
+	Differences     int           `json:"differences"`
+	FirstDifference string        `json:"first_difference,omitempty"`
+	Span            time.Duration `json:"span"`
+	Elapsed         time.Duration `json:"took"`
 }
 
 // Run replays a trace.
@@ -49,7 +49,7 @@
 		}
 		rp.line(ln, ow, hm)
 	}
-	rp.Took = now().Sub(began)
+	rp.Elapsed = now().Sub(began)
 	if err := lines.Err(); err != nil {
 		return rp, errors.Wrap(err, "read trace")
 	}
@@ -89,14 +89,14 @@
 	rp.Inputs++
 	rp.Decisions += acts
 	rp.Span = max(rp.Span, at)
-	if acts == ln.Acts && sum == ln.Sum {
+	if acts == ln.ActionCount && sum == ln.ActionDigest {
 		return
 	}
 	rp.Differences++
-	if rp.First == "" {
+	if rp.FirstDifference == "" {
 		raw, err := json.Marshal(ln)
 		if err == nil {
-			rp.First = string(raw)
+			rp.FirstDifference = string(raw)
 		}
 	}
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -29,7 +29,7 @@
 		{WorkerUp: &owner.WorkerUp{Worker: ledger.Worker{Name: "w1", Capacity: size.New(1000, 64, 0), Slots: 1}}},
 		{At: time.Second, Lookup: &owner.Lookup{ID: "lookup-1", Weight: 1, Deadline: time.Minute}},
 	} {
-		rc.Owner(ev, mc.Step(ev))
+		rc.RecordOwner(ev, mc.Step(ev))
 	}
 	if err := rc.Stop(t.Context()); err != nil {
 		t.Fatal(err)
--- a/internal/standalone/standalone.go
+++ b/internal/standalone/standalone.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	defer func() { _ = list.Close() }() // nothing in it outlives the process
-	workers, err := fleet.New(fleet.Options{Count: opts.Workers, First: 1, Halls: 3, Rack: 8})
+	workers, err := fleet.New(fleet.Options{Count: opts.Workers, FirstNumber: 1, Halls: 3, RackSize: 8})
 	if err != nil {
 		return err
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -16,10 +16,10 @@
 
 // Options of a fleet. Worker is the pattern of each worker.
 type Options struct {
-	Count int
-	First int
-	Halls int
-	Rack  int
+	Count       int
+	FirstNumber int
+	Halls       int
+	RackSize    int
 	// Hall, where set, is the hall of all workers, whatever Halls says.
 	Hall   string
 	Worker standinworker.Options
@@ -32,8 +32,8 @@
 func New(opts Options) (*Fleet, error) {
 	fl := &Fleet{}
 	for i := range opts.Count {
-		number := opts.First + i
-		rack := (number - 1) / max(opts.Rack, 1)
+		number := opts.FirstNumber + i
+		rack := (number - 1) / max(opts.RackSize, 1)
 		op := opts.Worker
 		op.Name = fmt.Sprintf("w%04d", number)
 		op.Rack = fmt.Sprintf("r%03d", rack+1)
--- a/internal/standin/httpstub/httpstub.go
+++ b/internal/standin/httpstub/httpstub.go
@@ -11,8 +11,8 @@
 	"tackbeam.example/tackbeam/internal/standin/httpserver"
 )
 
-// Lost is the status that stands for an answer that is lost: the connection closes.
-const Lost = 0
+// NoResponse is the status that stands for an answer that is lost: the connection closes.
+const NoResponse = 0
 
 // Stub is one server.
 type Stub struct {
@@ -30,7 +30,7 @@
 	var err error
 	sb.Server, err = httpserver.New(func(rc *fasthttp.RequestCtx) {
 		sb.keep(rc)
-		if status == Lost {
+		if status == NoResponse {
 			rc.HijackSetNoResponse(true)
 			rc.Hijack(func(net.Conn) {}) // closes without an answer
 			return
@@ -51,8 +51,8 @@
 	sb.asked = asked + string(rc.PostBody())
 }
 
-// Asked returns the last call: its method, path, header and body.
-func (sb *Stub) Asked() string {
+// LastRequest returns the last call: its method, path, header and body.
+func (sb *Stub) LastRequest() string {
 	sb.mu.Lock()
 	defer sb.mu.Unlock()
 	return sb.asked
--- a/internal/standin/memkv/client.go
+++ b/internal/standin/memkv/client.go
@@ -42,16 +42,16 @@
 	if first && fault == None {
 		fault = st.limit(cl.name, name)
 	}
-	if fault == None || fault == Lost {
+	if fault == None || fault == ResponseLost {
 		act()
 	}
 	st.mu.Unlock()
 	switch fault {
 	case Refused:
 		return kv.ErrRefused
-	case Limited:
+	case RateLimited:
 		return kv.ErrRateLimited
-	case Lost, Silent:
+	case ResponseLost, RequestLost:
 		st.unanswered(ctx, name)
 		return kv.ErrNoAnswer
 	}
--- a/internal/standin/memkv/limit_test.go
+++ b/internal/standin/memkv/limit_test.go
@@ -22,7 +22,7 @@
 		st.SetLimit(func(_, call string) memkv.Fault {
 			if call == "watch" {
 				if watches++; watches > 1 {
-					return memkv.Limited
+					return memkv.RateLimited
 				}
 			}
 			return memkv.None
--- a/internal/standin/memkv/memkv.go
+++ b/internal/standin/memkv/memkv.go
@@ -42,14 +42,14 @@
 // Fault is what happens to a call.
 type Fault int
 
-// The faults. Lost calls are carried out and not answered; Silent ones are neither.
+// The faults. ResponseLost calls are carried out and not answered; RequestLost ones are neither.
 const (
 	None Fault = iota
 	Refused
-	// Limited: the call is refused as one too many for the store's rate.
-	Limited
-	Lost
-	Silent
+	// RateLimited: the call is refused as one too many for the store's rate.
+	RateLimited
+	ResponseLost
+	RequestLost
 )
 
 // New returns an empty service.
@@ -77,8 +77,8 @@
 	st.limit = limit
 }
 
-// Forget drops the history of changes.
-func (st *Store) Forget() {
+// Compact drops the history of changes.
+func (st *Store) Compact() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.history = nil
@@ -93,8 +93,8 @@
 	return st.apply(kv.Txn{Puts: []kv.Put{{Key: key, Value: value}}})
 }
 
-// Remove removes a key.
-func (st *Store) Remove(key string) {
+// Delete removes a key.
+func (st *Store) Delete(key string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.apply(kv.Txn{Deletes: []string{key}})
@@ -119,8 +119,8 @@
 	return keys
 }
 
-// Revoke ends all leases at once, as an outage may.
-func (st *Store) Revoke() {
+// RevokeLeases ends all leases at once, as an outage may.
+func (st *Store) RevokeLeases() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for id := range st.leases {
--- a/internal/standin/memworkers/crash.go
+++ b/internal/standin/memworkers/crash.go
@@ -62,7 +62,7 @@
 	case wk == nil:
 		return nil
 	case wk.life == crashed:
-		return ErrCut
+		return ErrConnectionClosed
 	case wk.life == replaced:
 		return agent.ErrOtherIncarnation
 	}
--- a/internal/standin/memworkers/limit.go
+++ b/internal/standin/memworkers/limit.go
@@ -9,12 +9,12 @@
 
 // Limit is how many tasks of a group of jobs may run at a time on all workers together.
 type Limit struct {
-	// Of names the group of a job; jobs of the empty group have no limit.
-	Of func(job string) string
-	// Most is the limit of each group.
-	Most map[string]int
-	// From is when a start over a limit is one too many: who starts tasks must have heard.
-	From time.Time
+	// GroupOf names the group of a job; jobs of the empty group have no limit.
+	GroupOf func(job string) string
+	// MaxTasks is the limit of each group.
+	MaxTasks map[string]int
+	// EnforcedFrom is when a start over a limit is one too many: who starts tasks must have heard.
+	EnforcedFrom time.Time
 }
 
 // SetLimit sets the limits from now on. A start over one is trouble; the worker takes it all the same.
@@ -27,11 +27,11 @@
 // checkLimit looks whether a start, which is among the runs of its worker already, lifts its group past the
 // limit.
 func (fl *Fleet) checkLimit(sr cell.Start) {
-	if fl.limit.Of == nil || fl.clock.Now().Before(fl.limit.From) {
+	if fl.limit.GroupOf == nil || fl.clock.Now().Before(fl.limit.EnforcedFrom) {
 		return
 	}
-	group := fl.limit.Of(sr.Task.Job)
-	most, limited := fl.limit.Most[group]
+	group := fl.limit.GroupOf(sr.Task.Job)
+	most, limited := fl.limit.MaxTasks[group]
 	if !limited {
 		return
 	}
@@ -39,7 +39,7 @@
 	for _, wk := range fl.workers {
 		fl.advance(wk)
 		for task := range wk.runs {
-			if fl.limit.Of(task.Job) == group {
+			if fl.limit.GroupOf(task.Job) == group {
 				count++
 			}
 		}
--- a/internal/standin/memworkers/lives.go
+++ b/internal/standin/memworkers/lives.go
@@ -11,8 +11,8 @@
 	"tackbeam.example/tackbeam/internal/agent"
 )
 
-// ErrCut means that a call met a connection that had ended with an earlier life of its worker.
-var ErrCut = errors.Wrap(agent.ErrNoAnswer, "the worker's connections ended")
+// ErrConnectionClosed means that a call met a connection that had ended with an earlier life of its worker.
+var ErrConnectionClosed = errors.Wrap(agent.ErrNoAnswer, "the worker's connections ended")
 
 // Add adds a worker, or begins another life of one that has ended, under the id that it had. It knows
 // nothing of what was before.
@@ -31,9 +31,9 @@
 	fl.workers[id] = wk
 }
 
-// End ends a worker's life with all that it runs. Until it is added again its address answers
+// Kill ends a worker's life with all that it runs. Until it is added again its address answers
 // nobody; calls that are under way then may reach the next life.
-func (fl *Fleet) End(id string) {
+func (fl *Fleet) Kill(id string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.finish(fl.workers[id])
@@ -52,15 +52,15 @@
 	fl.wakeHolds()
 }
 
-// Losses returns how often a life ended under a task of a job, or before a start of it arrived.
-func (fl *Fleet) Losses(job string) int {
+// LostRuns returns how often a life ended under a task of a job, or before a start of it arrived.
+func (fl *Fleet) LostRuns(job string) int {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.losses[job]
 }
 
-// Born returns when a worker's present life began, in milliseconds since 1970.
-func (fl *Fleet) Born(id string) int64 {
+// StartedAt returns when a worker's present life began, in milliseconds since 1970.
+func (fl *Fleet) StartedAt(id string) int64 {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.workers[id].began.UnixMilli()
@@ -71,7 +71,7 @@
 	broken, earlier := wk.cut[token]
 	if broken && !wk.late {
 		wk.cut[token] = false
-		return ErrCut
+		return ErrConnectionClosed
 	}
 	wk.callers[token] = true
 	wk.met = wk.met || !earlier && !wk.late
--- a/internal/standin/memworkers/memworkers.go
+++ b/internal/standin/memworkers/memworkers.go
@@ -22,17 +22,17 @@
 // Fault is what happens to an order to a worker.
 type Fault int
 
-// The faults. Silent orders are not carried out and not answered, Lost ones are
-// carried out, Late ones are carried out after LateBy.
+// The faults. RequestLost orders are not carried out and not answered, ResponseLost ones are
+// carried out, Delayed ones are carried out after LateBy.
 const (
 	None Fault = iota
-	Silent
-	Lost
-	Late
+	RequestLost
+	ResponseLost
+	Delayed
 )
 
-// LateBy is how late a late order is carried out.
-const LateBy = 3 * time.Second
+// DelayedBy is how late a late order is carried out.
+const DelayedBy = 3 * time.Second
 
 // Fleet is a number of workers.
 type Fleet struct {
@@ -104,9 +104,9 @@
 	return slices.Clone(fl.starts)
 }
 
-// Trouble returns what should never have happened: two runs of a task at once, or a
+// Violations returns what should never have happened: two runs of a task at once, or a
 // start of a task that has ended done.
-func (fl *Fleet) Trouble() []string {
+func (fl *Fleet) Violations() []string {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return slices.Clone(fl.trouble)
@@ -125,19 +125,19 @@
 	wk := fl.workers[id]
 	fault := fl.fault(id, order)
 	if wk == nil {
-		fault = Silent
+		fault = RequestLost
 	}
 	if err := wk.gone(); err != nil {
 		fl.mu.Unlock()
 		return err
 	}
 	var err error
-	if fault == None || fault == Lost {
+	if fault == None || fault == ResponseLost {
 		fl.advance(wk)
 		err = act(wk)
 	}
-	if fault == Late {
-		fl.clock.AfterFunc(LateBy, func() {
+	if fault == Delayed {
+		fl.clock.AfterFunc(DelayedBy, func() {
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
 			wk := fl.workers[id] // the life that is there by now
@@ -291,7 +291,7 @@
 		}
 		return nil
 	})
-	if errors.Is(err, ErrCut) {
+	if errors.Is(err, ErrConnectionClosed) {
 		fl.lose(sr)
 	}
 	return refusal, err
--- a/internal/standin/memworkers/room.go
+++ b/internal/standin/memworkers/room.go
@@ -13,9 +13,9 @@
 	counts time.Time
 }
 
-// SetRoom lets a worker have room for a number of tasks. A start over it is trouble once a time
+// SetTaskCapacity lets a worker have room for a number of tasks. A start over it is trouble once a time
 // has passed; the worker takes it all the same.
-func (fl *Fleet) SetRoom(id string, tasks int, after time.Duration) {
+func (fl *Fleet) SetTaskCapacity(id string, tasks int, after time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.workers[id].room = room{tasks, fl.clock.Now().Add(after)}
--- a/internal/standin/netpath/netpath.go
+++ b/internal/standin/netpath/netpath.go
@@ -53,15 +53,15 @@
 	return pt.opened
 }
 
-// Narrow gives the way back a bandwidth in bytes a second, which all connections share.
-func (pt *Path) Narrow(rate int) {
+// SetBandwidth gives the way back a bandwidth in bytes a second, which all connections share.
+func (pt *Path) SetBandwidth(rate int) {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
 	pt.rate = rate
 }
 
-// Carried returns how many bytes were taken back so far.
-func (pt *Path) Carried() int {
+// BytesReturned returns how many bytes were taken back so far.
+func (pt *Path) BytesReturned() int {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
 	return pt.carried
@@ -77,9 +77,9 @@
 	pt.links = nil
 }
 
-// Silence swallows from now on whatever either end of a present connection says, its
+// Blackhole swallows from now on whatever either end of a present connection says, its
 // closing too. Both ends stay open.
-func (pt *Path) Silence() {
+func (pt *Path) Blackhole() {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
 	for _, lk := range pt.links {
--- a/internal/standin/netpath/netpath_test.go
+++ b/internal/standin/netpath/netpath_test.go
@@ -47,7 +47,7 @@
 	old, err := net.Dial("tcp4", path.Address())
 	is.NoErr(err)
 	is.NoErr(echo(old))
-	path.Silence()
+	path.Blackhole()
 	for range 2 {
 		var timeout net.Error
 		is.True(errors.As(echo(old), &timeout) && timeout.Timeout()) // no reset, no end
@@ -85,14 +85,14 @@
 	path, err := netpath.New(ln.Addr().String())
 	is.NoErr(err)
 	defer func() { is.NoErr(path.Close()) }()
-	path.Narrow(rate)
+	path.SetBandwidth(rate)
 	began := time.Now()
 	conn, err := net.Dial("tcp4", path.Address())
 	is.NoErr(err)
 	_, err = io.ReadFull(conn, make([]byte, bytes))
 	is.NoErr(err)
 	is.True(time.Since(began) >= time.Second*bytes/rate)
-	is.Equal(path.Carried(), bytes)
+	is.Equal(path.BytesReturned(), bytes)
 	path.Reset()
 	_, err = conn.Read(make([]byte, 1))
 	is.True(err != nil)
--- a/internal/standin/standinstore/standinstore.go
+++ b/internal/standin/standinstore/standinstore.go
@@ -21,15 +21,15 @@
 // Options of the stand-in.
 type Options struct {
 	Listen string
-	// Writes and Reads are the calls a second that the service takes.
-	Writes float64
-	Reads  float64
+	// WriteRate and Reads are the calls a second that the service takes.
+	WriteRate float64
+	ReadRate  float64
 }
 
 // The rates of the platform's service.
 const (
-	DefaultWrites = 100
-	DefaultReads  = 2000
+	DefaultWriteRate = 100
+	DefaultReadRate  = 2000
 )
 
 // keptEvents bounds the changes that a watch can go back to.
@@ -43,18 +43,18 @@
 	Hang bool `json:"hang"`
 	// Slow delays every call.
 	Slow time.Duration `json:"slow"`
-	// LoseEvery closes the connection of every n-th write after it took effect.
-	LoseEvery int `json:"lose_every"`
+	// DropResponseEvery closes the connection of every n-th write after it took effect.
+	DropResponseEvery int `json:"lose_every"`
 }
 
 // Counts are the calls taken so far.
 type Counts struct {
-	Reads    int64 `json:"reads"`
-	Writes   int64 `json:"writes"`
-	Refused  int64 `json:"refused"`
-	Lost     int64 `json:"lost"`
-	Revision int64 `json:"revision"`
-	Bytes    int64 `json:"bytes"`
+	Reads            int64 `json:"reads"`
+	Writes           int64 `json:"writes"`
+	RateLimited      int64 `json:"refused"`
+	ResponsesDropped int64 `json:"lost"`
+	Revision         int64 `json:"revision"`
+	Bytes            int64 `json:"bytes"`
 }
 
 // Store is the stand-in.
@@ -91,11 +91,11 @@
 	if opts.Listen == "" {
 		opts.Listen = "127.0.0.1:0"
 	}
-	if opts.Writes == 0 {
-		opts.Writes = DefaultWrites
+	if opts.WriteRate == 0 {
+		opts.WriteRate = DefaultWriteRate
 	}
-	if opts.Reads == 0 {
-		opts.Reads = DefaultReads
+	if opts.ReadRate == 0 {
+		opts.ReadRate = DefaultReadRate
 	}
 	ln, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
@@ -103,8 +103,8 @@
 	}
 	st := &Store{
 		listener: ln,
-		reads:    rate.NewLimiter(rate.Limit(opts.Reads), int(opts.Reads)),
-		writes:   rate.NewLimiter(rate.Limit(opts.Writes), int(opts.Writes)),
+		reads:    rate.NewLimiter(rate.Limit(opts.ReadRate), int(opts.ReadRate)),
+		writes:   rate.NewLimiter(rate.Limit(opts.WriteRate), int(opts.WriteRate)),
 		done:     make(chan struct{}),
 		items:    map[string]*entry{},
 		leases:   map[string]*lease{},
@@ -213,7 +213,7 @@
 ) {
 	write := limit == st.writes
 	if !limit.Allow() {
-		st.count(func(ct *Counts) { ct.Refused++ })
+		st.count(func(ct *Counts) { ct.RateLimited++ })
 		ctx.Error("over the rate", fasthttp.StatusTooManyRequests)
 		return
 	}
@@ -249,10 +249,10 @@
 func (st *Store) loses() bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.faults.LoseEvery == 0 || st.counts.Writes%int64(st.faults.LoseEvery) != 0 {
+	if st.faults.DropResponseEvery == 0 || st.counts.Writes%int64(st.faults.DropResponseEvery) != 0 {
 		return false
 	}
-	st.counts.Lost++
+	st.counts.ResponsesDropped++
 	return true
 }
 
--- a/internal/standin/standinworker/control.go
+++ b/internal/standin/standinworker/control.go
@@ -69,7 +69,7 @@
 	wk.control = cn
 	wk.session++
 	if now := time.Now(); wk.can(workermsg.Fencing) || now.After(wk.leaseUntil) {
-		wk.leaseUntil = now.Add(wk.opts.Lease)
+		wk.leaseUntil = now.Add(wk.opts.LeaseTTL)
 	}
 	hello := wk.hello()
 	wk.mu.Unlock()
@@ -85,7 +85,7 @@
 	he := &workermsg.Hello{
 		Worker: wk.opts.Name, Incarnation: wk.incarnation, Epoch: wk.epoch,
 		Nonce: wk.nextNonce(), Capacity: wk.opts.Capacity, Slots: wk.opts.Slots,
-		Connections: wk.opts.Connections, Lease: wk.opts.Lease,
+		Connections: wk.opts.Connections, Lease: wk.opts.LeaseTTL,
 		Capabilities: wk.opts.Capabilities, Leaving: wk.leaving, Session: wk.session,
 	}
 	if !wk.can(workermsg.Inventory) {
@@ -119,7 +119,7 @@
 	if !ok || wk.can(workermsg.Fencing) && (wk.control != cn || rn.Epoch != wk.epoch) {
 		return
 	}
-	if until := sent.Add(wk.opts.Lease); until.After(wk.leaseUntil) {
+	if until := sent.Add(wk.opts.LeaseTTL); until.After(wk.leaseUntil) {
 		wk.leaseUntil = until
 	}
 }
@@ -180,7 +180,7 @@
 func (wk *Worker) occupy(id string, sz [3]int64) {
 	wk.used = wk.used.Add(sz)
 	if !wk.used.Fits(wk.opts.Capacity) || len(wk.lookups) > wk.opts.Slots {
-		wk.record(id, EventOver, "")
+		wk.record(id, EventOverCapacity, "")
 	}
 }
 
--- a/internal/standin/standinworker/lookup.go
+++ b/internal/standin/standinworker/lookup.go
@@ -11,9 +11,9 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// Reply returns the answer that every stand-in worker gives to a lookup's body,
+// ExpectedAnswer returns the answer that every stand-in worker gives to a lookup's body,
 // so that a client can check that it got its own.
-func Reply(body []byte) []byte {
+func ExpectedAnswer(body []byte) []byte {
 	sum := strconv.FormatUint(xxhash.Sum64(body), 16)
 	return append([]byte("answer "+sum+" to "), body...)
 }
@@ -101,18 +101,18 @@
 	if fail {
 		an.Failed = "the endpoint fails everything"
 	} else {
-		an.Body = Reply(lk.Body)
+		an.Body = ExpectedAnswer(lk.Body)
 	}
 	an.Length = len(an.Body)
-	if ft.CutShort {
+	if ft.Truncate {
 		an.Body = an.Body[:len(an.Body)/2]
 	}
-	if ft.Foreign {
-		foreign := Reply([]byte(ids.Random(4)))
+	if ft.SendUnrequested {
+		foreign := ExpectedAnswer([]byte(ids.Random(4)))
 		wk.send(cn, workermsg.From{Answer: &workermsg.Answer{ID: lk.ID + 1, Length: len(foreign), Body: foreign}})
 	}
 	sent := wk.send(cn, workermsg.From{Answer: &an})
-	if ft.Twice {
+	if ft.SendTwice {
 		wk.send(cn, workermsg.From{Answer: &an})
 	}
 	if (!sent || session != lk.Session) && owner != nil {
--- a/internal/standin/standinworker/options.go
+++ b/internal/standin/standinworker/options.go
@@ -10,15 +10,15 @@
 
 // Options describe one stand-in worker.
 type Options struct {
-	Name        string
-	Hall        string
-	Rack        string
-	Listen      string
-	Capacity    size.Size
-	Slots       int
-	Connections int
-	Lease       time.Duration
-	Beat        time.Duration
+	Name              string
+	Hall              string
+	Rack              string
+	Listen            string
+	Capacity          size.Size
+	Slots             int
+	Connections       int
+	LeaseTTL          time.Duration
+	HeartbeatInterval time.Duration
 	// StartWindow is how old the beat may be that a start message names.
 	StartWindow time.Duration
 	// LookupTime is how long one lookup takes.
@@ -55,11 +55,11 @@
 	if op.Connections == 0 {
 		op.Connections = defaultConnections
 	}
-	if op.Lease == 0 {
-		op.Lease = defaultLease
+	if op.LeaseTTL == 0 {
+		op.LeaseTTL = defaultLease
 	}
-	if op.Beat == 0 {
-		op.Beat = defaultBeat
+	if op.HeartbeatInterval == 0 {
+		op.HeartbeatInterval = defaultBeat
 	}
 	if op.StartWindow == 0 {
 		op.StartWindow = defaultStartWindow
@@ -80,14 +80,14 @@
 	// LookupDelay is added to the time of every second lookup, so that answers
 	// overtake each other.
 	LookupDelay time.Duration `json:"lookup_delay"`
-	// CutShort sends half of each answer's body.
-	CutShort bool `json:"cut_short"`
-	// Foreign sends, before each answer, one to a lookup that nobody sent.
-	Foreign bool `json:"foreign"`
-	// Twice sends each answer twice.
-	Twice bool `json:"twice"`
-	// Mute drops what the worker would send, as a cut link does.
-	Mute bool `json:"mute"`
+	// Truncate sends half of each answer's body.
+	Truncate bool `json:"cut_short"`
+	// SendUnrequested sends, before each answer, one to a lookup that nobody sent.
+	SendUnrequested bool `json:"foreign"`
+	// SendTwice sends each answer twice.
+	SendTwice bool `json:"twice"`
+	// DropSends drops what the worker would send, as a cut link does.
+	DropSends bool `json:"mute"`
 }
 
 // Record is one line of what really happened on a worker, for a checker.
@@ -105,7 +105,7 @@
 
 // The events of a record.
 const (
-	EventBegin = "begin"
-	EventEnd   = "end"
-	EventOver  = "over capacity"
+	EventBegin        = "begin"
+	EventEnd          = "end"
+	EventOverCapacity = "over capacity"
 )
--- a/internal/standin/standinworker/standinworker.go
+++ b/internal/standin/standinworker/standinworker.go
@@ -110,8 +110,8 @@
 	}
 	go func() { _ = wk.server.Serve(ln) }() // ends with the listener
 	const checks = 20                       // looks at a lease in its length
-	go wk.every(opts.Beat, wk.beat)
-	go wk.every(opts.Lease/checks, wk.checkLease)
+	go wk.every(opts.HeartbeatInterval, wk.beat)
+	go wk.every(opts.LeaseTTL/checks, wk.checkLease)
 	return wk, nil
 }
 
@@ -259,7 +259,7 @@
 // did. A failed write ends the connection, and its reader notices.
 func (wk *Worker) send(cn *frames.Conn, msg workermsg.From) bool {
 	wk.mu.Lock()
-	mute := wk.faults.Mute
+	mute := wk.faults.DropSends
 	wk.mu.Unlock()
 	if mute {
 		return false
@@ -303,7 +303,7 @@
 	wk.nonce++
 	wk.beats[wk.nonce] = now
 	for nonce, at := range wk.beats {
-		if now.Sub(at) > wk.opts.Lease {
+		if now.Sub(at) > wk.opts.LeaseTTL {
 			delete(wk.beats, nonce)
 		}
 	}
@@ -338,8 +338,8 @@
 	}
 }
 
-// Cut ends all connections, as a broken link does; the worker goes on.
-func (wk *Worker) Cut() {
+// CloseConnections ends all connections, as a broken link does; the worker goes on.
+func (wk *Worker) CloseConnections() {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	for cn := range wk.conns {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -24,7 +24,7 @@
 // startStore starts a stand-in store and returns it with a client.
 func startStore(t *testing.T) (*standinstore.Store, *store.Client) {
 	t.Helper()
-	st, err := standinstore.New(standinstore.Options{Writes: 1000, Reads: 1000})
+	st, err := standinstore.New(standinstore.Options{WriteRate: 1000, ReadRate: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,11 +60,11 @@
 func TestLostResponses(t *testing.T) {
 	is := is.New(t)
 	st, cl := startStore(t)
-	st.SetFaults(standinstore.Faults{LoseEvery: 1})
+	st.SetFaults(standinstore.Faults{DropResponseEvery: 1})
 	version := uint64(0)
 	for n := range 5 {
 		if n == 3 {
-			st.SetFaults(standinstore.Faults{LoseEvery: 2})
+			st.SetFaults(standinstore.Faults{DropResponseEvery: 2})
 		}
 		item, ok, err := cl.Put(context.Background(), store.Other, store.Write{
 			Key: "k", Value: []byte{byte(n)}, Version: version,
@@ -74,8 +74,8 @@
 		is.True(item.Version > version)
 		version = item.Version
 	}
-	is.Equal(st.Counts().Revision, int64(5)) // each write took effect once
-	is.True(st.Counts().Lost > 0)            // responses were lost
+	is.Equal(st.Counts().Revision, int64(5))  // each write took effect once
+	is.True(st.Counts().ResponsesDropped > 0) // responses were lost
 }
 
 // TestOutageError checks that the error of a write that is canceled during an outage tells whether it may have taken
--- a/internal/term/scale_test.go
+++ b/internal/term/scale_test.go
@@ -62,7 +62,7 @@
 	rl.byKind[call]++
 	if rl.busy || *count > limit {
 		rl.refused++
-		return memkv.Limited
+		return memkv.RateLimited
 	}
 	return memkv.None
 }
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -40,8 +40,8 @@
 // Names lists the traces that can be made.
 func Names() []string { return slices.Sorted(slices.Values(lo.Keys(recipes))) }
 
-// Make makes the trace of a name; the same seed gives the same trace.
-func Make(name string, seed uint64) (*Trace, error) {
+// Generate makes the trace of a name; the same seed gives the same trace.
+func Generate(name string, seed uint64) (*Trace, error) {
 	rc, ok := recipes[name]
 	if !ok {
 		return nil, fault.New(fault.BadRequest, "no trace %s; there are %v", name, Names())
@@ -49,7 +49,7 @@
 	mk := &maker{rd: rand.New(rand.NewPCG(seed, uint64(len(name))))}
 	rc.fill(mk)
 	slices.SortStableFunc(mk.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	return New(Header{Name: name, About: rc.about, Span: rc.span, Owners: 3, Outcomes: rc.outcomes}, mk.events), nil
+	return New(Header{Name: name, Description: rc.about, Span: rc.span, Owners: 3, Outcomes: rc.outcomes}, mk.events), nil
 }
 
 func (mk *maker) add(at time.Duration, ev Event) {
@@ -115,7 +115,7 @@
 	run := time.Duration(float64(sh.run) * math.Exp(sh.spread*mk.rd.NormFloat64()))
 	mk.add(at, Event{Job: &Job{
 		ID: id, Workspace: workspace, Workload: sh.workload, Tasks: sh.tasks, Size: declared, Used: sh.size,
-		Run: run.Round(time.Millisecond), Deadline: sh.deadline, Priority: sh.priority, Repeatable: sh.repeat,
+		RunTime: run.Round(time.Millisecond), Deadline: sh.deadline, Priority: sh.priority, Repeatable: sh.repeat,
 	}})
 	return id
 }
@@ -134,7 +134,7 @@
 // lookups adds a stream of lookups.
 func (mk *maker) lookups(from, to time.Duration, rate float64, workspace string) {
 	mk.add(from, Event{Lookups: &Lookups{
-		Workspace: workspace, Rate: rate, For: to - from, Run: 100 * time.Millisecond,
+		Workspace: workspace, Rate: rate, Duration: to - from, RunTime: 100 * time.Millisecond,
 		Budget: 2 * time.Second, Seed: mk.rd.Uint64(),
 	}})
 }
--- a/internal/trace/recipes.go
+++ b/internal/trace/recipes.go
@@ -12,7 +12,7 @@
 var recipes = map[string]recipe{
 	"brno-day": {
 		about: "an ordinary day: lookups, pushes and refreshes, a rebuild every minute", span: 10 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(0), Missed: lo.ToPtr(0), Failed: lo.ToPtr(0), Shed: lo.ToPtr(0.0)},
+		outcomes: Outcomes{Refused: lo.ToPtr(0), MaxMissed: lo.ToPtr(0), MaxFailed: lo.ToPtr(0), MaxShed: lo.ToPtr(0.0)},
 		fill: func(mk *maker) {
 			mk.brno()
 			mk.lookups(0, 10*time.Minute, 200, "counter")
@@ -25,7 +25,7 @@
 	},
 	"auckland-renewal": {
 		about: "the night before renewals: more rerates and recalculations than fit, weights 1, 2 and 4", span: 40 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(0), Missed: lo.ToPtr(0), Packing: lo.ToPtr(0.85)},
+		outcomes: Outcomes{Refused: lo.ToPtr(0), MaxMissed: lo.ToPtr(0), MinPacking: lo.ToPtr(0.85)},
 		fill: func(mk *maker) {
 			mk.auckland()
 			all := named(20)
@@ -41,7 +41,7 @@
 	},
 	"peak-over-rebuild": {
 		about: "lookups at their peak while rebuilds need most of the workers", span: 6 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(0), Missed: lo.ToPtr(0), Shed: lo.ToPtr(0.01)},
+		outcomes: Outcomes{Refused: lo.ToPtr(0), MaxMissed: lo.ToPtr(0), MaxShed: lo.ToPtr(0.01)},
 		fill: func(mk *maker) {
 			mk.brno()
 			mk.lookups(0, 2*time.Minute, 500, "counter")
@@ -56,7 +56,7 @@
 	},
 	"sizes-off": {
 		about: "jobs declare four times what they use", span: 20 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(0), Missed: lo.ToPtr(0)},
+		outcomes: Outcomes{Refused: lo.ToPtr(0), MaxMissed: lo.ToPtr(0)},
 		fill: func(mk *maker) {
 			mk.brno()
 			mk.stream(0, 6*time.Minute, 4, named(8), refresh.with(func(sh *shape) { sh.size, sh.declared = size.New(5000, 4<<10, 0), 4 }))
@@ -69,7 +69,7 @@
 	},
 	"runs-off": {
 		about: "run times of one workload differ by a factor of ten and more, with gangs among them", span: 40 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(0), Missed: lo.ToPtr(0)},
+		outcomes: Outcomes{Refused: lo.ToPtr(0), MaxMissed: lo.ToPtr(0)},
 		fill: func(mk *maker) {
 			mk.brno()
 			mk.stream(0, 8*time.Minute, 3, named(8), refresh.with(func(sh *shape) { sh.spread = 1.4 }))
@@ -80,7 +80,7 @@
 	},
 	"cancel-wave": {
 		about: "two thousand waiting jobs are cancelled at once", span: 10 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(0), Failed: lo.ToPtr(0)},
+		outcomes: Outcomes{Refused: lo.ToPtr(0), MaxFailed: lo.ToPtr(0)},
 		fill: func(mk *maker) {
 			mk.brno()
 			var ids []string
@@ -95,7 +95,7 @@
 	},
 	"failing-workers": {
 		about: "five workers fail all that they start, for three minutes", span: 10 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(0), Failed: lo.ToPtr(60)},
+		outcomes: Outcomes{Refused: lo.ToPtr(0), MaxFailed: lo.ToPtr(60)},
 		fill: func(mk *maker) {
 			mk.brno()
 			mk.lookups(0, 6*time.Minute, 200, "counter")
@@ -106,7 +106,7 @@
 	},
 	"hall-lost": {
 		about: "a hall of three is lost for two minutes under load", span: 15 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(0), Shed: lo.ToPtr(0.01)},
+		outcomes: Outcomes{Refused: lo.ToPtr(0), MaxShed: lo.ToPtr(0.01)},
 		fill: func(mk *maker) {
 			mk.brno()
 			mk.lookups(0, 8*time.Minute, 200, "counter")
@@ -114,7 +114,7 @@
 			for at := time.Minute; at < 8*time.Minute; at += time.Minute {
 				mk.job(at, "rebuilds", rebuild)
 			}
-			mk.add(150*time.Second, Event{Lost: &Lost{Hall: "olomouc"}})
+			mk.add(150*time.Second, Event{HallLost: &HallLost{Hall: "olomouc"}})
 			mk.add(270*time.Second, Event{Workers: &Workers{
 				Hall: "olomouc", Count: 16, Rack: 8, Size: size.New(siteCores, brnoMemory, 0), Slots: siteSlots,
 			}})
@@ -122,7 +122,7 @@
 	},
 	"impossible-jobs": {
 		about: "forty jobs that no worker, and no limit, lets run, among ordinary ones", span: 5 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(40), Missed: lo.ToPtr(0), Failed: lo.ToPtr(0)},
+		outcomes: Outcomes{Refused: lo.ToPtr(40), MaxMissed: lo.ToPtr(0), MaxFailed: lo.ToPtr(0)},
 		fill: func(mk *maker) {
 			mk.brno()
 			mk.add(0, Event{Limits: &Limits{Workspace: "small", Weight: 1, Running: lo.ToPtr(int64(4))}})
@@ -136,7 +136,7 @@
 	},
 	"weights-edited": {
 		about: "two workspaces with long queues; after two minutes the weight of one is raised to three", span: 20 * time.Minute,
-		outcomes: Outcomes{Refused: lo.ToPtr(0), Fairness: lo.ToPtr(0.8), Urgent: lo.ToPtr(2500 * time.Millisecond)},
+		outcomes: Outcomes{Refused: lo.ToPtr(0), MinFairness: lo.ToPtr(0.8), MaxUrgentWait: lo.ToPtr(2500 * time.Millisecond)},
 		fill: func(mk *maker) {
 			mk.brno()
 			for i := range 2400 {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -26,42 +26,42 @@
 
 // Header is the first line of a trace.
 type Header struct {
-	Version  int           `json:"version"`
-	Name     string        `json:"workload"`
-	About    string        `json:"about"`
-	Span     time.Duration `json:"span"`
-	Owners   int           `json:"owners"`
-	Outcomes Outcomes      `json:"outcomes"`
+	Version     int           `json:"version"`
+	Name        string        `json:"workload"`
+	Description string        `json:"about"`
+	Span        time.Duration `json:"span"`
+	Owners      int           `json:"owners"`
+	Outcomes    Outcomes      `json:"outcomes"`
 }
 
 // Outcomes are what a run of the trace must come to. What is not named is free.
 type Outcomes struct {
 	// Refused is the number of jobs that can never run and are refused at once.
 	Refused *int `json:"refused,omitempty"`
-	// Missed bounds the jobs that end after their deadline, or not at all.
-	Missed *int `json:"missed,omitempty"`
-	// Failed bounds the jobs that end as failed.
-	Failed *int `json:"failed,omitempty"`
-	// Packing is the least part of the bound that is used while work waits.
-	Packing *float64 `json:"packing,omitempty"`
-	// Fairness is the least ratio of the smallest to the largest weighted share.
-	Fairness *float64 `json:"fairness,omitempty"`
-	// Urgent bounds the longest wait of an urgent job.
-	Urgent *time.Duration `json:"urgent,omitempty"`
-	// Shed bounds the part of the lookups that are refused.
-	Shed *float64 `json:"shed,omitempty"`
+	// MaxMissed bounds the jobs that end after their deadline, or not at all.
+	MaxMissed *int `json:"missed,omitempty"`
+	// MaxFailed bounds the jobs that end as failed.
+	MaxFailed *int `json:"failed,omitempty"`
+	// MinPacking is the least part of the bound that is used while work waits.
+	MinPacking *float64 `json:"packing,omitempty"`
+	// MinFairness is the least ratio of the smallest to the largest weighted share.
+	MinFairness *float64 `json:"fairness,omitempty"`
+	// MaxUrgentWait bounds the longest wait of an urgent job.
+	MaxUrgentWait *time.Duration `json:"urgent,omitempty"`
+	// MaxShed bounds the part of the lookups that are refused.
+	MaxShed *float64 `json:"shed,omitempty"`
 }
 
 // Event is one thing that happens; exactly one pointer is set.
 type Event struct {
-	At      time.Duration `json:"at"`
-	Workers *Workers      `json:"workers,omitempty"`
-	Lost    *Lost         `json:"lost,omitempty"`
-	Limits  *Limits       `json:"limits,omitempty"`
-	Job     *Job          `json:"job,omitempty"`
-	Cancel  *Cancel       `json:"cancel,omitempty"`
-	Lookups *Lookups      `json:"lookups,omitempty"`
-	Failing *Failing      `json:"failing,omitempty"`
+	At       time.Duration `json:"at"`
+	Workers  *Workers      `json:"workers,omitempty"`
+	HallLost *HallLost     `json:"lost,omitempty"`
+	Limits   *Limits       `json:"limits,omitempty"`
+	Job      *Job          `json:"job,omitempty"`
+	Cancel   *Cancel       `json:"cancel,omitempty"`
+	Lookups  *Lookups      `json:"lookups,omitempty"`
+	Failing  *Failing      `json:"failing,omitempty"`
 }
 
 // Workers adds workers of one size to a hall, in racks.
@@ -73,8 +73,8 @@
 	Slots int       `json:"slots"`
 }
 
-// Lost takes all workers of a hall away at once.
-type Lost struct {
+// HallLost takes all workers of a hall away at once.
+type HallLost struct {
 	Hall string `json:"hall"`
 }
 
@@ -94,7 +94,7 @@
 	Tasks      int           `json:"tasks"`
 	Size       size.Size     `json:"size"`
 	Used       size.Size     `json:"used,omitzero"`
-	Run        time.Duration `json:"run"`
+	RunTime    time.Duration `json:"run"`
 	Deadline   time.Duration `json:"deadline,omitempty"`
 	Priority   int           `json:"priority"`
 	Repeatable bool          `json:"repeatable,omitempty"`
@@ -110,8 +110,8 @@
 type Lookups struct {
 	Workspace string        `json:"workspace"`
 	Rate      float64       `json:"rate"`
-	For       time.Duration `json:"for"`
-	Run       time.Duration `json:"run"`
+	Duration  time.Duration `json:"for"`
+	RunTime   time.Duration `json:"run"`
 	Budget    time.Duration `json:"budget"`
 	Seed      uint64        `json:"seed"`
 }
@@ -197,10 +197,10 @@
 	if n := len(tr.events); n > 0 && ev.At < tr.events[n-1].At {
 		return errors.Errorf("at %v comes after %v", ev.At, tr.events[n-1].At)
 	}
-	if jb := ev.Job; jb != nil && (jb.Tasks < 1 || jb.Run <= 0 || !jb.Size.Valid()) {
+	if jb := ev.Job; jb != nil && (jb.Tasks < 1 || jb.RunTime <= 0 || !jb.Size.Valid()) {
 		return errors.Errorf("job %s: give tasks of 1 or more, a run above 0 and a size of 0 or more", jb.ID)
 	}
-	if lk := ev.Lookups; lk != nil && (lk.Rate <= 0 || lk.For <= 0 || lk.Run <= 0 || lk.Budget <= 0) {
+	if lk := ev.Lookups; lk != nil && (lk.Rate <= 0 || lk.Duration <= 0 || lk.RunTime <= 0 || lk.Budget <= 0) {
 		return errors.Errorf("lookups of %s: give rate, for, run and budget above 0", lk.Workspace)
 	}
 	tr.events = append(tr.events, ev)
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			text := func(seed uint64) string {
-				tr, err := trace.Make(name, seed)
+				tr, err := trace.Generate(name, seed)
 				is.NoErr(err)
 				var out bytes.Buffer
 				is.NoErr(tr.Write(&out))
--- a/internal/trial/lookups.go
+++ b/internal/trial/lookups.go
@@ -29,7 +29,7 @@
 		lk := &lookup{
 			id: fmt.Sprintf("lookup-%s-%d-%d", st.Workspace, st.Seed, st.count), workspace: st.Workspace,
 			since: wo.now, deadline: wo.now + st.Budget,
-			run: time.Duration(float64(st.Run) * (0.5 + st.rd.Float64())),
+			run: time.Duration(float64(st.RunTime) * (0.5 + st.rd.Float64())),
 		}
 		wo.lookups[lk.id] = lk
 		wo.measure.asked++
--- a/internal/trial/measure.go
+++ b/internal/trial/measure.go
@@ -105,7 +105,7 @@
 
 func (me *measure) count(jb *job, how outcome) {
 	me.outcomes[how]++
-	if how == missed && jb.Run < jb.Deadline {
+	if how == missed && jb.RunTime < jb.Deadline {
 		me.missedOK++
 	}
 }
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -14,8 +14,8 @@
 	"tackbeam.example/tackbeam/internal/trace"
 )
 
-// Now is the name of the policy that nodes have.
-const Now = "now"
+// CurrentPolicy is the name of the policy that nodes have.
+const CurrentPolicy = "now"
 
 // Policy is a way to decide that a trace can be run through.
 type Policy struct {
@@ -27,14 +27,14 @@
 // Name returns what the policy is called on the command line.
 func (pl Policy) Name() string { return pl.name }
 
-// About returns what it is, in one line.
-func (pl Policy) About() string { return pl.about }
+// Description returns what it is, in one line.
+func (pl Policy) Description() string { return pl.about }
 
 // Policies lists the policies, the one that nodes have first.
 func Policies() []Policy {
 	whole := variant{home: home.DefaultRules(), limits: owner.DefaultLimits()}
 	list := []Policy{
-		ours(Now, "as nodes decide", whole, func(*variant) {}),
+		ours(CurrentPolicy, "as nodes decide", whole, func(*variant) {}),
 		ours("no-backfill", "short tasks stay off workers kept for gangs", whole, func(vr *variant) { vr.limits.Backfill = false }),
 		ours("no-plan", "gangs reserve after two seconds, whatever their deadline", whole, func(vr *variant) { vr.home.DeferReservations = false }),
 		ours("backoff", "as before: tries after a pause, no plan, no backfill", whole, func(vr *variant) {
@@ -49,8 +49,8 @@
 	return Policy{name: name, about: about, make: func(wo *world) decider { return newMachines(wo, vr) }}
 }
 
-// Find returns the policy of a name.
-func Find(name string) (Policy, error) {
+// FindPolicy returns the policy of a name.
+func FindPolicy(name string) (Policy, error) {
 	var names []string
 	for _, pl := range Policies() {
 		if pl.name == name {
@@ -84,26 +84,28 @@
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
 	// Packing is the part of the bound in use while work waits, Backlog for how long.
-	Packing   float64       `json:"packing"`
-	Backlog   time.Duration `json:"backlog"`
-	Fairness  float64       `json:"fairness"`
-	Preempted int           `json:"preempted"`
-	LostWork  time.Duration `json:"lost_work"`
-	Lookups   int           `json:"lookups"`
-	Shed      int           `json:"shed"`
+	Packing     float64       `json:"packing"`
+	BacklogTime time.Duration `json:"backlog"`
+	Fairness    float64       `json:"fairness"`
+	Preempted   int           `json:"preempted"`
+	LostWork    time.Duration `json:"lost_work"`
+	Lookups     int           `json:"lookups"`
+	Shed        int           `json:"shed"`
 	// LookupsFailed went to workers that failed them.
 	LookupsFailed int           `json:"lookups_failed"`
 	Decisions     int           `json:"decisions"`
-	Deciding      time.Duration `json:"deciding"`
+	DecisionTime  time.Duration `json:"deciding"`
 	DecisionP99   time.Duration `json:"decision_p99"`
-	// Curve is the distribution of the waits of all jobs, for a chart.
-	Curve []chart.Point `json:"-"`
-	// Broken names the stated outcomes that did not come about.
-	Broken []string `json:"broken,omitempty"`
+	// Distribution is the distribution of the waits of all jobs, for a chart.
+	Distribution []chart.Point `json:"-"`
+	// UnmetOutcomes names the stated outcomes that did not come about.
+	UnmetOutcomes []string `json:"broken,omitempty"`
 }
 
-// Rate returns the decisions made a second of processor time.
-func (rp Report) Rate() float64 { return float64(rp.Decisions) / max(rp.Deciding.Seconds(), 1e-9) }
+// DecisionRate returns the decisions made a second of processor time.
+func (rp Report) DecisionRate() float64 {
+	return float64(rp.Decisions) / max(rp.DecisionTime.Seconds(), 1e-9)
+}
 
 // Run runs a trace through a policy.
 func Run(tr *trace.Trace, pl Policy) Report {
@@ -115,7 +117,7 @@
 	wo.run()
 	rp := wo.measure.report()
 	rp.Trace, rp.Policy = tr.Header().Name, pl.name
-	rp.Broken = broken(rp, tr.Header().Outcomes)
+	rp.UnmetOutcomes = broken(rp, tr.Header().Outcomes)
 	return rp
 }
 
@@ -124,11 +126,11 @@
 		Classes: waitsOf(me.classes), Workspaces: waitsOf(me.workspaces),
 		Ran: me.outcomes[ran], Refused: me.outcomes[refused], Missed: me.outcomes[missed] + me.outcomes[unfinished],
 		Avoidable: me.missedOK + me.outcomes[unfinished], Failed: me.outcomes[failed], Cancelled: me.outcomes[cancelled],
-		Packing: 1, Fairness: 1, Backlog: me.backlog, Preempted: me.preempted, LostWork: me.lostWork,
+		Packing: 1, Fairness: 1, BacklogTime: me.backlog, Preempted: me.preempted, LostWork: me.lostWork,
 		Lookups: me.asked, Shed: me.shed, LookupsFailed: me.lookupsFailed,
-		Decisions: me.decisions, Deciding: me.deciding, DecisionP99: time.Duration(me.decisionTimes.ValueAtQuantile(99)),
+		Decisions: me.decisions, DecisionTime: me.deciding, DecisionP99: time.Duration(me.decisionTimes.ValueAtQuantile(99)),
 	}
-	rp.Curve = chart.Points(me.jobWaits)
+	rp.Distribution = chart.Points(me.jobWaits)
 	if me.boundTime > 0 {
 		rp.Packing = me.usedTime / me.boundTime
 	}
@@ -158,23 +160,23 @@
 	if oc.Refused != nil {
 		need(rp.Refused == *oc.Refused, "%d jobs were refused, stated are %d", rp.Refused, *oc.Refused)
 	}
-	if oc.Missed != nil {
-		need(rp.Missed <= *oc.Missed, "%d jobs missed their deadline, allowed are %d", rp.Missed, *oc.Missed)
+	if oc.MaxMissed != nil {
+		need(rp.Missed <= *oc.MaxMissed, "%d jobs missed their deadline, allowed are %d", rp.Missed, *oc.MaxMissed)
 	}
-	if oc.Failed != nil {
-		need(rp.Failed <= *oc.Failed, "%d jobs failed, allowed are %d", rp.Failed, *oc.Failed)
+	if oc.MaxFailed != nil {
+		need(rp.Failed <= *oc.MaxFailed, "%d jobs failed, allowed are %d", rp.Failed, *oc.MaxFailed)
 	}
-	if oc.Packing != nil {
-		need(rp.Packing >= *oc.Packing, "packing is %.3f of the bound, stated is %.3f", rp.Packing, *oc.Packing)
+	if oc.MinPacking != nil {
+		need(rp.Packing >= *oc.MinPacking, "packing is %.3f of the bound, stated is %.3f", rp.Packing, *oc.MinPacking)
 	}
-	if oc.Fairness != nil {
-		need(rp.Fairness >= *oc.Fairness, "fairness is %.3f, stated is %.3f", rp.Fairness, *oc.Fairness)
+	if oc.MinFairness != nil {
+		need(rp.Fairness >= *oc.MinFairness, "fairness is %.3f, stated is %.3f", rp.Fairness, *oc.MinFairness)
 	}
-	if oc.Urgent != nil {
-		need(rp.Classes[classUrgent].Max <= *oc.Urgent, "an urgent job waited %v, allowed are %v", rp.Classes[classUrgent].Max, *oc.Urgent)
+	if oc.MaxUrgentWait != nil {
+		need(rp.Classes[classUrgent].Max <= *oc.MaxUrgentWait, "an urgent job waited %v, allowed are %v", rp.Classes[classUrgent].Max, *oc.MaxUrgentWait)
 	}
-	if oc.Shed != nil {
-		need(float64(rp.Shed) <= *oc.Shed*float64(rp.Lookups), "%d of %d lookups were refused", rp.Shed, rp.Lookups)
+	if oc.MaxShed != nil {
+		need(float64(rp.Shed) <= *oc.MaxShed*float64(rp.Lookups), "%d of %d lookups were refused", rp.Shed, rp.Lookups)
 	}
 	return list
 }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -13,7 +13,7 @@
 
 // still takes out of a report what depends on the machine.
 func still(rp trial.Report) trial.Report {
-	rp.Deciding, rp.DecisionP99 = 0, 0
+	rp.DecisionTime, rp.DecisionP99 = 0, 0
 	return rp
 }
 
@@ -24,7 +24,7 @@
 	if err != nil || len(paths) != len(trace.Names()) {
 		t.Fatalf("%d traces are shipped, %d can be made: run make traces", len(paths), len(trace.Names()))
 	}
-	now, err := trial.Find(trial.Now)
+	now, err := trial.FindPolicy(trial.CurrentPolicy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,8 +35,8 @@
 			tr, err := trace.Load(path)
 			is.NoErr(err)
 			first := trial.Run(tr, now)
-			is.Equal(len(first.Broken), 0) // see the log for what is broken
-			for _, why := range first.Broken {
+			is.Equal(len(first.UnmetOutcomes), 0) // see the log for what is broken
+			for _, why := range first.UnmetOutcomes {
 				t.Log(why)
 			}
 			is.Equal(still(trial.Run(tr, now)), still(first))
@@ -52,22 +52,22 @@
 		policy   string
 		outcomes trace.Outcomes
 	}{
-		"refused":  {"impossible-jobs", trial.Now, trace.Outcomes{Refused: &none}},
-		"failed":   {"failing-workers", "first-fit", trace.Outcomes{Failed: &none}},
-		"packing":  {"impossible-jobs", trial.Now, trace.Outcomes{Packing: &all}},
-		"fairness": {"impossible-jobs", trial.Now, trace.Outcomes{Fairness: &all}},
-		"urgent":   {"weights-edited", "first-fit", trace.Outcomes{Urgent: &soon}},
+		"refused":  {"impossible-jobs", trial.CurrentPolicy, trace.Outcomes{Refused: &none}},
+		"failed":   {"failing-workers", "first-fit", trace.Outcomes{MaxFailed: &none}},
+		"packing":  {"impossible-jobs", trial.CurrentPolicy, trace.Outcomes{MinPacking: &all}},
+		"fairness": {"impossible-jobs", trial.CurrentPolicy, trace.Outcomes{MinFairness: &all}},
+		"urgent":   {"weights-edited", "first-fit", trace.Outcomes{MaxUrgentWait: &soon}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			made, err := trace.Make(tc.trace, 1)
+			made, err := trace.Generate(tc.trace, 1)
 			is.NoErr(err)
-			pl, err := trial.Find(tc.policy)
+			pl, err := trial.FindPolicy(tc.policy)
 			is.NoErr(err)
 			head := made.Header()
 			head.Outcomes = tc.outcomes
-			is.Equal(len(trial.Run(trace.New(head, made.Events()), pl).Broken), 1)
+			is.Equal(len(trial.Run(trace.New(head, made.Events()), pl).UnmetOutcomes), 1)
 		})
 	}
 }
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -125,8 +125,8 @@
 	switch {
 	case ev.Workers != nil:
 		wo.addWorkers(*ev.Workers)
-	case ev.Lost != nil:
-		wo.loseHall(ev.Lost.Hall)
+	case ev.HallLost != nil:
+		wo.loseHall(ev.HallLost.Hall)
 	case ev.Limits != nil:
 		wo.measure.weight(ev.Limits.Workspace, ev.Limits.Weight)
 		wo.limits(*ev.Limits)
@@ -138,7 +138,7 @@
 			wo.end(jb, cancelled)
 		}
 	case ev.Lookups != nil:
-		st := &stream{Lookups: *ev.Lookups, rd: rand.New(rand.NewPCG(ev.Lookups.Seed, 1)), until: wo.now + ev.Lookups.For}
+		st := &stream{Lookups: *ev.Lookups, rd: rand.New(rand.NewPCG(ev.Lookups.Seed, 1)), until: wo.now + ev.Lookups.Duration}
 		wo.nextLookup(st)
 	case ev.Failing != nil:
 		for i := range ev.Failing.Count {
@@ -192,7 +192,7 @@
 
 // arrive submits a job.
 func (wo *world) arrive(tj trace.Job) {
-	jb := &job{Job: tj, submitted: wo.now, left: tj.Run, running: map[string]string{}, waits: true}
+	jb := &job{Job: tj, submitted: wo.now, left: tj.RunTime, running: map[string]string{}, waits: true}
 	wo.jobs[tj.ID] = jb
 	wo.open++
 	wo.waits(jb)
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -38,7 +38,7 @@
 
 func startNamed(t *testing.T, name string) *standinworker.Worker {
 	t.Helper()
-	wk, err := standinworker.New(standinworker.Options{Name: name, Beat: 50 * time.Millisecond})
+	wk, err := standinworker.New(standinworker.Options{Name: name, HeartbeatInterval: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/checker_test.go
+++ b/test/checker_test.go
@@ -96,7 +96,7 @@
 		}
 		run := rc.Worker + " " + rc.Task
 		switch rc.Event {
-		case standinworker.EventOver:
+		case standinworker.EventOverCapacity:
 			vi.add(overcommit, "%s with %s", rc.Worker, rc.Task)
 		case standinworker.EventBegin:
 			open[run] = len(spans[work])
@@ -142,7 +142,7 @@
 				rec(2, "b", "j.2.0", "m", begin), rec(3, "b", "j.2.0", "m", end),
 			}, []claim{{mark: "m", ran: "ran", repeatable: true}}, "",
 		},
-		"over capacity": {[]standinworker.Record{rec(0, "a", "j.1.0", "m", standinworker.EventOver)}, nil, overcommit},
+		"over capacity": {[]standinworker.Record{rec(0, "a", "j.1.0", "m", standinworker.EventOverCapacity)}, nil, overcommit},
 		"overlap": {
 			[]standinworker.Record{
 				rec(0, "a", "j.1.0", "m", begin), rec(1, "b", "j.2.0", "m", begin),
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -60,7 +60,7 @@
 	cl := three(t)
 	ld := startLoad(cl, 6, 2, func() *client.Client { return cl.api() })
 	for _, ft := range []standinstore.Faults{
-		{LoseEvery: 3}, {Down: true}, {}, {Slow: 300 * time.Millisecond}, {Hang: false, LoseEvery: 2}, {},
+		{DropResponseEvery: 3}, {Down: true}, {}, {Slow: 300 * time.Millisecond}, {Hang: false, DropResponseEvery: 2}, {},
 	} {
 		cl.failStore(ft)
 		time.Sleep(2 * time.Second)
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -109,7 +109,7 @@
 		}
 		return
 	}
-	if string(rsp.Body) != string(standinworker.Reply([]byte(body))) {
+	if string(rsp.Body) != string(standinworker.ExpectedAnswer([]byte(body))) {
 		ld.mu.Lock()
 		ld.wrong = append(ld.wrong, fmt.Sprintf("asked %q, got %q", body, rsp.Body))
 		ld.mu.Unlock()
--- a/test/matrix_test.go
+++ b/test/matrix_test.go
@@ -51,7 +51,7 @@
 	},
 	"store down":   {store(standinstore.Faults{Down: true}), store(standinstore.Faults{})},
 	"store hangs":  {store(standinstore.Faults{Hang: true}), store(standinstore.Faults{})},
-	"answers lost": {store(standinstore.Faults{LoseEvery: 2}), store(standinstore.Faults{})},
+	"answers lost": {store(standinstore.Faults{DropResponseEvery: 2}), store(standinstore.Faults{})},
 	"store slow":   {store(standinstore.Faults{Slow: 300 * time.Millisecond}), store(standinstore.Faults{})},
 	"node restarted": {
 		func(cl *cluster) {
--- a/test/outage_test.go
+++ b/test/outage_test.go
@@ -49,7 +49,7 @@
 		tm.OutageReads = append(tm.OutageReads, is.Reads-was.Reads)
 	}
 	wg.Wait()
-	tm.OutageRefused = cl.counts().Refused - before.Refused
+	tm.OutageRefused = cl.counts().RateLimited - before.RateLimited
 	tm.OutageKept = last.Sub(back).Seconds()
 	tm.OutageLost = lost.Load()
 }
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -84,7 +84,7 @@
 		sm.PeerSent += float64(ct.PeerSent-before[name].PeerSent) / took / nodes
 	}
 	sm.Writes = float64(callsAfter.Writes-calls.Writes) / took
-	sm.Refused = callsAfter.Refused - calls.Refused
+	sm.Refused = callsAfter.RateLimited - calls.RateLimited
 	if st.failed > 0 {
 		t.Logf("%d failed, for example %s", st.failed, st.sample)
 	}
