--- a/internal/standin/httpserver/httpserver.go
+++ b/internal/standin/httpserver/httpserver.go
@@ -1,5 +1,4 @@
-// Package httpserver is what the stand-ins that serve HTTP share: a server on a free port of this
-// machine.
+// Package httpserver runs an HTTP server on a free port of the loopback interface, for stand-ins that serve HTTP.
 package httpserver
 
 import (
@@ -9,22 +8,22 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Server serves one handler.
+// Server is a running HTTP server.
 type Server struct{ listener net.Listener }
 
-// New returns a server that answers by a handler.
+// New starts a server with the given handler.
 func New(handler fasthttp.RequestHandler) (*Server, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
 	server := &fasthttp.Server{Handler: handler}
-	go func() { _ = server.Serve(ln) }() // ends with the listener
+	go func() { _ = server.Serve(ln) }() // returns when the listener is closed
 	return &Server{ln}, nil
 }
 
-// Address returns where the server listens.
+// Address returns the listen address.
 func (sr *Server) Address() string { return sr.listener.Addr().String() }
 
-// Close ends the server; connections that are open stay.
+// Close closes the listener; open connections stay open.
 func (sr *Server) Close() error { return errors.Wrap(sr.listener.Close(), "close server") }
--- a/internal/standin/memkv/client.go
+++ b/internal/standin/memkv/client.go
@@ -10,12 +10,12 @@
 	"tackbeam.example/tackbeam/internal/kv"
 )
 
-// Client returns the service as one client sees it.
+// Client returns a client of the service. The name identifies it to the fault and limit functions.
 func (st *Store) Client(name string) *kv.Store {
 	cl := &client{st, name}
 	return &kv.Store{
 		Range: cl.scan, Watch: cl.watch, Get: cl.get, WatchKey: cl.watchKey,
-		Commit: cl.commit, Grant: cl.grant, Renew: cl.keep, Revoke: cl.end,
+		Commit: cl.commit, Grant: cl.grant, Renew: cl.renew, Revoke: cl.revoke,
 	}
 }
 
@@ -24,10 +24,10 @@
 	name  string
 }
 
-// latency of each call.
+// latency is the duration of each call without faults.
 const latency = 4 * time.Millisecond
 
-// call carries an act out as the faults say.
+// call executes a call subject to the injected faults.
 func (cl *client) call(ctx context.Context, name string, act func()) error {
 	return cl.attempt(ctx, name, act, true)
 }
@@ -37,7 +37,7 @@
 	st := cl.store
 	st.clock.Sleep(latency)
 	st.mu.Lock()
-	st.expire()
+	st.expireLeases()
 	fault := st.fault(cl.name, name)
 	if first && fault == None {
 		fault = st.limit(cl.name, name)
@@ -52,24 +52,23 @@
 	case RateLimited:
 		return kv.ErrRateLimited
 	case ResponseLost, RequestLost:
-		st.unanswered(ctx, name)
+		st.waitUnanswered(ctx, name)
 		return kv.ErrNoAnswer
 	}
 	return nil
 }
 
-// holdOn is how long a call without a deadline waits for its answer.
-const holdOn = 10 * time.Second
+// defaultTimeout is how long a call without a deadline waits for its answer.
+const defaultTimeout = 10 * time.Second
 
-// unanswered returns when a call without an answer does: reads and watches as soon as
-// their context ends; the others hold on to their connection until their deadline, as
-// calls over HTTP do, whatever becomes of their caller.
-func (st *Store) unanswered(ctx context.Context, name string) {
+// waitUnanswered blocks as long as a call without an answer does. Reads and watches return as soon as their context
+// ends. Other calls wait until their deadline even if the context is cancelled, as calls over HTTP do.
+func (st *Store) waitUnanswered(ctx context.Context, name string) {
 	if name == "range" || name == "watch" {
 		<-ctx.Done()
 		return
 	}
-	wait := holdOn
+	wait := defaultTimeout
 	if deadline, ok := ctx.Deadline(); ok {
 		wait = deadline.Sub(st.clock.Now())
 	}
@@ -77,7 +76,7 @@
 }
 
 func (cl *client) scan(ctx context.Context, prefix, after string, _ bool) (kv.Page, error) {
-	const most = 500
+	const maxItems = 500
 	var page kv.Page
 	err := cl.call(ctx, "range", func() {
 		page.Revision = cl.store.revision
@@ -85,7 +84,7 @@
 			if key <= after {
 				continue
 			}
-			if len(page.Items) == most {
+			if len(page.Items) == maxItems {
 				page.More = true
 				return
 			}
@@ -97,13 +96,13 @@
 
 func (cl *client) watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (kv.Events, error) {
 	st := cl.store
-	over := st.clock.After(wait)
+	timeout := st.clock.After(wait)
 	for first := true; ; first = false {
 		var events kv.Events
-		var gone bool
+		var compacted bool
 		var changed chan struct{}
 		err := cl.attempt(ctx, "watch", func() {
-			gone = after < st.forgot
+			compacted = after < st.compactedAt
 			events.Revision = st.revision
 			for _, item := range st.history {
 				if item.Revision > after && strings.HasPrefix(item.Key, prefix) {
@@ -115,14 +114,14 @@
 		switch {
 		case err != nil:
 			return kv.Events{}, err
-		case gone:
+		case compacted:
 			return kv.Events{}, kv.ErrCompacted
 		case len(events.Items) > 0:
 			return events, nil
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-timeout:
 			return events, nil
 		case <-ctx.Done():
 			return kv.Events{}, kv.ErrNoAnswer
@@ -130,37 +129,37 @@
 	}
 }
 
-// get reads a key; faults know it as a range.
-func (cl *client) get(ctx context.Context, key string, most int) (kv.Item, uint64, error) {
+// get reads a key; the fault and limit functions see a call "range".
+func (cl *client) get(ctx context.Context, key string, maxBytes int) (kv.Item, uint64, error) {
 	pg, err := cl.scan(ctx, key, "", false)
 	for _, item := range pg.Items {
 		if err == nil && item.Key == key {
-			return item, pg.Revision, tooLarge(most, item)
+			return item, pg.Revision, tooLarge(maxBytes, item)
 		}
 	}
 	return kv.Item{Key: key}, pg.Revision, err
 }
 
-// watchKey waits for changes of a key; faults know it as a watch.
-func (cl *client) watchKey(ctx context.Context, key string, after uint64, wait time.Duration, most int) (kv.Events, error) {
+// watchKey waits for changes of a key; the fault and limit functions see a call "watch".
+func (cl *client) watchKey(ctx context.Context, key string, after uint64, wait time.Duration, maxBytes int) (kv.Events, error) {
 	ev, err := cl.watch(ctx, key, after, wait)
 	if err != nil {
 		return kv.Events{}, err
 	}
 	ev.Items = slices.DeleteFunc(ev.Items, func(it kv.Item) bool { return it.Key != key })
-	if err := tooLarge(most, ev.Items...); err != nil {
+	if err := tooLarge(maxBytes, ev.Items...); err != nil {
 		return kv.Events{}, err
 	}
 	return ev, nil
 }
 
-// tooLarge returns an error where items take more bytes on the wire than most, if that is set.
-func tooLarge(most int, items ...kv.Item) error {
+// tooLarge returns an error if the items take more than maxBytes on the wire; 0 means no limit.
+func tooLarge(maxBytes int, items ...kv.Item) error {
 	size := 0
 	for _, item := range items {
 		size += base64.StdEncoding.EncodedLen(len(item.Value))
 	}
-	if most > 0 && size > most {
+	if maxBytes > 0 && size > maxBytes {
 		return kv.ErrTooLarge
 	}
 	return nil
@@ -199,23 +198,23 @@
 	st := cl.store
 	var id uint64
 	err := cl.call(ctx, "grant", func() {
-		st.next++
-		id = st.next
+		st.lastLease++
+		id = st.lastLease
 		st.leases[id] = lease{ttl, st.clock.Now().Add(ttl)}
-		st.clock.AfterFunc(ttl+latency, st.expireNow)
+		st.clock.AfterFunc(ttl+latency, st.lockAndExpireLeases)
 	})
 	return id, err
 }
 
-func (cl *client) keep(ctx context.Context, id uint64) error {
+func (cl *client) renew(ctx context.Context, id uint64) error {
 	st := cl.store
 	known := false
 	err := cl.call(ctx, "keep", func() {
 		var ls lease
 		if ls, known = st.leases[id]; known {
-			ls.until = st.clock.Now().Add(ls.ttl)
+			ls.expiresAt = st.clock.Now().Add(ls.ttl)
 			st.leases[id] = ls
-			st.clock.AfterFunc(ls.ttl+latency, st.expireNow)
+			st.clock.AfterFunc(ls.ttl+latency, st.lockAndExpireLeases)
 		}
 	})
 	if err == nil && !known {
@@ -224,6 +223,6 @@
 	return err
 }
 
-func (cl *client) end(ctx context.Context, id uint64) error {
-	return cl.call(ctx, "end", func() { cl.store.endLease(id) })
+func (cl *client) revoke(ctx context.Context, id uint64) error {
+	return cl.call(ctx, "end", func() { cl.store.revokeLease(id) })
 }
--- a/internal/standin/memkv/memkv.go
+++ b/internal/standin/memkv/memkv.go
@@ -1,5 +1,5 @@
-// Package memkv is a stand-in of the platform's key-value service in memory: with
-// revisions, leases, watches, conditional transactions, and faults that a test sets.
+// Package memkv implements an in-memory fake of the platform's key-value service with revisions, leases, watches,
+// conditional transactions and injected faults.
 package memkv
 
 import (
@@ -13,20 +13,20 @@
 	"tackbeam.example/tackbeam/internal/kv"
 )
 
-// Store is the service. Each client sees it through a Store of package kv.
+// Store is the service. Client returns a kv.Store for each client.
 type Store struct {
 	clock clockwork.Clock
 
-	mu       sync.Mutex
-	items    map[string]entry
-	history  []kv.Item
-	forgot   uint64
-	revision uint64
-	leases   map[uint64]lease
-	next     uint64
-	changed  chan struct{}
-	fault    func(client, call string) Fault
-	limit    func(client, call string) Fault
+	mu          sync.Mutex
+	items       map[string]entry
+	history     []kv.Item
+	compactedAt uint64
+	revision    uint64
+	leases      map[uint64]lease
+	lastLease   uint64
+	changed     chan struct{}
+	fault       func(client, call string) Fault
+	limit       func(client, call string) Fault
 }
 
 type entry struct {
@@ -35,18 +35,19 @@
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// Fault is what happens to a call.
+// Fault is a fault injected into a call.
 type Fault int
 
-// The faults. ResponseLost calls are carried out and not answered; RequestLost ones are neither.
+// The faults. With ResponseLost, a call is executed but not answered; with RequestLost, it is neither executed nor
+// answered.
 const (
 	None Fault = iota
 	Refused
-	// RateLimited: the call is refused as one too many for the store's rate.
+	// RateLimited calls are refused because they exceed the store's rate limit.
 	RateLimited
 	ResponseLost
 	RequestLost
@@ -61,12 +62,12 @@
 	}
 }
 
-// SetFault sets what happens to each call of a client from now on.
+// SetFault sets the function that decides on the fault of each call.
 func (st *Store) SetFault(fault func(client, call string) Fault) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.fault = fault
-	st.signal()
+	st.notifyWatchers()
 }
 
 // SetLimit sets the rate limiter, which is consulted once per call after the fault function. Unlike a fault, it is not
@@ -82,18 +83,18 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.history = nil
-	st.forgot = st.revision
-	st.signal()
+	st.compactedAt = st.revision
+	st.notifyWatchers()
 }
 
-// Set writes a key as an operator or a worker does.
+// Set writes a key unconditionally, as operators and workers do.
 func (st *Store) Set(key string, value []byte) uint64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.apply(kv.Txn{Puts: []kv.Put{{Key: key, Value: value}}})
 }
 
-// Delete removes a key.
+// Delete deletes a key.
 func (st *Store) Delete(key string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -104,7 +105,7 @@
 func (st *Store) Keys(prefix string) []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.expire()
+	st.expireLeases()
 	return st.keys(prefix)
 }
 
@@ -119,16 +120,16 @@
 	return keys
 }
 
-// RevokeLeases ends all leases at once, as an outage may.
+// RevokeLeases revokes all leases, as may happen in an outage.
 func (st *Store) RevokeLeases() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for id := range st.leases {
-		st.endLease(id)
+		st.revokeLease(id)
 	}
 }
 
-// apply carries a transaction out under one revision.
+// apply executes a transaction; all its changes get the same revision.
 func (st *Store) apply(txn kv.Txn) uint64 {
 	st.revision++
 	for _, pt := range txn.Puts {
@@ -139,7 +140,7 @@
 	for _, key := range txn.Deletes {
 		st.remove(key)
 	}
-	st.signal()
+	st.notifyWatchers()
 	return st.revision
 }
 
@@ -150,29 +151,29 @@
 	}
 }
 
-func (st *Store) signal() {
+func (st *Store) notifyWatchers() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
 
-func (st *Store) expireNow() {
+func (st *Store) lockAndExpireLeases() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.expire()
+	st.expireLeases()
 }
 
-// expire ends the leases whose time is over.
-func (st *Store) expire() {
+// expireLeases revokes the leases that have expired.
+func (st *Store) expireLeases() {
 	for id, ls := range st.leases {
-		if st.clock.Now().After(ls.until) {
-			st.endLease(id)
+		if st.clock.Now().After(ls.expiresAt) {
+			st.revokeLease(id)
 		}
 	}
 }
 
-func (st *Store) endLease(id uint64) {
+func (st *Store) revokeLease(id uint64) {
 	if _, ok := st.leases[id]; !ok {
-		return // keys without a lease have the id 0
+		return // lease 0 stands for keys without a lease
 	}
 	delete(st.leases, id)
 	st.revision++
@@ -181,5 +182,5 @@
 			st.remove(key)
 		}
 	}
-	st.signal()
+	st.notifyWatchers()
 }
--- a/internal/standin/standinstore/standinstore.go
+++ b/internal/standin/standinstore/standinstore.go
@@ -1,5 +1,5 @@
-// Package standinstore is a small stand-in for the platform's key-value service:
-// compare-and-swap, leases, watches, its limits, and its failures on demand.
+// Package standinstore implements a fake of the platform's key-value service with compare-and-swap, leases, watches,
+// rate limits and injected faults.
 package standinstore
 
 import (
@@ -18,36 +18,36 @@
 	"tackbeam.example/tackbeam/internal/storemsg"
 )
 
-// Options of the stand-in.
+// Options configure the stand-in.
 type Options struct {
 	Listen string
-	// WriteRate and Reads are the calls a second that the service takes.
+	// WriteRate and ReadRate limit the calls per second.
 	WriteRate float64
 	ReadRate  float64
 }
 
-// The rates of the platform's service.
+// Rate limits of the platform's service, in calls per second.
 const (
 	DefaultWriteRate = 100
 	DefaultReadRate  = 2000
 )
 
-// keptEvents bounds the changes that a watch can go back to.
-const keptEvents = 8192
+// maxEvents bounds the history of changes from which a watch can resume.
+const maxEvents = 8192
 
-// Faults are the ways in which the store fails on demand.
+// Faults are injected into the store's behavior.
 type Faults struct {
-	// Down answers every call with 503, without effect.
+	// Down answers every call with status 503 and does not execute it.
 	Down bool `json:"down"`
-	// Hang takes calls and never answers them, without effect.
+	// Hang accepts calls but neither executes nor answers them.
 	Hang bool `json:"hang"`
 	// Slow delays every call.
 	Slow time.Duration `json:"slow"`
-	// DropResponseEvery closes the connection of every n-th write after it took effect.
+	// DropResponseEvery executes every n-th write but closes its connection instead of answering.
 	DropResponseEvery int `json:"lose_every"`
 }
 
-// Counts are the calls taken so far.
+// Counts holds counters of the calls, and the current revision.
 type Counts struct {
 	Reads            int64 `json:"reads"`
 	Writes           int64 `json:"writes"`
@@ -57,7 +57,7 @@
 	Bytes            int64 `json:"bytes"`
 }
 
-// Store is the stand-in.
+// Store is a stand-in key-value service.
 type Store struct {
 	listener net.Listener
 	server   *fasthttp.Server
@@ -86,7 +86,7 @@
 	expires time.Time
 }
 
-// New starts a store on its listen address.
+// New starts a store that listens on opts.Listen.
 func New(opts Options) (*Store, error) {
 	if opts.Listen == "" {
 		opts.Listen = "127.0.0.1:0"
@@ -115,15 +115,15 @@
 		MaxRequestBodySize:    2 * storemsg.MaxValue,
 		NoDefaultServerHeader: true,
 	}
-	go func() { _ = st.server.Serve(ln) }() // ends with the listener
+	go func() { _ = st.server.Serve(ln) }() // returns when the listener is closed
 	go st.expireLoop()
 	return st, nil
 }
 
-// Addr returns the address the store listens on.
+// Addr returns the listen address.
 func (st *Store) Addr() string { return st.listener.Addr().String() }
 
-// Close ends the store.
+// Close stops the store.
 func (st *Store) Close() error {
 	st.mu.Lock()
 	select {
@@ -135,14 +135,14 @@
 	return errors.Wrap(st.listener.Close(), "close store")
 }
 
-// SetFaults changes how the store fails from now on.
+// SetFaults replaces the injected faults.
 func (st *Store) SetFaults(ft Faults) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.faults = ft
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the current counters.
 func (st *Store) Counts() Counts {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -156,7 +156,7 @@
 		st.handleStandin(ctx, path)
 		return
 	}
-	if !st.pass(ctx) {
+	if !st.applyFaults(ctx) {
 		return
 	}
 	switch path {
@@ -188,8 +188,8 @@
 	}
 }
 
-// pass applies the faults that come before a call takes effect.
-func (st *Store) pass(ctx *fasthttp.RequestCtx) bool {
+// applyFaults applies the faults that precede the execution of a call, and reports whether to execute it.
+func (st *Store) applyFaults(ctx *fasthttp.RequestCtx) bool {
 	st.mu.Lock()
 	ft := st.faults
 	st.mu.Unlock()
@@ -207,14 +207,14 @@
 	return true
 }
 
-// serve decodes a request, counts it against a rate, and answers it.
+// serve decodes a request, applies the rate limit, executes it and writes the response.
 func serve[Req, Res any](
 	ctx *fasthttp.RequestCtx, limit *rate.Limiter, st *Store, act func(Req) (Res, int),
 ) {
 	write := limit == st.writes
 	if !limit.Allow() {
 		st.count(func(ct *Counts) { ct.RateLimited++ })
-		ctx.Error("over the rate", fasthttp.StatusTooManyRequests)
+		ctx.Error("rate limit exceeded", fasthttp.StatusTooManyRequests)
 		return
 	}
 	var req Req
@@ -230,7 +230,7 @@
 		}
 	})
 	res, status := act(req)
-	if write && st.loses() {
+	if write && st.dropsResponse() {
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 		return
@@ -245,8 +245,8 @@
 	add(&st.counts)
 }
 
-// loses reports whether the answer to this write is to be lost.
-func (st *Store) loses() bool {
+// dropsResponse reports whether the response to the current write is dropped.
+func (st *Store) dropsResponse() bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.faults.DropResponseEvery == 0 || st.counts.Writes%int64(st.faults.DropResponseEvery) != 0 {
@@ -308,8 +308,8 @@
 
 func (st *Store) emit(item storemsg.Item) {
 	st.events = append(st.events, item)
-	if len(st.events) > keptEvents {
-		st.events = append([]storemsg.Item(nil), st.events[len(st.events)-keptEvents/2:]...)
+	if len(st.events) > maxEvents {
+		st.events = append([]storemsg.Item(nil), st.events[len(st.events)-maxEvents/2:]...)
 	}
 	close(st.changed)
 	st.changed = make(chan struct{})
@@ -334,7 +334,7 @@
 	return storemsg.LeaseResponse{ID: req.ID, TTL: ls.ttl.Milliseconds()}, fasthttp.StatusOK
 }
 
-// expireLoop removes the keys of leases that ran out.
+// expireLoop removes expired leases and their keys periodically.
 func (st *Store) expireLoop() {
 	const period = 50 * time.Millisecond
 	tick := time.NewTicker(period)
@@ -369,7 +369,7 @@
 	deadline := time.NewTimer(time.Duration(req.Wait) * time.Millisecond)
 	defer deadline.Stop()
 	for {
-		res, changed := st.since(req)
+		res, changed := st.eventsSince(req)
 		if len(res.Items) > 0 || res.Compacted {
 			return res, fasthttp.StatusOK
 		}
@@ -383,7 +383,7 @@
 	}
 }
 
-func (st *Store) since(req storemsg.WatchRequest) (storemsg.ItemsResponse, chan struct{}) {
+func (st *Store) eventsSince(req storemsg.WatchRequest) (storemsg.ItemsResponse, chan struct{}) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	res := storemsg.ItemsResponse{Revision: st.revision}
--- a/internal/standin/standinvms/standinvms.go
+++ b/internal/standin/standinvms/standinvms.go
@@ -1,5 +1,5 @@
-// Package standinvms is a small stand-in for the platform's list of live and
-// leaving VMs. The list may lag, and it may say what is no longer true.
+// Package standinvms implements a fake of the platform's list of live and leaving VMs. Like the platform's list, it may
+// be out of date or wrong.
 package standinvms
 
 import (
@@ -15,7 +15,7 @@
 	"tackbeam.example/tackbeam/internal/vmsmsg"
 )
 
-// List is the stand-in.
+// List is a stand-in list of VMs.
 type List struct {
 	listener net.Listener
 	server   *fasthttp.Server
@@ -25,7 +25,7 @@
 	vms     map[string]vmsmsg.VM
 }
 
-// New starts a list on its listen address.
+// New starts a list that listens on the given address; the default is a free port of the loopback interface.
 func New(listen string) (*List, error) {
 	if listen == "" {
 		listen = "127.0.0.1:0"
@@ -36,17 +36,17 @@
 	}
 	ls := &List{listener: ln, vms: map[string]vmsmsg.VM{}, version: 1}
 	ls.server = &fasthttp.Server{Handler: ls.handle, NoDefaultServerHeader: true}
-	go func() { _ = ls.server.Serve(ln) }() // ends with the listener
+	go func() { _ = ls.server.Serve(ln) }() // returns when the listener is closed
 	return ls, nil
 }
 
-// Addr returns the address the list listens on.
+// Addr returns the listen address.
 func (ls *List) Addr() string { return ls.listener.Addr().String() }
 
-// Close ends the list.
+// Close closes the listener.
 func (ls *List) Close() error { return errors.Wrap(ls.listener.Close(), "close list of VMs") }
 
-// Put adds a VM or changes what the list says of it.
+// Put adds or replaces a VM.
 func (ls *List) Put(vm vmsmsg.VM) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -54,7 +54,7 @@
 	ls.version++
 }
 
-// Remove takes a VM off the list.
+// Remove removes a VM from the list.
 func (ls *List) Remove(name string) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -79,11 +79,11 @@
 	case fasthttp.MethodDelete:
 		ls.Remove(string(ctx.QueryArgs().Peek("name")))
 	default:
-		ls.get(ctx)
+		ls.list(ctx)
 	}
 }
 
-func (ls *List) get(ctx *fasthttp.RequestCtx) {
+func (ls *List) list(ctx *fasthttp.RequestCtx) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	tag := strconv.Quote(strconv.FormatUint(ls.version, 10))
--- a/internal/standin/standinworker/control.go
+++ b/internal/standin/standinworker/control.go
@@ -9,7 +9,7 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// serveControl reads an owner's orders until the connection ends.
+// serveControl executes an owner's orders until the connection closes.
 func (wk *Worker) serveControl(cn *frames.Conn) {
 	for {
 		var msg workermsg.To
@@ -20,8 +20,8 @@
 	}
 }
 
-// order carries out one message. Orders on a connection that a newer owner has
-// replaced are refused by their epoch or dropped.
+// order executes one message. Orders on a connection that a newer owner has replaced are dropped or refused
+// because of their epoch.
 func (wk *Worker) order(cn *frames.Conn, msg workermsg.To) {
 	switch {
 	case msg.Attach != nil:
@@ -37,16 +37,16 @@
 	case msg.Start != nil:
 		wk.reply(cn, msg.Start.Seq, wk.start(cn, msg.Start))
 	case msg.Go != nil:
-		wk.reply(cn, msg.Go.Seq, wk.onTask(cn, msg.Go, wk.release))
+		wk.reply(cn, msg.Go.Seq, wk.withTask(cn, msg.Go, wk.startPrepared))
 	case msg.Stop != nil:
-		wk.reply(cn, msg.Stop.Seq, wk.onTask(cn, msg.Stop, wk.stop))
+		wk.reply(cn, msg.Stop.Seq, wk.withTask(cn, msg.Stop, wk.stop))
 	case msg.Fence != nil:
-		wk.reply(cn, msg.Fence.Seq, wk.onTask(cn, msg.Fence, wk.fence))
+		wk.reply(cn, msg.Fence.Seq, wk.withTask(cn, msg.Fence, wk.fence))
 	case msg.Checkpoint != nil:
-		wk.reply(cn, msg.Checkpoint.Seq, wk.onTask(cn, msg.Checkpoint, wk.checkpoint))
+		wk.reply(cn, msg.Checkpoint.Seq, wk.withTask(cn, msg.Checkpoint, wk.checkpoint))
 	case msg.Throttle != nil:
 		order := &workermsg.TaskOrder{Epoch: msg.Throttle.Epoch, Task: msg.Throttle.Task}
-		wk.reply(cn, msg.Throttle.Seq, wk.onTask(cn, order, func(_ string, tk *task) workermsg.Reply {
+		wk.reply(cn, msg.Throttle.Seq, wk.withTask(cn, order, func(_ string, tk *task) workermsg.Reply {
 			return wk.throttle(tk, msg.Throttle.Percent)
 		}))
 	}
@@ -59,7 +59,7 @@
 
 func (wk *Worker) attach(cn *frames.Conn, at *workermsg.Attach) {
 	wk.mu.Lock()
-	if at.Epoch < wk.epoch && wk.can(workermsg.Fencing) {
+	if at.Epoch < wk.epoch && wk.hasCapability(workermsg.Fencing) {
 		epoch := wk.epoch
 		wk.mu.Unlock()
 		wk.send(cn, workermsg.From{Refused: &workermsg.Refused{Epoch: epoch}})
@@ -68,7 +68,7 @@
 	wk.epoch = at.Epoch
 	wk.control = cn
 	wk.session++
-	if now := time.Now(); wk.can(workermsg.Fencing) || now.After(wk.leaseUntil) {
+	if now := time.Now(); wk.hasCapability(workermsg.Fencing) || now.After(wk.leaseUntil) {
 		wk.leaseUntil = now.Add(wk.opts.LeaseTTL)
 	}
 	hello := wk.hello()
@@ -76,8 +76,7 @@
 	wk.send(cn, workermsg.From{Hello: hello})
 }
 
-// can reports whether this worker has a capability.
-func (wk *Worker) can(cp workermsg.Capability) bool {
+func (wk *Worker) hasCapability(cp workermsg.Capability) bool {
 	return slices.Contains(wk.opts.Capabilities, cp)
 }
 
@@ -88,7 +87,7 @@
 		Connections: wk.opts.Connections, Lease: wk.opts.LeaseTTL,
 		Capabilities: wk.opts.Capabilities, Leaving: wk.leaving, Session: wk.session,
 	}
-	if !wk.can(workermsg.Inventory) {
+	if !wk.hasCapability(workermsg.Inventory) {
 		return he
 	}
 	for id, tk := range wk.tasks {
@@ -111,12 +110,12 @@
 	}
 }
 
-// renew extends the lease, counted from the beat that the owner answers.
+// renew extends the lease, starting at the time when the heartbeat that the owner answers was sent.
 func (wk *Worker) renew(cn *frames.Conn, rn *workermsg.Renew) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
-	sent, ok := wk.beats[rn.Nonce]
-	if !ok || wk.can(workermsg.Fencing) && (wk.control != cn || rn.Epoch != wk.epoch) {
+	sent, ok := wk.heartbeats[rn.Nonce]
+	if !ok || wk.hasCapability(workermsg.Fencing) && (wk.control != cn || rn.Epoch != wk.epoch) {
 		return
 	}
 	if until := sent.Add(wk.opts.LeaseTTL); until.After(wk.leaseUntil) {
@@ -129,14 +128,14 @@
 	defer wk.mu.Unlock()
 	if tk, ok := wk.tasks[id]; ok && tk.state.Ended() && tk.state != workermsg.Never {
 		delete(wk.tasks, id)
-		// A start that comes again late must still be refused.
-		wk.remember(id, &task{state: workermsg.Never, begun: tk.begun})
+		// A delayed duplicate of the start order must still be refused.
+		wk.retain(id, &task{state: workermsg.Never, begun: tk.begun})
 	}
 }
 
-// current reports whether an order on the connection is from the present owner.
-func (wk *Worker) current(cn *frames.Conn, epoch uint64) bool {
-	if !wk.can(workermsg.Fencing) {
+// isCurrent reports whether an order on the connection comes from the current owner and the lease has not expired.
+func (wk *Worker) isCurrent(cn *frames.Conn, epoch uint64) bool {
+	if !wk.hasCapability(workermsg.Fencing) {
 		return true
 	}
 	return wk.control == cn && epoch == wk.epoch && time.Now().Before(wk.leaseUntil)
@@ -145,7 +144,7 @@
 func (wk *Worker) start(cn *frames.Conn, st *workermsg.Start) workermsg.Reply {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
-	if !wk.current(cn, st.Epoch) {
+	if !wk.isCurrent(cn, st.Epoch) {
 		return workermsg.Reply{Refusal: workermsg.StaleEpoch, State: workermsg.Never}
 	}
 	if tk, ok := wk.tasks[st.Task]; ok {
@@ -154,8 +153,8 @@
 		}
 		return workermsg.Reply{State: tk.state, Begun: tk.begun}
 	}
-	beat, ok := wk.beats[st.Nonce]
-	if wk.can(workermsg.Fencing) && (!ok || time.Since(beat) > wk.opts.StartWindow) {
+	beat, ok := wk.heartbeats[st.Nonce]
+	if wk.hasCapability(workermsg.Fencing) && (!ok || time.Since(beat) > wk.opts.StartWindow) {
 		return workermsg.Reply{Refusal: workermsg.StaleStart, State: workermsg.Never}
 	}
 	if wk.leaving {
@@ -166,31 +165,31 @@
 		resume: st.Resume, saved: st.Resume,
 	}
 	if len(st.Payload) > 0 {
-		_ = json.Unmarshal(st.Payload, &tk.payload) // a payload for somebody else runs with the defaults
+		_ = json.Unmarshal(st.Payload, &tk.payload) // a payload in another format runs with the defaults
 	}
 	wk.tasks[st.Task] = tk
-	wk.occupy(st.Task, st.Size)
+	wk.addUsed(st.Task, st.Size)
 	if !st.Prepared {
 		wk.begin(st.Task, tk)
 	}
 	return workermsg.Reply{State: tk.state, Begun: tk.begun}
 }
 
-// occupy adds to what is committed and records where that is over the worker's size.
-func (wk *Worker) occupy(id string, sz [3]int64) {
+// addUsed adds to the used resources and records when they exceed the worker's capacity.
+func (wk *Worker) addUsed(id string, sz [3]int64) {
 	wk.used = wk.used.Add(sz)
 	if !wk.used.Fits(wk.opts.Capacity) || len(wk.lookups) > wk.opts.Slots {
-		wk.record(id, EventOverCapacity, "")
+		wk.recordEvent(id, EventOverCapacity, "")
 	}
 }
 
-// defaultRun is how long a task runs whose payload does not say.
+// defaultRun is the run time of a task whose payload specifies none.
 const defaultRun = 20 * time.Millisecond
 
 func (wk *Worker) begin(id string, tk *task) {
 	tk.state = workermsg.Running
 	tk.begun = true
-	wk.note(Record{Task: id, Event: EventBegin, Mark: tk.payload.Mark, Resume: tk.resume})
+	wk.appendRecord(Record{Task: id, Event: EventBegin, Mark: tk.payload.Mark, Resume: tk.resume})
 	run := defaultRun
 	if tk.payload.Run > 0 {
 		run = time.Duration(tk.payload.Run * float64(time.Second))
@@ -203,8 +202,8 @@
 	if wk.faults.FailAll {
 		run = time.Millisecond
 	}
-	tk.began, tk.percent = time.Now(), wholePercent
-	tk.ends = tk.began.Add(run)
+	tk.startedAt, tk.percent = time.Now(), fullPercent
+	tk.endsAt = tk.startedAt.Add(run)
 	tk.timer = time.AfterFunc(run, func() {
 		wk.mu.Lock()
 		defer wk.mu.Unlock()
@@ -214,46 +213,46 @@
 	})
 }
 
-// finish ends a task, gives its room back and reports it to the owner.
+// finish ends a task, releases its resources and reports the end to the owner.
 func (wk *Worker) finish(id string, tk *task, end workermsg.State) {
 	if tk.timer != nil {
 		tk.timer.Stop()
 	}
 	if tk.begun {
-		wk.record(id, EventEnd, tk.payload.Mark)
+		wk.recordEvent(id, EventEnd, tk.payload.Mark)
 	}
 	wk.used = wk.used.Sub(tk.size)
 	tk.state = end
-	wk.remember(id, tk)
+	wk.retain(id, tk)
 	if cn := wk.control; cn != nil {
 		ended := &workermsg.Ended{Task: id, State: end, Begun: tk.begun, Saved: tk.saved}
 		go wk.send(cn, workermsg.From{Ended: ended})
 	}
 }
 
-// remember keeps the fate of a task, within bounds.
-func (wk *Worker) remember(id string, tk *task) {
+// retain keeps the final state of a task; the oldest ones are dropped beyond maxEndedTasks.
+func (wk *Worker) retain(id string, tk *task) {
 	wk.tasks[id] = tk
 	wk.finished = append(wk.finished, id)
-	for len(wk.finished) > keptTasks {
+	for len(wk.finished) > maxEndedTasks {
 		delete(wk.tasks, wk.finished[0])
 		wk.finished = wk.finished[1:]
 	}
 }
 
-// onTask runs an order on one task under the lock, if the owner is the present one.
-func (wk *Worker) onTask(
+// withTask executes an order on one task while it holds the lock, if the order comes from the current owner.
+func (wk *Worker) withTask(
 	cn *frames.Conn, order *workermsg.TaskOrder, act func(string, *task) workermsg.Reply,
 ) workermsg.Reply {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
-	if !wk.current(cn, order.Epoch) {
+	if !wk.isCurrent(cn, order.Epoch) {
 		return workermsg.Reply{Refusal: workermsg.StaleEpoch}
 	}
 	return act(order.Task, wk.tasks[order.Task])
 }
 
-func (wk *Worker) release(id string, tk *task) workermsg.Reply {
+func (wk *Worker) startPrepared(id string, tk *task) workermsg.Reply {
 	if tk == nil {
 		return workermsg.Reply{Refusal: workermsg.NoSuchTask, State: workermsg.Never}
 	}
@@ -273,40 +272,39 @@
 	return workermsg.Reply{State: tk.state, Begun: tk.begun, Saved: tk.saved}
 }
 
-// fence answers how far a task has come, and makes one that never arrived
-// unable to begin.
+// fence returns the state of a task, and prevents one that never arrived from starting.
 func (wk *Worker) fence(id string, tk *task) workermsg.Reply {
 	if tk == nil {
 		tk = &task{state: workermsg.Never}
-		wk.remember(id, tk)
+		wk.retain(id, tk)
 	}
 	return workermsg.Reply{State: tk.state, Begun: tk.begun, Saved: tk.saved}
 }
 
-// checkpoint saves the work that a running task has done.
+// checkpoint saves the progress of a running task.
 func (wk *Worker) checkpoint(id string, tk *task) workermsg.Reply {
 	if tk == nil {
 		return wk.fence(id, nil)
 	}
 	if tk.state == workermsg.Running {
-		tk.saved = tk.resume + time.Since(tk.began)
+		tk.saved = tk.resume + time.Since(tk.startedAt)
 	}
 	return workermsg.Reply{State: tk.state, Begun: tk.begun, Saved: tk.saved}
 }
 
-// wholePercent is the part of its processors that a task has unless throttled.
-const wholePercent = 100
+// fullPercent is the share of its processors that a task has when it is not throttled.
+const fullPercent = 100
 
-// throttle makes what is left of a running task take longer, or as long as before.
+// throttle changes the share of its processors that a running task has, which stretches or shortens the time left.
 func (wk *Worker) throttle(tk *task, percent int) workermsg.Reply {
 	if tk == nil {
 		return workermsg.Reply{Refusal: workermsg.NoSuchTask, State: workermsg.Never}
 	}
-	percent = max(1, min(percent, wholePercent))
+	percent = max(1, min(percent, fullPercent))
 	if tk.state == workermsg.Running && tk.timer.Stop() {
-		left := time.Until(tk.ends) * time.Duration(tk.percent) / time.Duration(percent)
+		left := time.Until(tk.endsAt) * time.Duration(tk.percent) / time.Duration(percent)
 		tk.percent = percent
-		tk.ends = time.Now().Add(left)
+		tk.endsAt = time.Now().Add(left)
 		tk.timer.Reset(left)
 	}
 	return workermsg.Reply{State: tk.state, Begun: tk.begun}
--- a/internal/standin/standinworker/lookup.go
+++ b/internal/standin/standinworker/lookup.go
@@ -11,14 +11,14 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// ExpectedAnswer returns the answer that every stand-in worker gives to a lookup's body,
-// so that a client can check that it got its own.
+// ExpectedAnswer returns the answer of every stand-in worker to a lookup with this body, so that a client can check
+// that the answer belongs to its lookup.
 func ExpectedAnswer(body []byte) []byte {
 	sum := strconv.FormatUint(xxhash.Sum64(body), 16)
 	return append([]byte("answer "+sum+" to "), body...)
 }
 
-// serveLookups answers lookups, each in its own time, until the connection ends.
+// serveLookups serves concurrent lookups until the connection closes.
 func (wk *Worker) serveLookups(cn *frames.Conn) {
 	for {
 		var msg workermsg.To
@@ -31,13 +31,13 @@
 	}
 }
 
-// lookupPrefix begins the names of lookups in records and inventories.
+// lookupPrefix is the prefix of the names of lookups in records and inventories.
 const lookupPrefix = "lookup-"
 
-// maxMark is how much of a lookup's body is written into the records.
+// maxMark is the number of bytes of a lookup's body that are copied to the records.
 const maxMark = 64
 
-// lookupName is the name of a lookup in records and inventories.
+// lookupName returns the name of a lookup in records and inventories.
 func lookupName(id uint64) string { return lookupPrefix + strconv.FormatUint(id, 16) }
 
 func (wk *Worker) lookup(cn *frames.Conn, lk *workermsg.Lookup) {
@@ -52,11 +52,11 @@
 	})
 }
 
-// admitLookup takes a slot, and returns how long the lookup will take.
+// admitLookup occupies a slot. It returns the duration of the lookup and whether the lookup fails.
 func (wk *Worker) admitLookup(lk *workermsg.Lookup) (workermsg.Refusal, time.Duration, bool) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
-	fences := wk.can(workermsg.Fencing)
+	fences := wk.hasCapability(workermsg.Fencing)
 	if fences && (lk.Epoch != wk.epoch || !time.Now().Before(wk.leaseUntil)) {
 		return workermsg.StaleEpoch, 0, false
 	}
@@ -68,29 +68,29 @@
 	}
 	name := lookupName(lk.ID)
 	mark := string(lk.Body[:min(len(lk.Body), maxMark)])
-	wk.lookups[name] = pretended{size: lk.Size, mark: mark}
-	wk.occupy(name, lk.Size)
-	wk.record(name, EventBegin, mark)
-	wk.answered++
+	wk.lookups[name] = runningLookup{size: lk.Size, mark: mark}
+	wk.addUsed(name, lk.Size)
+	wk.recordEvent(name, EventBegin, mark)
+	wk.lookupCount++
 	wait := wk.opts.LookupTime
-	if wk.answered%2 == 0 {
+	if wk.lookupCount%2 == 0 {
 		wait += wk.faults.LookupDelay
 	}
 	return workermsg.Consent, wait, wk.faults.FailAll
 }
 
-// endLookup gives the slot back.
+// endLookup releases the slot.
 func (wk *Worker) endLookup(id uint64) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	name := lookupName(id)
 	wk.used = wk.used.Sub(wk.lookups[name].size)
-	wk.record(name, EventEnd, wk.lookups[name].mark)
+	wk.recordEvent(name, EventEnd, wk.lookups[name].mark)
 	delete(wk.lookups, name)
 }
 
-// answer sends a lookup's answer. An owner that cannot get it, but counted the
-// lookup from the inventory, is told that it has ended.
+// answer sends a lookup's answer. An owner that can't receive it, but has counted the lookup from the inventory, is
+// notified that the lookup has ended.
 func (wk *Worker) answer(cn *frames.Conn, lk *workermsg.Lookup, fail bool) {
 	wk.mu.Lock()
 	ft := wk.faults
--- a/internal/standin/standinworker/options.go
+++ b/internal/standin/standinworker/options.go
@@ -8,7 +8,7 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// Options describe one stand-in worker.
+// Options configure a stand-in worker.
 type Options struct {
 	Name              string
 	Hall              string
@@ -19,27 +19,27 @@
 	Connections       int
 	LeaseTTL          time.Duration
 	HeartbeatInterval time.Duration
-	// StartWindow is how old the beat may be that a start message names.
+	// StartWindow is the maximum age of the heartbeat that a start message names.
 	StartWindow time.Duration
-	// LookupTime is how long one lookup takes.
+	// LookupTime is the duration of one lookup.
 	LookupTime   time.Duration
 	Capabilities []workermsg.Capability
-	// Records, where set, gets each record as a JSON line at once, so that it
-	// outlives the process.
+	// Records, if set, receives each record immediately as a JSON line, so that the records survive a crash of
+	// the process.
 	Records io.Writer
 }
 
-// Sizes and times of a stand-in worker where the options leave them out.
+// Defaults of the options.
 const (
-	defaultCores       = 64
-	defaultMemory      = 128 << 10
-	defaultSlots       = 8
-	defaultConnections = 60
-	defaultLease       = 20 * time.Second
-	defaultBeat        = 5 * time.Second
-	defaultStartWindow = 10 * time.Second
-	defaultLookupTime  = 2 * time.Millisecond
-	milliPerCore       = 1000
+	defaultCores             = 64
+	defaultMemory            = 128 << 10
+	defaultSlots             = 8
+	defaultConnections       = 60
+	defaultLeaseTTL          = 20 * time.Second
+	defaultHeartbeatInterval = 5 * time.Second
+	defaultStartWindow       = 10 * time.Second
+	defaultLookupTime        = 2 * time.Millisecond
+	milliPerCore             = 1000
 )
 
 func (op Options) withDefaults() Options {
@@ -56,10 +56,10 @@
 		op.Connections = defaultConnections
 	}
 	if op.LeaseTTL == 0 {
-		op.LeaseTTL = defaultLease
+		op.LeaseTTL = defaultLeaseTTL
 	}
 	if op.HeartbeatInterval == 0 {
-		op.HeartbeatInterval = defaultBeat
+		op.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	if op.StartWindow == 0 {
 		op.StartWindow = defaultStartWindow
@@ -73,37 +73,36 @@
 	return op
 }
 
-// Faults are the ways in which the stand-in misbehaves on demand.
+// Faults are injected into the worker's behavior.
 type Faults struct {
-	// FailAll makes every task and lookup fail at once.
+	// FailAll makes every task and lookup fail immediately.
 	FailAll bool `json:"fail_all"`
-	// LookupDelay is added to the time of every second lookup, so that answers
-	// overtake each other.
+	// LookupDelay is added to the duration of every second lookup, so that answers arrive out of order.
 	LookupDelay time.Duration `json:"lookup_delay"`
-	// Truncate sends half of each answer's body.
+	// Truncate sends only half of each answer's body.
 	Truncate bool `json:"cut_short"`
-	// SendUnrequested sends, before each answer, one to a lookup that nobody sent.
+	// SendUnrequested sends, before each answer, an answer to a lookup that was never requested.
 	SendUnrequested bool `json:"foreign"`
 	// SendTwice sends each answer twice.
 	SendTwice bool `json:"twice"`
-	// DropSends drops what the worker would send, as a cut link does.
+	// DropSends drops everything that the worker sends, as a broken network link does.
 	DropSends bool `json:"mute"`
 }
 
-// Record is one line of what really happened on a worker, for a checker.
+// Record is one event that happened on a worker. Checkers compare it with what the scheduler reports.
 type Record struct {
 	At     time.Time `json:"at"`
 	Worker string    `json:"worker"`
 	Task   string    `json:"task"`
 	Event  string    `json:"event"`
 	Lookup bool      `json:"lookup,omitempty"`
-	// Mark is what the sender wrote into the payload or the body to know it by.
+	// Mark is the identification that the sender put into the payload or the body.
 	Mark string `json:"mark,omitempty"`
-	// Resume is the work that a task which begins need not do again.
+	// Resume is the progress from which a starting task resumes.
 	Resume time.Duration `json:"resume,omitempty"`
 }
 
-// The events of a record.
+// Values of Record.Event.
 const (
 	EventBegin        = "begin"
 	EventEnd          = "end"
--- a/internal/standin/standinworker/standinworker.go
+++ b/internal/standin/standinworker/standinworker.go
@@ -1,7 +1,6 @@
-// Package standinworker is a small stand-in for a worker of the platform. It
-// speaks the worker's protocol over TCP, runs pretended tasks and lookups, and
-// writes down what really began and ended, so that a checker need not believe
-// the scheduler.
+// Package standinworker implements a fake worker of the platform for tests. It speaks the worker protocol over TCP,
+// simulates tasks and lookups, and records what started and ended, so that a checker does not depend on what the
+// scheduler reports.
 package standinworker
 
 import (
@@ -22,10 +21,10 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// keptTasks bounds the memory of ended and fenced tasks.
-const keptTasks = 8192
+// maxEndedTasks bounds the number of ended and fenced tasks that are kept.
+const maxEndedTasks = 8192
 
-// Worker is one stand-in worker.
+// Worker is a stand-in worker.
 type Worker struct {
 	opts        Options
 	incarnation string
@@ -33,61 +32,61 @@
 	server      *fasthttp.Server
 	done        chan struct{}
 
-	mu         sync.Mutex
-	epoch      uint64
-	control    *frames.Conn
-	session    uint64
-	conns      map[*frames.Conn]bool
-	leaseUntil time.Time
-	nonce      uint64
-	beats      map[uint64]time.Time
-	tasks      map[string]*task
-	finished   []string
-	lookups    map[string]pretended
-	used       size.Size
-	leaving    bool
-	faults     Faults
-	answered   int
-	records    []Record
+	mu          sync.Mutex
+	epoch       uint64
+	control     *frames.Conn
+	session     uint64
+	conns       map[*frames.Conn]bool
+	leaseUntil  time.Time
+	nonce       uint64
+	heartbeats  map[uint64]time.Time
+	tasks       map[string]*task
+	finished    []string
+	lookups     map[string]runningLookup
+	used        size.Size
+	leaving     bool
+	faults      Faults
+	lookupCount int
+	records     []Record
 }
 
-// task is one pretended task.
+// task is a simulated task.
 type task struct {
 	state   workermsg.State
 	begun   bool
 	size    size.Size
 	payload payload
 	timer   *time.Timer
-	// ends is when the task will end, and percent the part of its processors that
-	// it has; saved is the work done at its last checkpoint.
-	began   time.Time
-	ends    time.Time
-	percent int
-	saved   time.Duration
-	// resume is the work that the task did not have to do again.
+	// endsAt is when the task will end, percent the share of its processors that it has, and saved its progress at
+	// the last checkpoint.
+	startedAt time.Time
+	endsAt    time.Time
+	percent   int
+	saved     time.Duration
+	// resume is the progress from which the task resumed.
 	resume time.Duration
-	// priority and repeatable are given back in the inventory.
+	// priority and repeatable are reported in the inventory.
 	priority   int
 	repeatable bool
 }
 
-// payload is what the stand-in reads of a task's payload.
+// payload holds the fields of a task's payload that the stand-in reads.
 type payload struct {
-	// Run is how long the task runs, in seconds.
+	// Run is the run time in seconds.
 	Run float64 `json:"run"`
-	// Fail makes the task end as failed.
+	// Fail makes the task fail at its end.
 	Fail bool `json:"fail"`
-	// Mark is written into the records.
+	// Mark is copied to the records.
 	Mark string `json:"mark"`
 }
 
-// pretended is one lookup under way.
-type pretended struct {
+// runningLookup is a lookup that has not ended yet.
+type runningLookup struct {
 	size size.Size
 	mark string
 }
 
-// New starts a worker on its listen address.
+// New starts a worker that listens on opts.Listen.
 func New(opts Options) (*Worker, error) {
 	opts = opts.withDefaults()
 	ln, err := net.Listen("tcp", opts.Listen)
@@ -100,28 +99,28 @@
 		listener:    ln,
 		done:        make(chan struct{}),
 		conns:       map[*frames.Conn]bool{},
-		beats:       map[uint64]time.Time{},
+		heartbeats:  map[uint64]time.Time{},
 		tasks:       map[string]*task{},
-		lookups:     map[string]pretended{},
+		lookups:     map[string]runningLookup{},
 	}
 	wk.server = &fasthttp.Server{
 		Handler: wk.handle, NoDefaultServerHeader: true,
-		KeepHijackedConns: true, // otherwise closing one has no effect
+		KeepHijackedConns: true, // otherwise closing a hijacked connection has no effect
 	}
-	go func() { _ = wk.server.Serve(ln) }() // ends with the listener
-	const checks = 20                       // looks at a lease in its length
-	go wk.every(opts.HeartbeatInterval, wk.beat)
-	go wk.every(opts.LeaseTTL/checks, wk.checkLease)
+	go func() { _ = wk.server.Serve(ln) }() // returns when the listener is closed
+	const checks = 20                       // lease checks per lease TTL
+	go wk.runPeriodically(opts.HeartbeatInterval, wk.sendHeartbeat)
+	go wk.runPeriodically(opts.LeaseTTL/checks, wk.checkLease)
 	return wk, nil
 }
 
-// Addr returns the address the worker listens on.
+// Addr returns the listen address.
 func (wk *Worker) Addr() string { return wk.listener.Addr().String() }
 
-// Options returns what the worker was made with, defaults filled in.
+// Options returns the worker's options, including defaults.
 func (wk *Worker) Options() Options { return wk.opts }
 
-// Close ends the worker as a crash does: all its tasks end with it.
+// Close stops the worker as a crash does: all its tasks end without a report.
 func (wk *Worker) Close() error {
 	wk.mu.Lock()
 	select {
@@ -144,19 +143,19 @@
 	wk.mu.Unlock()
 	err := wk.listener.Close()
 	for _, cn := range conns {
-		_ = cn.Close() // the peer sees the end of the connection
+		_ = cn.Close() // the peer notices that the connection is closed
 	}
 	return errors.Wrap(err, "close worker")
 }
 
-// SetFaults changes how the worker misbehaves from now on.
+// SetFaults replaces the injected faults.
 func (wk *Worker) SetFaults(ft Faults) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	wk.faults = ft
 }
 
-// Leave makes the worker drain: it says so and refuses whatever is new.
+// Leave makes the worker drain: it notifies its owner and refuses new tasks and lookups.
 func (wk *Worker) Leave() {
 	wk.mu.Lock()
 	wk.leaving = true
@@ -167,19 +166,19 @@
 	}
 }
 
-// Records returns what began and ended on the worker so far.
+// Records returns all records since the worker started.
 func (wk *Worker) Records() []Record {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	return append([]Record(nil), wk.records...)
 }
 
-func (wk *Worker) record(id, event, mark string) {
-	wk.note(Record{Task: id, Event: event, Mark: mark})
+func (wk *Worker) recordEvent(id, event, mark string) {
+	wk.appendRecord(Record{Task: id, Event: event, Mark: mark})
 }
 
-// note completes a record and keeps it. The caller holds the lock.
-func (wk *Worker) note(rc Record) {
+// appendRecord completes and stores a record. The caller holds the lock.
+func (wk *Worker) appendRecord(rc Record) {
 	rc.At, rc.Worker = time.Now(), wk.opts.Name
 	rc.Lookup = strings.HasPrefix(rc.Task, lookupPrefix)
 	wk.records = append(wk.records, rc)
@@ -187,11 +186,10 @@
 		return
 	}
 	if raw, err := json.Marshal(rc); err == nil {
-		_, _ = wk.opts.Records.Write(append(raw, '\n')) // a checker misses what cannot be written
+		_, _ = wk.opts.Records.Write(append(raw, '\n')) // best effort: a checker misses records that can't be written
 	}
 }
 
-// handle serves the worker's paths.
 func (wk *Worker) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case workermsg.ControlPath:
@@ -218,18 +216,18 @@
 	err := up.Upgrade(ctx, func(ws *websocket.Conn) {
 		cn := frames.New(ws)
 		if !wk.admit(cn) {
-			_ = cn.Close() // over the limit of connections
+			_ = cn.Close() // over the connection limit, or the worker is closed
 			return
 		}
 		serve(cn)
-		wk.drop(cn)
+		wk.removeConn(cn)
 	})
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 	}
 }
 
-// admit counts a connection against the worker's limit.
+// admit registers a connection unless the connection limit is reached.
 func (wk *Worker) admit(cn *frames.Conn) bool {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
@@ -245,18 +243,18 @@
 	return true
 }
 
-func (wk *Worker) drop(cn *frames.Conn) {
+func (wk *Worker) removeConn(cn *frames.Conn) {
 	wk.mu.Lock()
 	delete(wk.conns, cn)
 	if wk.control == cn {
 		wk.control = nil
 	}
 	wk.mu.Unlock()
-	_ = cn.Close() // already ended
+	_ = cn.Close() // it may be closed already
 }
 
-// send writes to a connection unless the worker is muted, and reports whether it
-// did. A failed write ends the connection, and its reader notices.
+// send writes a message unless the fault DropSends is set, and reports whether it was written. A failed write closes
+// the connection, which its reader notices.
 func (wk *Worker) send(cn *frames.Conn, msg workermsg.From) bool {
 	wk.mu.Lock()
 	mute := wk.faults.DropSends
@@ -271,8 +269,8 @@
 	return true
 }
 
-// every calls act each period until the worker is closed.
-func (wk *Worker) every(period time.Duration, act func()) {
+// runPeriodically calls act once per period until the worker is closed.
+func (wk *Worker) runPeriodically(period time.Duration, act func()) {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
 	for {
@@ -285,8 +283,8 @@
 	}
 }
 
-// beat sends a heartbeat to the owner.
-func (wk *Worker) beat() {
+// sendHeartbeat sends a heartbeat to the owner, if one is connected.
+func (wk *Worker) sendHeartbeat() {
 	wk.mu.Lock()
 	cn := wk.control
 	nonce := wk.nextNonce()
@@ -297,34 +295,34 @@
 	}
 }
 
-// nextNonce notes the moment of a new beat and forgets those beyond the lease.
+// nextNonce records the time of a new heartbeat and drops heartbeats older than the lease TTL.
 func (wk *Worker) nextNonce() uint64 {
 	now := time.Now()
 	wk.nonce++
-	wk.beats[wk.nonce] = now
-	for nonce, at := range wk.beats {
+	wk.heartbeats[wk.nonce] = now
+	for nonce, at := range wk.heartbeats {
 		if now.Sub(at) > wk.opts.LeaseTTL {
-			delete(wk.beats, nonce)
+			delete(wk.heartbeats, nonce)
 		}
 	}
 	return wk.nonce
 }
 
-// usage reports tasks that run; a pretended task uses three quarters of its size.
+// usage returns the usage of the running tasks; a simulated task uses three quarters of its size.
 func (wk *Worker) usage() []workermsg.Usage {
-	const used, whole = 3, 4
+	const numerator, denominator = 3, 4
 	var us []workermsg.Usage
 	for id, tk := range wk.tasks {
 		if tk.state != workermsg.Running {
 			continue
 		}
-		sz := tk.size.Times(used)
-		us = append(us, workermsg.Usage{Task: id, Size: size.New(sz[0]/whole, sz[1]/whole, sz[2]/whole)})
+		sz := tk.size.Times(numerator)
+		us = append(us, workermsg.Usage{Task: id, Size: size.New(sz[0]/denominator, sz[1]/denominator, sz[2]/denominator)})
 	}
 	return us
 }
 
-// checkLease ends all tasks when the lease has run out.
+// checkLease ends all tasks if the lease has expired.
 func (wk *Worker) checkLease() {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
@@ -338,11 +336,11 @@
 	}
 }
 
-// CloseConnections ends all connections, as a broken link does; the worker goes on.
+// CloseConnections closes all connections, as a broken network link does; the worker continues to run.
 func (wk *Worker) CloseConnections() {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	for cn := range wk.conns {
-		_ = cn.Close() // its reader notices
+		_ = cn.Close() // the connection's reader notices
 	}
 }
