--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet runs many stand-in workers in one process, spread over halls and
-// racks, and puts them on the list of VMs.
+// Package fleet runs many stand-in workers in one process, distributed over halls and racks, and registers them on the
+// list of VMs.
 package fleet
 
 import (
@@ -14,18 +14,18 @@
 	"tackbeam.example/tackbeam/internal/vmsmsg"
 )
 
-// Options of a fleet. Worker is the pattern of each worker.
+// Options configure a fleet. Worker is the template of each worker.
 type Options struct {
 	Count       int
 	FirstNumber int
 	Halls       int
 	RackSize    int
-	// Hall, where set, is the hall of all workers, whatever Halls says.
+	// Hall, if set, is the hall of all workers and overrides Halls.
 	Hall   string
 	Worker standinworker.Options
 }
 
-// Fleet is a number of stand-in workers.
+// Fleet is a set of stand-in workers.
 type Fleet struct{ workers []*standinworker.Worker }
 
 // New starts the workers.
@@ -51,10 +51,9 @@
 	return fl, nil
 }
 
-// Workers returns the workers.
 func (fl *Fleet) Workers() []*standinworker.Worker { return fl.workers }
 
-// VMs returns the workers as the list of VMs shows them.
+// VMs returns the workers' entries for the list of VMs.
 func (fl *Fleet) VMs() []vmsmsg.VM {
 	var vms []vmsmsg.VM
 	for _, wk := range fl.workers {
@@ -64,7 +63,7 @@
 	return vms
 }
 
-// Register puts the workers on the list at the address.
+// Register adds the workers to the list of VMs at the address.
 func (fl *Fleet) Register(list string) error {
 	const timeout = 5 * time.Second
 	raw, err := json.Marshal(fl.VMs())
@@ -82,12 +81,12 @@
 		return errors.Wrap(err, "register workers")
 	}
 	if rsp.StatusCode() != fasthttp.StatusOK {
-		return errors.Errorf("register workers: the list answered %d", rsp.StatusCode())
+		return errors.Errorf("register workers: list of VMs answered status %d", rsp.StatusCode())
 	}
 	return nil
 }
 
-// Close ends all workers as a crash does.
+// Close stops all workers as a crash does, and returns the first error.
 func (fl *Fleet) Close() error {
 	var first error
 	for _, wk := range fl.workers {
--- a/internal/standin/httpstub/httpstub.go
+++ b/internal/standin/httpstub/httpstub.go
@@ -1,5 +1,5 @@
-// Package httpstub is a server for tests that answers every call in one way and
-// keeps the last one that was asked.
+// Package httpstub implements an HTTP server for tests that gives the same response to every request and keeps the last
+// request.
 package httpstub
 
 import (
@@ -11,28 +11,28 @@
 	"tackbeam.example/tackbeam/internal/standin/httpserver"
 )
 
-// NoResponse is the status that stands for an answer that is lost: the connection closes.
+// NoResponse as the status makes the server close the connection without a response.
 const NoResponse = 0
 
-// Stub is one server.
+// Stub is an HTTP server with a fixed response.
 type Stub struct {
 	*httpserver.Server
 	header string
 
-	mu    sync.Mutex
-	asked string
+	mu          sync.Mutex
+	lastRequest string
 }
 
-// New returns a server on a free port of this machine, which answers with a status and
-// a body. Asked includes the request's header of the name, if one is given.
+// New starts a server on a free port of the loopback interface that responds with the given status and body. If header
+// is not empty, LastRequest includes the request's header of that name.
 func New(status int, body, header string) (*Stub, error) {
 	sb := &Stub{header: header}
 	var err error
 	sb.Server, err = httpserver.New(func(rc *fasthttp.RequestCtx) {
-		sb.keep(rc)
+		sb.recordRequest(rc)
 		if status == NoResponse {
 			rc.HijackSetNoResponse(true)
-			rc.Hijack(func(net.Conn) {}) // closes without an answer
+			rc.Hijack(func(net.Conn) {}) // closes the connection without a response
 			return
 		}
 		rc.SetStatusCode(status)
@@ -41,19 +41,19 @@
 	return sb, err
 }
 
-func (sb *Stub) keep(rc *fasthttp.RequestCtx) {
-	asked := string(rc.Method()) + " " + string(rc.RequestURI()) + " "
+func (sb *Stub) recordRequest(rc *fasthttp.RequestCtx) {
+	request := string(rc.Method()) + " " + string(rc.RequestURI()) + " "
 	if sb.header != "" {
-		asked += string(rc.Request.Header.Peek(sb.header)) + " "
+		request += string(rc.Request.Header.Peek(sb.header)) + " "
 	}
 	sb.mu.Lock()
 	defer sb.mu.Unlock()
-	sb.asked = asked + string(rc.PostBody())
+	sb.lastRequest = request + string(rc.PostBody())
 }
 
-// LastRequest returns the last call: its method, path, header and body.
+// LastRequest returns the last request: method, path, header and body.
 func (sb *Stub) LastRequest() string {
 	sb.mu.Lock()
 	defer sb.mu.Unlock()
-	return sb.asked
+	return sb.lastRequest
 }
--- a/internal/standin/jsonhttp/jsonhttp.go
+++ b/internal/standin/jsonhttp/jsonhttp.go
@@ -1,4 +1,4 @@
-// Package jsonhttp is what the stand-ins share of HTTP: JSON bodies both ways.
+// Package jsonhttp reads and writes JSON bodies of HTTP requests and responses for the stand-ins.
 package jsonhttp
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Read decodes a request's body; it answers 400 and reports false where it cannot.
+// Read decodes the request's body. If that fails, it responds with status 400 and returns false.
 func Read(ctx *fasthttp.RequestCtx, into any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -16,7 +16,7 @@
 	return true
 }
 
-// Write answers with a value in JSON.
+// Write responds with a value encoded as JSON.
 func Write(ctx *fasthttp.RequestCtx, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
--- a/internal/standin/memworkers/crash.go
+++ b/internal/standin/memworkers/crash.go
@@ -8,62 +8,62 @@
 	"tackbeam.example/tackbeam/internal/agent"
 )
 
-// life is how far a worker's incarnation has come.
-type life int
+// workerState is the state of a worker's incarnation.
+type workerState int
 
 const (
-	up life = iota
-	// crashed workers answer nobody.
+	alive workerState = iota
+	// crashed workers don't answer.
 	crashed
-	// replaced ones have another incarnation at their address.
+	// replaced workers have another incarnation at their address.
 	replaced
 )
 
-// crashAfter is how long after a start that crashes its worker the worker is gone.
-const crashAfter = 8 * time.Millisecond
+// crashDelay is the time between a start that crashes its worker and the crash.
+const crashDelay = 8 * time.Millisecond
 
-// crash is what makes workers crash, and how they come back.
-type crash struct {
-	by func(sr cell.Start) bool
-	// backAfter is how long a worker is away, back what is told then; the worker that comes is
-	// the test's to add.
-	backAfter time.Duration
-	back      func(id string)
+// crashRule decides which starts crash their worker, and how crashed workers restart.
+type crashRule struct {
+	triggers func(sr cell.Start) bool
+	// restartAfter is the time between a crash and the restart. onRestart is called then; the test itself adds the
+	// new incarnation.
+	restartAfter time.Duration
+	onRestart    func(id string)
 }
 
-// SetCrash has the workers crash that carry out certain starts. The address of one that
-// crashed answers for another incarnation after a time, and the test is told.
-func (fl *Fleet) SetCrash(by func(sr cell.Start) bool, backAfter time.Duration, back func(id string)) {
+// SetCrash makes workers crash when they execute a start for which triggers returns true. After restartAfter, the
+// address of a crashed worker answers for another incarnation, and onRestart is called.
+func (fl *Fleet) SetCrash(triggers func(sr cell.Start) bool, restartAfter time.Duration, onRestart func(id string)) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.crash = crash{by, backAfter, back}
+	fl.crash = crashRule{triggers, restartAfter, onRestart}
 }
 
-// Crash ends a worker's incarnation with all that it runs.
+// Crash ends a worker's incarnation and all its runs, and schedules the restart.
 func (fl *Fleet) Crash(id string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	wk := fl.workers[id]
-	if wk == nil || wk.life != up {
+	if wk == nil || wk.state != alive {
 		return
 	}
-	fl.finish(wk)
-	fl.clock.AfterFunc(fl.crash.backAfter, func() {
+	fl.endIncarnation(wk)
+	fl.clock.AfterFunc(fl.crash.restartAfter, func() {
 		fl.mu.Lock()
-		wk.life = replaced
+		wk.state = replaced
 		fl.mu.Unlock()
-		fl.crash.back(id)
+		fl.crash.onRestart(id)
 	})
 }
 
-// gone returns how a call to the worker fails at once, or nil where it is there.
-func (wk *worker) gone() error {
+// callError returns the error with which calls to the worker fail immediately, or nil if the worker is alive.
+func (wk *worker) callError() error {
 	switch {
 	case wk == nil:
 		return nil
-	case wk.life == crashed:
+	case wk.state == crashed:
 		return ErrConnectionClosed
-	case wk.life == replaced:
+	case wk.state == replaced:
 		return agent.ErrOtherIncarnation
 	}
 	return nil
--- a/internal/standin/memworkers/limit.go
+++ b/internal/standin/memworkers/limit.go
@@ -7,31 +7,32 @@
 	"tackbeam.example/policy/cell"
 )
 
-// Limit is how many tasks of a group of jobs may run at a time on all workers together.
+// Limit bounds the number of tasks of a group of jobs that run concurrently, over all workers.
 type Limit struct {
-	// GroupOf names the group of a job; jobs of the empty group have no limit.
+	// GroupOf returns the group of a job; jobs of the empty group have no limit.
 	GroupOf func(job string) string
 	// MaxTasks is the limit of each group.
 	MaxTasks map[string]int
-	// EnforcedFrom is when a start over a limit is one too many: who starts tasks must have heard.
+	// EnforcedFrom is the time from which a start over a limit is a violation. Until then, a scheduler may not have
+	// learned of the limit.
 	EnforcedFrom time.Time
 }
 
-// SetLimit sets the limits from now on. A start over one is trouble; the worker takes it all the same.
+// SetLimit replaces the limits. A start over a limit is a violation, but the worker executes it.
 func (fl *Fleet) SetLimit(limit Limit) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.limit = limit
 }
 
-// checkLimit looks whether a start, which is among the runs of its worker already, lifts its group past the
-// limit.
+// checkLimit records a violation if a start exceeds the limit of its group. The worker's runs already include the
+// start.
 func (fl *Fleet) checkLimit(sr cell.Start) {
 	if fl.limit.GroupOf == nil || fl.clock.Now().Before(fl.limit.EnforcedFrom) {
 		return
 	}
 	group := fl.limit.GroupOf(sr.Task.Job)
-	most, limited := fl.limit.MaxTasks[group]
+	limit, limited := fl.limit.MaxTasks[group]
 	if !limited {
 		return
 	}
@@ -44,7 +45,7 @@
 			}
 		}
 	}
-	if count > most {
-		fl.trouble = append(fl.trouble, fmt.Sprintf("%s starts as one of %d tasks of %s, of which %d may run", sr.Task, count, group, most))
+	if count > limit {
+		fl.violations = append(fl.violations, fmt.Sprintf("%s starts as one of %d running tasks of group %s, whose limit is %d", sr.Task, count, group, limit))
 	}
 }
--- a/internal/standin/memworkers/memworkers.go
+++ b/internal/standin/memworkers/memworkers.go
@@ -1,6 +1,6 @@
-// Package memworkers is a stand-in of workers and their agents in memory: they lease
-// what runs, remember ends until they are noted, follow the highest fencing token,
-// and fail as a test says.
+// Package memworkers implements an in-memory fake of workers and their agents. Their runs end with the lease, they keep
+// ends until these are acknowledged, refuse orders with a lower fencing token than the highest seen, and have injected
+// faults.
 package memworkers
 
 import (
@@ -19,11 +19,11 @@
 	"tackbeam.example/tackbeam/internal/agent"
 )
 
-// Fault is what happens to an order to a worker.
+// Fault is a fault injected into an order to a worker.
 type Fault int
 
-// The faults. RequestLost orders are not carried out and not answered, ResponseLost ones are
-// carried out, Delayed ones are carried out after LateBy.
+// The faults; none of these orders is answered. With RequestLost, an order is not executed; with ResponseLost, it is
+// executed; with Delayed, it is executed after DelayedBy.
 const (
 	None Fault = iota
 	RequestLost
@@ -31,10 +31,10 @@
 	Delayed
 )
 
-// DelayedBy is how late a late order is carried out.
+// DelayedBy is the delay of orders with the fault Delayed.
 const DelayedBy = 3 * time.Second
 
-// Fleet is a number of workers.
+// Fleet is a set of workers.
 type Fleet struct {
 	clock clockwork.Clock
 
@@ -42,82 +42,84 @@
 	workers map[string]*worker
 	changed chan struct{}
 	fault   func(worker, order string) Fault
-	// run is how long a task runs.
+	// run is the run time of each task.
 	run   time.Duration
-	crash crash
-	// starts are all starts that a worker carried out, in order.
-	starts  []cell.Start
-	trouble []string
-	// done are the tasks that have ended done, as somebody has noted.
+	crash crashRule
+	// starts are all executed starts in order.
+	starts     []cell.Start
+	violations []string
+	// done are the tasks whose successful end was acknowledged.
 	done map[work.Task]bool
-	// losses counts, for each job, the lives that ended with its tasks.
-	losses map[string]int
-	limit  Limit
+	// lostRuns counts, for each job, the runs that were lost because an incarnation ended.
+	lostRuns map[string]int
+	limit    Limit
 }
 
 type worker struct {
-	id       string
-	began    time.Time
-	token    uint64
-	deadline time.Duration
-	runs     map[work.Task]run
-	fenced   map[work.Task]int
-	ends     []cell.End
-	seq      int
-	life     life
-	room     room
-	// callers are the tokens of the sessions that have called this life. cut are those that have called
-	// an earlier one, whose connections ended with it: true until a call has failed for that.
-	callers, cut map[uint64]bool
-	// met is set once a session of its own has called this life. Orders of an earlier one that are carried
-	// out before that are delayed: nobody could have fenced them here. late is set during any late order.
-	met, delayed, late bool
+	id        string
+	startedAt time.Time
+	token     uint64
+	deadline  time.Duration
+	runs      map[work.Task]run
+	fenced    map[work.Task]int
+	ends      []cell.End
+	seq       int
+	state     workerState
+	capacity  taskCapacity
+	// sessions are the fencing tokens of the sessions that have called this incarnation. closedSessions are those
+	// that called an earlier one, whose connections closed with it; the value is true until a call has failed for
+	// that reason.
+	sessions, closedSessions map[uint64]bool
+	// contacted is set once a session that called no earlier incarnation has called this one. delayed is set while
+	// an order sent to an earlier incarnation is executed before that: no session could have fenced it here.
+	// executingDelayed is set while any order with the fault Delayed is executed.
+	contacted, delayed, executingDelayed bool
 }
 
 type run struct {
-	number int
-	began  time.Time
-	// delayed is set for a run that began by a delayed order.
+	number    int
+	startedAt time.Time
+	// delayed is set for a run that was started by such an order (see worker.delayed).
 	delayed bool
 }
 
-// New returns a fleet without workers whose tasks run for a time.
+// New returns a fleet without workers. Each task runs for the given time.
 func New(clock clockwork.Clock, run time.Duration) *Fleet {
 	return &Fleet{
 		clock: clock, workers: map[string]*worker{}, changed: make(chan struct{}), run: run,
-		fault: func(string, string) Fault { return None }, done: map[work.Task]bool{}, losses: map[string]int{},
-		crash: crash{by: func(cell.Start) bool { return false }, back: func(string) {}},
+		fault: func(string, string) Fault { return None }, done: map[work.Task]bool{}, lostRuns: map[string]int{},
+		crash: crashRule{triggers: func(cell.Start) bool { return false }, onRestart: func(string) {}},
 	}
 }
 
-// SetFault sets what happens to each order from now on.
+// SetFault sets the function that decides on the fault of each order.
 func (fl *Fleet) SetFault(fault func(worker, order string) Fault) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.fault = fault
 }
 
-// Starts returns the starts that were carried out.
+// Starts returns the executed starts in order.
 func (fl *Fleet) Starts() []cell.Start {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return slices.Clone(fl.starts)
 }
 
-// Violations returns what should never have happened: two runs of a task at once, or a
-// start of a task that has ended done.
+// Violations returns the violated invariants: two concurrent runs of a task, a start of a task whose successful end was
+// acknowledged, or a start over a limit or a worker's capacity.
 func (fl *Fleet) Violations() []string {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return slices.Clone(fl.trouble)
+	return slices.Clone(fl.violations)
 }
 
-// Agents returns the orders to the workers.
+// Agents returns the interface through which a scheduler sends orders to the workers.
 func (fl *Fleet) Agents() *agent.Agents {
 	return &agent.Agents{Hold: fl.hold, Start: fl.start, Stop: fl.stop, Pace: fl.pace}
 }
 
-// deliver carries an order out as the faults say.
+// deliver executes an order subject to the injected faults.
 func (fl *Fleet) deliver(ctx context.Context, id, order string, act func(wk *worker) error) error {
 	const latency = time.Millisecond
 	fl.clock.Sleep(latency)
@@ -127,7 +129,7 @@
 	if wk == nil {
 		fault = RequestLost
 	}
-	if err := wk.gone(); err != nil {
+	if err := wk.callError(); err != nil {
 		fl.mu.Unlock()
 		return err
 	}
@@ -140,14 +142,14 @@
 		fl.clock.AfterFunc(DelayedBy, func() {
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
-			wk := fl.workers[id] // the life that is there by now
-			if wk.gone() != nil {
+			wk := fl.workers[id] // the current incarnation
+			if wk.callError() != nil {
 				return
 			}
 			fl.advance(wk)
-			wk.late, wk.delayed = true, !wk.met
-			_ = act(wk) // nobody waits for the answer any more
-			wk.late, wk.delayed = false, false
+			wk.executingDelayed, wk.delayed = true, !wk.contacted
+			_ = act(wk) // the caller no longer waits for the answer
+			wk.executingDelayed, wk.delayed = false, false
 		})
 	}
 	fl.mu.Unlock()
@@ -158,64 +160,64 @@
 	return err
 }
 
-// now is the worker's steady clock.
-func (fl *Fleet) now(wk *worker) time.Duration { return fl.clock.Since(wk.began) }
+// now returns the time of the worker's monotonic clock.
+func (fl *Fleet) now(wk *worker) time.Duration { return fl.clock.Since(wk.startedAt) }
 
-// advance ends the runs whose work is done or whose lease is over.
+// advance ends the runs that are done or whose lease has expired.
 func (fl *Fleet) advance(wk *worker) {
 	for name, rn := range wk.runs {
-		over := wk.began.Add(wk.deadline)
-		done := rn.began.Add(fl.run)
+		leaseEnd := wk.startedAt.Add(wk.deadline)
+		done := rn.startedAt.Add(fl.run)
 		switch {
-		case !done.After(fl.clock.Now()) && !done.After(over):
+		case !done.After(fl.clock.Now()) && !done.After(leaseEnd):
 			fl.end(wk, name, cell.ResultDone)
-		case fl.clock.Now().After(over):
+		case fl.clock.Now().After(leaseEnd):
 			fl.end(wk, name, cell.ResultLeaseExpired)
 		}
 	}
 }
 
-func (fl *Fleet) end(wk *worker, name work.Task, how cell.Result) {
+func (fl *Fleet) end(wk *worker, name work.Task, result cell.Result) {
 	number := wk.runs[name].number
 	delete(wk.runs, name)
 	wk.fenced[name] = max(wk.fenced[name], number)
 	wk.seq++
-	wk.ends = append(wk.ends, cell.End{Seq: wk.seq, Run: cell.Run{Task: name, Number: number}, Result: how})
+	wk.ends = append(wk.ends, cell.End{Seq: wk.seq, Run: cell.Run{Task: name, Number: number}, Result: result})
 	fl.wakeHolds()
 }
 
-// wakeHolds has the holds that wait look again.
+// wakeHolds makes waiting holds check for changes.
 func (fl *Fleet) wakeHolds() {
 	close(fl.changed)
 	fl.changed = make(chan struct{})
 }
 
 func (fl *Fleet) hold(ctx context.Context, to agent.Target, hd agent.Hold) (agent.Report, error) {
-	over := fl.clock.After(hd.Wait)
-	var asked *worker // the life that the call reached
+	timeout := fl.clock.After(hd.Wait)
+	var reached *worker // the incarnation that the call reached first
 	for {
 		var report agent.Report
 		var changed chan struct{}
 		waits := false
 		err := fl.deliver(ctx, to.Incarnation.WorkerID(), "hold", func(wk *worker) error {
-			if asked == nil {
-				asked = wk
+			if reached == nil {
+				reached = wk
 			}
-			if wk != asked {
-				return agent.ErrNoAnswer // its connections ended with it
+			if wk != reached {
+				return agent.ErrNoAnswer // the connection closed when that incarnation ended
 			}
 			if err := wk.admit(hd.Token); err != nil {
 				return err
 			}
 			wk.deadline = max(wk.deadline, hd.Deadline)
-			fl.note(wk, hd.Acked)
+			fl.ackEnds(wk, hd.Acked)
 			report = fl.report(wk)
 			changed = fl.changed
 			waits = len(wk.runs) > 0
 			return nil
 		})
 		if err != nil {
-			return agent.Report{}, err // a late hold may still write its report
+			return agent.Report{}, err // not the variable report: a delayed hold may still write it
 		}
 		if len(report.Ends) > 0 {
 			return report, nil
@@ -225,7 +227,7 @@
 			next = fl.clock.After(fl.run / 10)
 		}
 		select {
-		case <-over:
+		case <-timeout:
 			return report, nil
 		case <-changed:
 		case <-next:
@@ -235,9 +237,8 @@
 	}
 }
 
-// note forgets the ends up to a number. From then on a task that has ended done must
-// not start again.
-func (fl *Fleet) note(wk *worker, number int) {
+// ackEnds drops the ends up to a sequence number. After that, a task that ended successfully must not start again.
+func (fl *Fleet) ackEnds(wk *worker, number int) {
 	wk.ends = slices.DeleteFunc(wk.ends, func(en cell.End) bool {
 		if en.Seq <= number && en.Result == cell.ResultDone && !wk.delayed {
 			fl.done[en.Task] = true
@@ -247,10 +248,10 @@
 }
 
 func (fl *Fleet) report(wk *worker) agent.Report {
-	const whole = 100
-	report := agent.Report{Clock: fl.now(wk), StartedAt: wk.began.UnixMilli(), Ends: slices.Clone(wk.ends)}
+	const fullPercent = 100
+	report := agent.Report{Clock: fl.now(wk), StartedAt: wk.startedAt.UnixMilli(), Ends: slices.Clone(wk.ends)}
 	for name, rn := range wk.runs {
-		percent := int(whole * fl.clock.Since(rn.began) / fl.run)
+		percent := int(fullPercent * fl.clock.Since(rn.startedAt) / fl.run)
 		report.Runs = append(report.Runs, cell.Run{Task: name, Number: rn.number, Percent: percent})
 	}
 	return report
@@ -264,9 +265,9 @@
 		if err := wk.admit(token); err != nil {
 			return err
 		}
-		rn, there := wk.runs[sr.Task]
+		rn, found := wk.runs[sr.Task]
 		switch {
-		case there && rn.number == sr.Run:
+		case found && rn.number == sr.Run:
 			return nil
 		case deadline <= fl.now(wk):
 			refusal = cell.RefusedLate
@@ -275,46 +276,46 @@
 			refusal = cell.RefusedStale
 			return nil
 		}
-		fl.check(wk, sr)
-		fl.checkRoom(wk, sr)
+		fl.checkDuplicate(wk, sr)
+		fl.checkCapacity(wk, sr)
 		wk.deadline = max(wk.deadline, deadline)
 		wk.runs[sr.Task] = run{sr.Run, fl.clock.Now(), wk.delayed}
 		fl.checkLimit(sr)
 		fl.clock.AfterFunc(fl.run, func() {
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
-			fl.wakeHolds() // the run has ended
+			fl.wakeHolds() // the run is done
 		})
 		fl.starts = append(fl.starts, sr)
-		if fl.crash.by(sr) {
-			fl.clock.AfterFunc(crashAfter, func() { fl.Crash(to.Incarnation.WorkerID()) })
+		if fl.crash.triggers(sr) {
+			fl.clock.AfterFunc(crashDelay, func() { fl.Crash(to.Incarnation.WorkerID()) })
 		}
 		return nil
 	})
 	if errors.Is(err, ErrConnectionClosed) {
-		fl.lose(sr)
+		fl.countLostStart(sr)
 	}
 	return refusal, err
 }
 
-func (fl *Fleet) check(wk *worker, sr cell.Start) {
+func (fl *Fleet) checkDuplicate(wk *worker, sr cell.Start) {
 	if wk.delayed {
-		return // what is done about the run is checked with the starts that follow
+		return // the next starts of the task are checked instead
 	}
 	if fl.done[sr.Task] {
-		fl.trouble = append(fl.trouble, fl.tell(wk, sr)+" though its end was noted")
+		fl.violations = append(fl.violations, fl.describeStart(wk, sr)+" although its end was acknowledged")
 	}
 	for _, other := range fl.workers {
 		fl.advance(other)
-		if rn, there := other.runs[sr.Task]; there && (!rn.delayed || other.met) {
-			fl.trouble = append(fl.trouble, fl.tell(wk, sr)+" while it runs on "+other.id)
+		if rn, found := other.runs[sr.Task]; found && (!rn.delayed || other.contacted) {
+			fl.violations = append(fl.violations, fl.describeStart(wk, sr)+" while it runs on "+other.id)
 		}
 	}
 }
 
-// tell tells of a start.
-func (fl *Fleet) tell(wk *worker, sr cell.Start) string {
-	return fmt.Sprintf("%s starts on %s at %s as run %d, late: %v,", sr.Task, wk.id, fl.clock.Now().Format("05.000"), sr.Run, wk.late)
+// describeStart describes a start for a violation.
+func (fl *Fleet) describeStart(wk *worker, sr cell.Start) string {
+	return fmt.Sprintf("%s starts on %s at %s as run %d, delayed: %v,", sr.Task, wk.id, fl.clock.Now().Format("05.000"), sr.Run, wk.executingDelayed)
 }
 
 func (fl *Fleet) stop(ctx context.Context, to agent.Target, token uint64, sp cell.Stop) error {
@@ -323,7 +324,7 @@
 			return err
 		}
 		wk.fenced[sp.Task] = max(wk.fenced[sp.Task], sp.Run)
-		if rn, there := wk.runs[sp.Task]; there && rn.number <= sp.Run {
+		if rn, found := wk.runs[sp.Task]; found && rn.number <= sp.Run {
 			fl.end(wk, sp.Task, cell.ResultStopped)
 		}
 		return nil
--- a/internal/standin/netpath/netpath.go
+++ b/internal/standin/netpath/netpath.go
@@ -1,5 +1,5 @@
-// Package netpath is a stand-in of a network path over TCP: its connections may share a
-// bandwidth, be reset, or go silent for good without a reset while new ones work.
+// Package netpath implements a TCP proxy that simulates a network path. Its connections may share a limited bandwidth,
+// be closed, or be blackholed: all traffic is dropped without a reset, while new connections work.
 package netpath
 
 import (
@@ -11,28 +11,28 @@
 	"github.com/pkg/errors"
 )
 
-// Path leads to one address over TCP.
+// Path is a TCP proxy to one address.
 type Path struct {
 	listener net.Listener
 	target   string
 
-	mu     sync.Mutex
-	links  []*link
-	opened int
-	// rate is the bandwidth back to where the path starts, in bytes a second; 0 is no limit.
+	mu          sync.Mutex
+	connections []*connection
+	opened      int
+	// rate is the bandwidth from the target back to the clients, in bytes per second; 0 means no limit.
 	rate int
-	// free is when the bandwidth is free again, carried the bytes that were taken back.
-	free    time.Time
-	carried int
+	// freeAt is when the bandwidth is available again, returned the number of bytes sent back to the clients.
+	freeAt   time.Time
+	returned int
 }
 
-// link is one connection through the path, with its two ends.
-type link struct {
-	silent atomic.Bool
-	ends   [2]net.Conn
+// connection is a proxied connection with its two ends.
+type connection struct {
+	blackholed atomic.Bool
+	ends       [2]net.Conn
 }
 
-// New returns a path to an address; it starts at a free port of this machine.
+// New starts a proxy to the target on a free port of the loopback interface.
 func New(target string) (*Path, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -43,57 +43,57 @@
 	return pt, nil
 }
 
-// Address returns where the path starts.
+// Address returns the listen address.
 func (pt *Path) Address() string { return pt.listener.Addr().String() }
 
-// Opened returns how many connections were made so far.
+// Opened returns the number of connections opened so far.
 func (pt *Path) Opened() int {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
 	return pt.opened
 }
 
-// SetBandwidth gives the way back a bandwidth in bytes a second, which all connections share.
+// SetBandwidth limits the bandwidth from the target back to the clients, in bytes per second over all connections.
 func (pt *Path) SetBandwidth(rate int) {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
 	pt.rate = rate
 }
 
-// BytesReturned returns how many bytes were taken back so far.
+// BytesReturned returns the number of bytes sent back to the clients so far.
 func (pt *Path) BytesReturned() int {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
-	return pt.carried
+	return pt.returned
 }
 
-// Reset ends all present connections.
+// Reset closes all current connections.
 func (pt *Path) Reset() {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
-	for _, lk := range pt.links {
-		lk.close()
+	for _, cn := range pt.connections {
+		cn.close()
 	}
-	pt.links = nil
+	pt.connections = nil
 }
 
-// Blackhole swallows from now on whatever either end of a present connection says, its
-// closing too. Both ends stay open.
+// Blackhole drops all further traffic of the current connections in both directions, including the close of either
+// end. Both ends stay open.
 func (pt *Path) Blackhole() {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
-	for _, lk := range pt.links {
-		lk.silent.Store(true)
+	for _, cn := range pt.connections {
+		cn.blackholed.Store(true)
 	}
 }
 
-// Close ends the path and all its connections.
+// Close stops the proxy and closes all its connections.
 func (pt *Path) Close() error {
 	err := pt.listener.Close()
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
-	for _, lk := range pt.links {
-		lk.close()
+	for _, cn := range pt.connections {
+		cn.close()
 	}
 	return errors.Wrap(err, "close path")
 }
@@ -102,73 +102,73 @@
 	for {
 		near, err := pt.listener.Accept()
 		if err != nil {
-			return // the path is closed
+			return // the listener is closed
 		}
 		far, err := net.Dial("tcp4", pt.target)
 		if err != nil {
-			_ = near.Close() // as the address itself refuses it
+			_ = near.Close() // as the target itself refuses the connection
 			continue
 		}
-		lk := &link{ends: [2]net.Conn{near, far}}
+		cn := &connection{ends: [2]net.Conn{near, far}}
 		pt.mu.Lock()
-		pt.links = append(pt.links, lk)
+		pt.connections = append(pt.connections, cn)
 		pt.opened++
 		pt.mu.Unlock()
-		go lk.carry(near, far, func(int) {})
-		go lk.carry(far, near, pt.pass)
+		go cn.forward(near, far, func(int) {})
+		go cn.forward(far, near, pt.throttle)
 	}
 }
 
-// pass waits until a number of bytes is through on the way back.
-func (pt *Path) pass(count int) {
+// throttle waits until the bandwidth permits the given number of bytes back to the clients.
+func (pt *Path) throttle(count int) {
 	pt.mu.Lock()
-	pt.carried += count
+	pt.returned += count
 	if pt.rate == 0 {
 		pt.mu.Unlock()
 		return
 	}
 	now := time.Now()
-	if now.Sub(pt.free) > maxCredit {
-		pt.free = now // idle: don't accumulate credit
+	if now.Sub(pt.freeAt) > maxCredit {
+		pt.freeAt = now // the path was idle: don't accumulate credit
 	}
-	pt.free = pt.free.Add(time.Second * time.Duration(count) / time.Duration(pt.rate))
-	wait := pt.free.Sub(now)
+	pt.freeAt = pt.freeAt.Add(time.Second * time.Duration(count) / time.Duration(pt.rate))
+	wait := pt.freeAt.Sub(now)
 	pt.mu.Unlock()
 	if wait > 0 {
 		time.Sleep(wait)
 	}
 }
 
-// maxCredit limits how far free may lag behind the clock. Up to this limit, late wakeups
-// from time.Sleep don't reduce the throughput of the path below its bandwidth.
+// maxCredit limits how far freeAt may lag behind the clock. Up to this limit, late wakeups from time.Sleep don't reduce
+// the throughput of the path below its bandwidth.
 const maxCredit = 50 * time.Millisecond
 
-// carry takes bytes from one end to the other until the first one closes. Each part waits
-// for pass.
-func (lk *link) carry(from, to net.Conn, pass func(count int)) {
-	const room = 8 << 10 // 7 ms at 10 Mbit/s
-	buf := make([]byte, room)
+// forward copies bytes from one end to the other until either one is closed. It calls throttle before it writes each
+// chunk.
+func (cn *connection) forward(from, to net.Conn, throttle func(count int)) {
+	const bufferSize = 8 << 10 // 7 ms at 10 Mbit/s
+	buf := make([]byte, bufferSize)
 	for {
 		count, err := from.Read(buf)
 		switch {
-		case err != nil && lk.silent.Load():
+		case err != nil && cn.blackholed.Load():
 			return
 		case err != nil:
-			lk.close()
+			cn.close()
 			return
-		case lk.silent.Load():
+		case cn.blackholed.Load():
 			continue
 		}
-		pass(count)
+		throttle(count)
 		if _, err := to.Write(buf[:count]); err != nil {
-			lk.close()
+			cn.close()
 			return
 		}
 	}
 }
 
-func (lk *link) close() {
-	for _, end := range lk.ends {
+func (cn *connection) close() {
+	for _, end := range cn.ends {
 		_ = end.Close() // it may be closed already
 	}
 }
--- a/internal/standin/netpath/netpath_test.go
+++ b/internal/standin/netpath/netpath_test.go
@@ -12,9 +12,9 @@
 	"tackbeam.example/tackbeam/internal/standin/netpath"
 )
 
-// TestSilence has a connection fall silent both ways without an end, while a new one
-// works.
-func TestSilence(t *testing.T) {
+// TestBlackhole checks that a blackholed connection transmits nothing in either direction and is not closed, while a
+// new connection works.
+func TestBlackhole(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -27,15 +27,15 @@
 				return
 			}
 			served <- conn
-			go func() { _, _ = io.Copy(conn, conn) }() // an echo
+			go func() { _, _ = io.Copy(conn, conn) }() // echo server
 		}
 	}()
 	path, err := netpath.New(ln.Addr().String())
 	is.NoErr(err)
 	defer func() { is.NoErr(path.Close()) }()
 	echo := func(conn net.Conn) error {
-		const patience = 200 * time.Millisecond
-		if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+		const timeout = 200 * time.Millisecond
+		if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 			return err
 		}
 		if _, err := conn.Write([]byte("x")); err != nil {
@@ -50,7 +50,7 @@
 	path.Blackhole()
 	for range 2 {
 		var timeout net.Error
-		is.True(errors.As(echo(old), &timeout) && timeout.Timeout()) // no reset, no end
+		is.True(errors.As(echo(old), &timeout) && timeout.Timeout()) // neither reset nor closed
 	}
 	fresh, err := net.Dial("tcp4", path.Address())
 	is.NoErr(err)
@@ -61,13 +61,13 @@
 	is.NoErr(far.SetReadDeadline(time.Now().Add(100 * time.Millisecond)))
 	_, err = far.Read(make([]byte, 1))
 	var timeout net.Error
-	is.True(errors.As(err, &timeout) && timeout.Timeout()) // the other end does not learn of the closing
+	is.True(errors.As(err, &timeout) && timeout.Timeout()) // the other end does not notice the close
 	is.Equal(path.Opened(), 2)
 }
 
-// TestNarrow takes as long as the bandwidth says, counts what it carried, and ends the
-// connections on a reset.
-func TestNarrow(t *testing.T) {
+// TestSetBandwidth checks that a transfer takes as long as the bandwidth requires, that its bytes are counted, and that
+// Reset closes the connection.
+func TestSetBandwidth(t *testing.T) {
 	is := is.New(t)
 	const bytes, rate = 100_000, 500_000
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -79,7 +79,7 @@
 			if err != nil {
 				return
 			}
-			_, _ = conn.Write(make([]byte, bytes)) // the other end may be gone
+			_, _ = conn.Write(make([]byte, bytes)) // the other end may be closed
 		}
 	}()
 	path, err := netpath.New(ln.Addr().String())
--- a/internal/standin/vmclock/vmclock.go
+++ b/internal/standin/vmclock/vmclock.go
@@ -1,4 +1,4 @@
-// Package vmclock is a stand-in of the clocks of a VM that is suspended, for tests.
+// Package vmclock simulates the clocks of a VM that is suspended at times, for tests.
 package vmclock
 
 import (
@@ -9,8 +9,8 @@
 	"tackbeam.example/tackbeam/internal/bootclock"
 )
 
-// New returns a clock of a VM whose steady time is that of another clock. For how long the VM was
-// suspended is added to its time of day and to its time since boot.
+// New returns the clock of a VM whose monotonic time is that of the clock steady. The time for which the VM was
+// suspended is added to its wall-clock time and its time since boot.
 func New(steady clockwork.Clock, suspended func() time.Duration) (*bootclock.Clock, error) {
 	epoch := steady.Now()
 	return bootclock.NewOn(steady, func() (time.Duration, time.Duration) {
