--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -11,29 +11,29 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// The bounds of the histograms, in microseconds.
+// Bounds of the histograms in microseconds, and their precision.
 const (
-	shortest = 1
-	longest  = int64(time.Hour / time.Microsecond)
-	figures  = 3
+	minLatency         = 1
+	maxLatency         = int64(time.Hour / time.Microsecond)
+	significantFigures = 3
 )
 
-// samples bounds the examples of errors that a report keeps.
-const samples = 5
+// maxErrorSamples is the number of error messages that a report keeps.
+const maxErrorSamples = 5
 
-// Latency is the distribution of the latencies of one workload or workspace: of a
-// lookup until its answer, of a job from its submission to its first start.
+// Latency is the latency distribution of a workload or workspace. The latency of a lookup ends with its answer; that of
+// a job is the time from its submission to its first start.
 type Latency struct {
 	Count int64         `json:"count"`
 	P50   time.Duration `json:"p50"`
 	P90   time.Duration `json:"p90"`
 	P99   time.Duration `json:"p99"`
 	Max   time.Duration `json:"max"`
-	// Distribution is the whole distribution, for a chart.
+	// Distribution is the complete distribution, for a chart.
 	Distribution []chart.Point `json:"-"`
 }
 
-// Report is what a load came to.
+// Report is the result of a load.
 type Report struct {
 	Elapsed      time.Duration      `json:"took"`
 	Workloads    map[string]Latency `json:"workloads"`
@@ -45,7 +45,7 @@
 	NotSent      int                `json:"not_sent"`
 }
 
-// tally counts answers as they come.
+// tally collects answers for the report.
 type tally struct {
 	mu         sync.Mutex
 	workloads  map[string]*hdrhistogram.Histogram
@@ -60,7 +60,7 @@
 	}
 }
 
-func (ta *tally) answered(workload, workspace string, took time.Duration) {
+func (ta *tally) addAnswer(workload, workspace string, took time.Duration) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	record(ta.workloads, workload, took)
@@ -70,34 +70,34 @@
 func record(in map[string]*hdrhistogram.Histogram, name string, took time.Duration) {
 	hi, ok := in[name]
 	if !ok {
-		hi = hdrhistogram.New(shortest, longest, figures)
+		hi = hdrhistogram.New(minLatency, maxLatency, significantFigures)
 		in[name] = hi
 	}
-	_ = hi.RecordValue(max(shortest, min(took.Microseconds(), longest))) // within the bounds
+	_ = hi.RecordValue(max(minLatency, min(took.Microseconds(), maxLatency))) // can't fail: the value is within the bounds
 }
 
-func (ta *tally) failed(workload string, err error) {
+func (ta *tally) addError(workload string, err error) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.rp.Errors[fault.From(err).Kind]++
-	if len(ta.rp.ErrorSamples) < samples {
+	if len(ta.rp.ErrorSamples) < maxErrorSamples {
 		ta.rp.ErrorSamples = append(ta.rp.ErrorSamples, workload+": "+err.Error())
 	}
 }
 
-func (ta *tally) ended(answer string) {
+func (ta *tally) addJobOutcome(answer string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.rp.JobOutcomes[answer]++
 }
 
-func (ta *tally) wrong(what string) {
+func (ta *tally) addWrongAnswer(what string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.rp.WrongAnswers = append(ta.rp.WrongAnswers, what)
 }
 
-func (ta *tally) unsent() {
+func (ta *tally) addNotSent() {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.rp.NotSent++
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -11,10 +11,10 @@
 	"tackbeam.example/tackbeam/internal/trace"
 )
 
-// pollPause is the pause before a job is asked for again.
-const pollPause = 100 * time.Millisecond
+// pollInterval is the minimum time before a job is submitted again to wait for its end.
+const pollInterval = 100 * time.Millisecond
 
-// lookup sends one lookup and checks that the answer is its own.
+// lookup sends a lookup and checks its answer.
 func (ld *Load) lookup(workspace, service string, body []byte, due time.Time) {
 	rsp, err := ld.client().Do(client.Request{
 		Method: "POST", Path: "/v1/lookups/" + service, Body: body,
@@ -23,36 +23,35 @@
 	took := ld.clock.Since(due)
 	switch {
 	case err != nil:
-		ld.tally.failed(service, err)
+		ld.tally.addError(service, err)
 	case ld.opts.ExpectedAnswer != nil && !bytes.Equal(rsp.Body, ld.opts.ExpectedAnswer(body)):
-		ld.tally.wrong(fmt.Sprintf("asked %q, got %q", body, rsp.Body))
+		ld.tally.addWrongAnswer(fmt.Sprintf("asked %q, got %q", body, rsp.Body))
 	default:
-		ld.tally.answered(service, workspace, took)
+		ld.tally.addAnswer(service, workspace, took)
 	}
 }
 
-// job submits one job under a key of its own and waits for its end. An answer that
-// was lost is asked for again with the same key.
+// job submits a job and waits for its end. Retries use the same idempotency key.
 func (ld *Load) job(jb trace.Job, due time.Time) {
 	vw, err := ld.submit(jb)
-	for end := due.Add(ld.opts.JobWait); ld.clock.Now().Before(end) && again(vw, err); {
-		ld.clock.Sleep(pause(err))
+	for end := due.Add(ld.opts.JobWait); ld.clock.Now().Before(end) && shouldRetry(vw, err); {
+		ld.clock.Sleep(retryDelay(err))
 		vw, err = ld.submit(jb)
 	}
 	switch {
 	case err != nil:
-		ld.tally.failed(jb.Workload, err)
+		ld.tally.addError(jb.Workload, err)
 	case vw.Answer == "":
-		ld.tally.failed(jb.Workload, fault.New(fault.Timeout, "job %s has not ended in time", vw.ID))
+		ld.tally.addError(jb.Workload, fault.New(fault.Timeout, "job %s did not end within the maximum wait", vw.ID))
 	case vw.Answer != "ran":
-		ld.tally.ended(vw.Answer)
+		ld.tally.addJobOutcome(vw.Answer)
 	default:
-		ld.tally.ended(vw.Answer)
-		ld.tally.answered(jb.Workload, jb.Workspace, vw.Placed.Sub(vw.Submitted))
+		ld.tally.addJobOutcome(vw.Answer)
+		ld.tally.addAnswer(jb.Workload, jb.Workspace, vw.Placed.Sub(vw.Submitted))
 	}
 }
 
-// submit sends a job and waits for its end as long as one request may.
+// submit sends a job and waits for its end up to the maximum wait of one request.
 func (ld *Load) submit(jb trace.Job) (api.Job, error) {
 	const wait = 20 * time.Second
 	req := api.JobRequest{
@@ -73,8 +72,8 @@
 	}, req)
 }
 
-// again reports whether a job's answer is still to come.
-func again(vw api.Job, err error) bool {
+// shouldRetry reports whether the job may still be running or may be accepted later.
+func shouldRetry(vw api.Job, err error) bool {
 	if err == nil {
 		return vw.Answer == ""
 	}
@@ -85,10 +84,10 @@
 	return false
 }
 
-// pause is how long to wait before asking again: what the answer says, if it does.
-func pause(err error) time.Duration {
+// retryDelay returns the time to wait before the next attempt: at least what the response asks for.
+func retryDelay(err error) time.Duration {
 	if err == nil {
-		return pollPause
+		return pollInterval
 	}
-	return max(pollPause, fault.From(err).RetryAfter)
+	return max(pollInterval, fault.From(err).RetryAfter)
 }
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder writes the inputs of the decisions down as they happen, one
-// JSON line each, so that a run can be replayed.
+// Package recorder writes the inputs of a node's scheduling decisions to a trace file, one JSON line each, so that a
+// run can be replayed.
 package recorder
 
 import (
@@ -21,9 +21,8 @@
 // Version is the version of the trace format.
 const Version = 2
 
-// Line is one line of a trace: the header, an input of an owner, or an input of
-// a home. Acts is the number of decisions that the input led to, and Sum a digest
-// of them.
+// Line is one line of a trace: the header, an input of an owner, or an input of a home. ActionCount is the number of
+// decisions that the input caused, and ActionDigest their digest.
 type Line struct {
 	Trace        *Header      `json:"trace,omitempty"`
 	Owner        *owner.Event `json:"owner,omitempty"`
@@ -32,7 +31,7 @@
 	ActionDigest string       `json:"sum,omitempty"`
 }
 
-// Digest returns the number and a digest of some decisions.
+// Digest returns the number of decisions and their digest.
 func Digest[T any](acts []T) (int, string) {
 	if len(acts) == 0 {
 		return 0, ""
@@ -53,7 +52,7 @@
 	Rules   home.Rules   `json:"rules"`
 }
 
-// Recorder writes a trace. A recorder without a file records nothing.
+// Recorder writes a trace. A Recorder without a file discards all inputs.
 type Recorder struct {
 	mu   sync.Mutex
 	file io.WriteCloser
@@ -62,7 +61,7 @@
 	err  error
 }
 
-// New opens the file of the path, or records nothing where the path is empty.
+// New creates the trace file. If path is empty, the Recorder discards all inputs.
 func New(path string, head Header) (*Recorder, error) {
 	if path == "" {
 		return &Recorder{}, nil
@@ -78,7 +77,7 @@
 	return rc, nil
 }
 
-// RecordOwner records an input of the owner's machine.
+// RecordOwner records an input of the owner's state machine and the resulting actions.
 func (rc *Recorder) RecordOwner(ev owner.Event, acts []owner.Action) {
 	if rc.enc != nil {
 		count, sum := Digest(acts)
@@ -86,7 +85,7 @@
 	}
 }
 
-// RecordHome records an input of the home's machine.
+// RecordHome records an input of the home's state machine and the resulting actions.
 func (rc *Recorder) RecordHome(ev home.Event, acts []home.Action) {
 	if rc.enc != nil {
 		count, sum := Digest(acts)
@@ -102,15 +101,15 @@
 	}
 }
 
-// Stop writes out what is buffered and closes the file.
+// Stop flushes and closes the file. It returns the first error of any write.
 func (rc *Recorder) Stop(context.Context) error {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if rc.file == nil {
 		return nil
 	}
-	flush, shut := rc.buf.Flush(), rc.file.Close()
-	for _, err := range []error{rc.err, flush, shut} {
+	flushErr, closeErr := rc.buf.Flush(), rc.file.Close()
+	for _, err := range []error{rc.err, flushErr, closeErr} {
 		if err != nil {
 			return errors.Wrap(err, "write trace")
 		}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,5 +1,5 @@
-// Package replay drives the decisions again from a recorded trace, under the
-// trace's own times, and checks that they come out as recorded.
+// Package replay feeds a recorded trace to the scheduling decisions again, with the times of the trace, and compares
+// the results with the recorded ones.
 package replay
 
 import (
@@ -16,10 +16,10 @@
 	"tackbeam.example/tackbeam/internal/recorder"
 )
 
-// maxLine bounds one line of a trace in bytes.
+// maxLine is the maximum length of a trace line in bytes.
 const maxLine = 4 << 20
 
-// Report is what a replay found.
+// Report is the result of a replay.
 type Report struct {
 	Node            string        `json:"node"`
 	Inputs          int           `json:"inputs"`
@@ -41,15 +41,15 @@
 	}
 	rp.Node = head.Node
 	ow, hm := owner.New(head.Limits), home.New(head.AtOnce, head.Rules)
-	began := now()
+	startedAt := now()
 	for number := 2; lines.Scan(); number++ {
 		var ln recorder.Line
 		if err := json.Unmarshal(lines.Bytes(), &ln); err != nil {
-			return rp, fault.New(fault.BadRequest, "trace line %d: %v", number, err)
+			return rp, fault.New(fault.BadRequest, "decode trace line %d: %v", number, err)
 		}
-		rp.line(ln, ow, hm)
+		rp.replayLine(ln, ow, hm)
 	}
-	rp.Elapsed = now().Sub(began)
+	rp.Elapsed = now().Sub(startedAt)
 	if err := lines.Err(); err != nil {
 		return rp, errors.Wrap(err, "read trace")
 	}
@@ -58,7 +58,7 @@
 
 func readHeader(lines *bufio.Scanner) (recorder.Header, error) {
 	if !lines.Scan() {
-		return recorder.Header{}, fault.New(fault.BadRequest, "the trace is empty")
+		return recorder.Header{}, fault.New(fault.BadRequest, "trace is empty")
 	}
 	var ln recorder.Line
 	if err := json.Unmarshal(lines.Bytes(), &ln); err != nil || ln.Trace == nil {
@@ -66,13 +66,13 @@
 	}
 	if ln.Trace.Version != recorder.Version {
 		return recorder.Header{}, fault.New(fault.BadRequest,
-			"the trace is of version %d, this program reads %d", ln.Trace.Version, recorder.Version)
+			"unsupported trace version %d, want %d", ln.Trace.Version, recorder.Version)
 	}
 	return *ln.Trace, nil
 }
 
-// line feeds one input to its machine.
-func (rp *Report) line(ln recorder.Line, ow *owner.Machine, hm *home.Machine) {
+// replayLine feeds one input to its state machine and compares the resulting actions with the recorded digest.
+func (rp *Report) replayLine(ln recorder.Line, ow *owner.Machine, hm *home.Machine) {
 	var acts int
 	var sum string
 	var at time.Duration
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -16,8 +16,8 @@
 	"tackbeam.example/tackbeam/internal/replay"
 )
 
-// trace records a worker and a lookup as a node would.
-func trace(t *testing.T) string {
+// recordTrace returns a trace of a worker and a lookup, recorded as a node does.
+func recordTrace(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "trace")
 	rc, err := recorder.New(path, recorder.Header{Node: "n1", Limits: owner.DefaultLimits(), AtOnce: 1})
@@ -42,19 +42,19 @@
 }
 
 func TestReplay(t *testing.T) {
-	whole := trace(t)
+	recorded := recordTrace(t)
 	cases := map[string]struct {
 		text        string
 		fails       bool
 		differences int
 	}{
-		"as recorded":            {whole, false, 0},
-		"another worker":         {strings.ReplaceAll(whole, `"w1"`, `"w2"`), false, 1},
-		"fewer slots":            {strings.ReplaceAll(whole, `"slots":1`, `"slots":0`), false, 1},
-		"empty":                  {"", true, 0},
-		"no header":              {`{"owner":{}}`, true, 0},
-		"another version":        {strings.ReplaceAll(whole, `"version":2`, `"version":1`), true, 0},
-		"a line that is no JSON": {whole + "{", true, 0},
+		"as recorded":     {recorded, false, 0},
+		"another worker":  {strings.ReplaceAll(recorded, `"w1"`, `"w2"`), false, 1},
+		"fewer slots":     {strings.ReplaceAll(recorded, `"slots":1`, `"slots":0`), false, 1},
+		"empty":           {"", true, 0},
+		"no header":       {`{"owner":{}}`, true, 0},
+		"another version": {strings.ReplaceAll(recorded, `"version":2`, `"version":1`), true, 0},
+		"invalid JSON":    {recorded + "{", true, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
