--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws distributions of waits.
+// Package chart draws charts of the distributions of wait times.
 package chart
 
 import (
@@ -12,22 +12,22 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a chart.
+// Size of a chart.
 const (
 	width  = 18 * vg.Centimeter
 	height = 11 * vg.Centimeter
 )
 
-// shortest is the least wait that a logarithmic scale shows.
-const shortest = 10 * time.Microsecond
+// minWait is the lower end of the logarithmic scale; shorter waits are drawn there.
+const minWait = 10 * time.Microsecond
 
-// Point says which part of the requests waited at most how long.
+// Point states that a fraction of the requests waited at most for a duration.
 type Point struct {
 	Wait     time.Duration
 	Fraction float64
 }
 
-// Points returns the points of a histogram of microseconds.
+// Points returns the cumulative distribution of a histogram of microseconds.
 func Points(hi *hdrhistogram.Histogram) []Point {
 	const percent = 100
 	if hi.TotalCount() == 0 {
@@ -40,13 +40,13 @@
 	return list
 }
 
-// Chart is a chart with a line for each distribution.
+// Chart is a chart with one line per distribution.
 type Chart struct {
 	plot  *plot.Plot
 	lines int
 }
 
-// New returns a chart without lines.
+// New returns an empty chart.
 func New(title string) *Chart {
 	pl := plot.New()
 	pl.Title.Text = title
@@ -57,15 +57,15 @@
 	return &Chart{plot: pl}
 }
 
-// AddLine adds a distribution; one without points is left out.
+// AddLine adds a distribution; a distribution without points is ignored.
 func (ch *Chart) AddLine(name string, points []Point) error {
 	if len(points) == 0 {
 		return nil
 	}
-	first := max(points[0].Wait, shortest).Seconds()
+	first := max(points[0].Wait, minWait).Seconds()
 	list := plotter.XYs{{X: first, Y: 0}}
 	for _, pt := range points {
-		list = append(list, plotter.XY{X: max(pt.Wait, shortest).Seconds(), Y: pt.Fraction})
+		list = append(list, plotter.XY{X: max(pt.Wait, minWait).Seconds(), Y: pt.Fraction})
 	}
 	line, err := plotter.NewLine(list)
 	if err != nil {
@@ -80,10 +80,10 @@
 	return nil
 }
 
-// Save writes the chart. The ending of the path is the format: .svg, .png or .pdf.
+// Save writes the chart to a file. The extension selects the format: .svg, .png or .pdf.
 func (ch *Chart) Save(path string) error {
 	if ch.lines == 0 {
-		return errors.New("nothing waited, so there is nothing to draw")
+		return errors.New("no waits to draw")
 	}
 	return errors.Wrap(ch.plot.Save(width, height, path), "save chart")
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,6 +1,5 @@
-// Package trace is the format of workload traces: what arrives at a cluster and
-// what happens to its workers, one JSON line each, with the outcomes that the
-// decisions are held to. Times are since the start of the trace.
+// Package trace defines the format of workload traces: one JSON line for each event at a cluster or its workers, and
+// the outcomes that scheduling decisions must achieve. Times are relative to the start of the trace.
 package trace
 
 import (
@@ -18,10 +17,10 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// Version is the version of the format.
+// Version is the version of the trace format.
 const Version = 1
 
-// maxLine bounds one line in bytes.
+// maxLine is the maximum length of a line in bytes.
 const maxLine = 1 << 20
 
 // Header is the first line of a trace.
@@ -34,25 +33,25 @@
 	Outcomes    Outcomes      `json:"outcomes"`
 }
 
-// Outcomes are what a run of the trace must come to. What is not named is free.
+// Outcomes are the required results of a run of the trace. Fields that are not set are not checked.
 type Outcomes struct {
-	// Refused is the number of jobs that can never run and are refused at once.
+	// Refused is the exact number of jobs that can never run and are refused on submission.
 	Refused *int `json:"refused,omitempty"`
-	// MaxMissed bounds the jobs that end after their deadline, or not at all.
+	// MaxMissed bounds the number of jobs that end after their deadline or don't end.
 	MaxMissed *int `json:"missed,omitempty"`
-	// MaxFailed bounds the jobs that end as failed.
+	// MaxFailed bounds the number of jobs that fail.
 	MaxFailed *int `json:"failed,omitempty"`
-	// MinPacking is the least part of the bound that is used while work waits.
+	// MinPacking is the minimum ratio of the used resources to the upper bound of usable ones, while work waits.
 	MinPacking *float64 `json:"packing,omitempty"`
-	// MinFairness is the least ratio of the smallest to the largest weighted share.
+	// MinFairness is the minimum ratio of the smallest to the largest weighted share.
 	MinFairness *float64 `json:"fairness,omitempty"`
-	// MaxUrgentWait bounds the longest wait of an urgent job.
+	// MaxUrgentWait bounds the wait of each urgent job.
 	MaxUrgentWait *time.Duration `json:"urgent,omitempty"`
-	// MaxShed bounds the part of the lookups that are refused.
+	// MaxShed bounds the share of lookups that are refused.
 	MaxShed *float64 `json:"shed,omitempty"`
 }
 
-// Event is one thing that happens; exactly one pointer is set.
+// Event is one event of a trace; exactly one pointer is set.
 type Event struct {
 	At       time.Duration `json:"at"`
 	Workers  *Workers      `json:"workers,omitempty"`
@@ -64,7 +63,7 @@
 	Failing  *Failing      `json:"failing,omitempty"`
 }
 
-// Workers adds workers of one size to a hall, in racks.
+// Workers adds workers of the same size to a hall, with Rack workers in each rack.
 type Workers struct {
 	Hall  string    `json:"hall"`
 	Count int       `json:"count"`
@@ -73,20 +72,20 @@
 	Slots int       `json:"slots"`
 }
 
-// HallLost takes all workers of a hall away at once.
+// HallLost removes all workers of a hall at once.
 type HallLost struct {
 	Hall string `json:"hall"`
 }
 
-// Limits sets the weight of a workspace and its limit on running tasks.
+// Limits sets the weight of a workspace and its limit of running tasks.
 type Limits struct {
 	Workspace string  `json:"workspace"`
 	Weight    float64 `json:"weight"`
 	Running   *int64  `json:"running,omitempty"`
 }
 
-// Job is one job. Size is what it declares, Used what its tasks use, and Run how
-// long they truly run.
+// Job submits a job. Size is the declared size of its tasks, Used their actual usage, and RunTime their actual run
+// time.
 type Job struct {
 	ID         string        `json:"id"`
 	Workspace  string        `json:"workspace"`
@@ -100,13 +99,12 @@
 	Repeatable bool          `json:"repeatable,omitempty"`
 }
 
-// Cancel ends a job.
+// Cancel cancels a job.
 type Cancel struct {
 	Job string `json:"job"`
 }
 
-// Lookups is a stream of lookups of a workspace at an even rate, with gaps and
-// run times by chance from a seed.
+// Lookups is a stream of lookups of a workspace at a constant mean rate, with random gaps and run times from a seed.
 type Lookups struct {
 	Workspace string        `json:"workspace"`
 	Rate      float64       `json:"rate"`
@@ -116,33 +114,33 @@
 	Seed      uint64        `json:"seed"`
 }
 
-// Failing makes the first workers of a hall fail all that they start, or ends that.
+// Failing makes the first Count workers of a hall fail everything that they start, or makes them healthy again.
 type Failing struct {
 	Hall    string `json:"hall"`
 	Count   int    `json:"count"`
 	Healthy bool   `json:"healthy,omitempty"`
 }
 
-// Trace is a whole trace.
+// Trace is a workload trace.
 type Trace struct {
 	header Header
 	events []Event
 }
 
-// New returns a trace of some events, which are in the order of their times.
+// New returns a trace of events, which must be sorted by time.
 func New(head Header, events []Event) *Trace {
 	head.Version = Version
 	return &Trace{header: head, events: events}
 }
 
-// Header returns the first line.
+// Header returns the header of the trace.
 func (tr *Trace) Header() Header { return tr.header }
 
-// Events returns what happens. The caller does not change it.
+// Events returns the events. The caller must not modify the slice.
 func (tr *Trace) Events() []Event { return tr.events }
 
-// suffix marks a file that is compressed.
-const suffix = ".gz"
+// gzipSuffix is the file name suffix of compressed traces.
+const gzipSuffix = ".gz"
 
 // Load reads a trace from a file, which may be compressed.
 func Load(path string) (*Trace, error) {
@@ -150,8 +148,8 @@
 	if err != nil {
 		return nil, fault.New(fault.BadRequest, "%v", err)
 	}
-	defer func() { _ = file.Close() }() // only read
-	if !strings.HasSuffix(path, suffix) {
+	defer func() { _ = file.Close() }() // nothing was written
+	if !strings.HasSuffix(path, gzipSuffix) {
 		return Read(file)
 	}
 	unzip, err := gzip.NewReader(file)
@@ -161,7 +159,7 @@
 	return Read(unzip)
 }
 
-// Read reads a trace and checks each line.
+// Read reads and validates a trace.
 func Read(from io.Reader) (*Trace, error) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, maxLine)
@@ -171,7 +169,7 @@
 		dec.DisallowUnknownFields()
 		if number == 1 {
 			if err := dec.Decode(&tr.header); err != nil || tr.header.Version != Version {
-				return nil, fault.New(fault.BadRequest, "line 1 is not the header of a workload trace of version %d", Version)
+				return nil, fault.New(fault.BadRequest, "line 1 is not a header of a workload trace of version %d", Version)
 			}
 			continue
 		}
@@ -187,38 +185,38 @@
 		return nil, fault.New(fault.BadRequest, "read trace: %v", err)
 	}
 	if tr.header.Version == 0 {
-		return nil, fault.New(fault.BadRequest, "the trace is empty")
+		return nil, fault.New(fault.BadRequest, "trace is empty")
 	}
 	return tr, nil
 }
 
-// add checks one event and takes it in.
+// add validates and appends an event.
 func (tr *Trace) add(ev Event) error {
 	if n := len(tr.events); n > 0 && ev.At < tr.events[n-1].At {
-		return errors.Errorf("at %v comes after %v", ev.At, tr.events[n-1].At)
+		return errors.Errorf("time %v is before the previous event's time %v", ev.At, tr.events[n-1].At)
 	}
 	if jb := ev.Job; jb != nil && (jb.Tasks < 1 || jb.RunTime <= 0 || !jb.Size.Valid()) {
-		return errors.Errorf("job %s: give tasks of 1 or more, a run above 0 and a size of 0 or more", jb.ID)
+		return errors.Errorf("job %s: tasks must be at least 1, run above 0 and size not negative", jb.ID)
 	}
 	if lk := ev.Lookups; lk != nil && (lk.Rate <= 0 || lk.Duration <= 0 || lk.RunTime <= 0 || lk.Budget <= 0) {
-		return errors.Errorf("lookups of %s: give rate, for, run and budget above 0", lk.Workspace)
+		return errors.Errorf("lookups of %s: rate, for, run and budget must be above 0", lk.Workspace)
 	}
 	tr.events = append(tr.events, ev)
 	return nil
 }
 
-// Save writes a trace to a file, compressed where the name says so.
+// Save writes a trace to a file, compressed if the path ends in .gz.
 func (tr *Trace) Save(path string) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
 		return errors.Wrap(err, "write trace")
 	}
 	defer func() {
-		if shut := file.Close(); err == nil {
-			err = errors.Wrap(shut, "write trace")
+		if closeErr := file.Close(); err == nil {
+			err = errors.Wrap(closeErr, "write trace")
 		}
 	}()
-	if !strings.HasSuffix(path, suffix) {
+	if !strings.HasSuffix(path, gzipSuffix) {
 		return tr.Write(file)
 	}
 	zip := gzip.NewWriter(file)
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -12,19 +12,19 @@
 
 const head = `{"version":1,"workload":"t","about":"","span":1000,"owners":1,"outcomes":{}}` + "\n"
 
-// TestRead gives lines that are wrong, each in one way.
-func TestRead(t *testing.T) {
+// TestReadInvalid checks that each kind of invalid line is rejected with an error that names it.
+func TestReadInvalid(t *testing.T) {
 	cases := map[string]struct{ text, says string }{
-		"empty":            {"", "empty"},
-		"no header":        {`{"at":0}`, "line 1"},
-		"another version":  {strings.Replace(head, "1", "9", 1), "line 1"},
-		"no JSON":          {head + "{", "line 2"},
-		"unknown field":    {head + `{"at":0,"jobs":{}}`, "jobs"},
-		"times go back":    {head + `{"at":5}` + "\n" + `{"at":4}`, "line 3"},
-		"no tasks":         {head + `{"at":0,"job":{"id":"j","run":1,"size":{}}}`, "tasks"},
-		"no run":           {head + `{"at":0,"job":{"id":"j","tasks":1,"size":{}}}`, "run"},
-		"negative size":    {head + `{"at":0,"job":{"id":"j","tasks":1,"run":1,"size":{"memory":-1}}}`, "size"},
-		"lookups unending": {head + `{"at":0,"lookups":{"rate":1,"run":1,"budget":1}}`, "for"},
+		"empty":                    {"", "empty"},
+		"no header":                {`{"at":0}`, "line 1"},
+		"another version":          {strings.Replace(head, "1", "9", 1), "line 1"},
+		"invalid JSON":             {head + "{", "line 2"},
+		"unknown field":            {head + `{"at":0,"jobs":{}}`, "jobs"},
+		"decreasing time":          {head + `{"at":5}` + "\n" + `{"at":4}`, "line 3"},
+		"no tasks":                 {head + `{"at":0,"job":{"id":"j","run":1,"size":{}}}`, "tasks"},
+		"no run":                   {head + `{"at":0,"job":{"id":"j","tasks":1,"size":{}}}`, "run"},
+		"negative size":            {head + `{"at":0,"job":{"id":"j","tasks":1,"run":1,"size":{"memory":-1}}}`, "size"},
+		"lookups without duration": {head + `{"at":0,"lookups":{"rate":1,"run":1,"budget":1}}`, "for"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -36,8 +36,9 @@
 	}
 }
 
-// TestMake makes each trace twice from one seed, once from another, and reads it back.
-func TestMake(t *testing.T) {
+// TestGenerate checks that the same seed gives the same trace, that another seed gives another one, and that generated
+// traces can be read.
+func TestGenerate(t *testing.T) {
 	for _, name := range trace.Names() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -57,7 +58,7 @@
 	}
 }
 
-// FuzzRead reads anything without a panic; what it accepts it can write and read.
+// FuzzRead checks that no input causes a panic, and that accepted traces can be written and read again.
 func FuzzRead(f *testing.F) {
 	f.Add(head)
 	f.Add(head + `{"at":0,"job":{"id":"j","tasks":1,"run":1,"size":{}}}`)
