--- a/internal/cli/cmd_replay.go
+++ b/internal/cli/cmd_replay.go
@@ -198,7 +198,7 @@
 		gr.line(rp.Trace, rp.Policy, fmt.Sprint(rp.Ran), fmt.Sprint(rp.Refused), fmt.Sprint(rp.Missed), fmt.Sprint(rp.Failed),
 			fmt.Sprintf("%.3f", rp.Packing), rp.BacklogTime.Round(time.Second).String(), fmt.Sprintf("%.3f", rp.Fairness),
 			fmt.Sprint(rp.Shed), fmt.Sprint(rp.Preempted), rp.LostWork.Round(time.Second).String(),
-			fmt.Sprintf("%.0f", rp.DecisionRate()), rp.DecisionP99.String())
+			fmt.Sprintf("%.0f", rp.Rate()), rp.DecisionP99.String())
 	}
 	gr.flush()
 	_, _ = fmt.Fprintln(out)
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -67,7 +67,7 @@
 		Build: func(*kernel.Kernel) (any, error) {
 			var err error
 			rc, err = recorder.New(dm.settings.Record.Path, recorder.Header{
-				Node: dm.settings.Node, Limits: dm.limits(), AtOnce: home.AtOnce,
+				Node: dm.settings.Node, Limits: dm.limits(), MaxConcurrentTries: home.AtOnce,
 				Rules: homepolicy.DefaultRules(),
 			})
 			return rc, err
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -48,7 +48,7 @@
 	Version int          `json:"version"`
 	Node    string       `json:"node"`
 	Limits  owner.Limits `json:"limits"`
-	AtOnce  int          `json:"at_once"`
+	MaxConcurrentTries  int          `json:"at_once"`
 	Rules   home.Rules   `json:"rules"`
 }
 
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -40,7 +40,7 @@
 		return rp, err
 	}
 	rp.Node = head.Node
-	ow, hm := owner.New(head.Limits), home.New(head.AtOnce, head.Rules)
+	ow, hm := owner.New(head.Limits), home.New(head.MaxConcurrentTries, head.Rules)
 	startedAt := now()
 	for number := 2; lines.Scan(); number++ {
 		var ln recorder.Line
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -20,7 +20,7 @@
 func recordTrace(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "trace")
-	rc, err := recorder.New(path, recorder.Header{Node: "n1", Limits: owner.DefaultLimits(), AtOnce: 1})
+	rc, err := recorder.New(path, recorder.Header{Node: "n1", Limits: owner.DefaultLimits(), MaxConcurrentTries: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/standinworker/control.go
+++ b/internal/standin/standinworker/control.go
@@ -33,7 +33,7 @@
 	case msg.Ack != nil:
 		wk.ack(msg.Ack.Task)
 	case msg.Leave != nil:
-		wk.Leave()
+		wk.Drain()
 	case msg.Start != nil:
 		wk.reply(cn, msg.Start.Seq, wk.start(cn, msg.Start))
 	case msg.Go != nil:
@@ -92,7 +92,7 @@
 	}
 	for id, tk := range wk.tasks {
 		he.Tasks = append(he.Tasks, workermsg.TaskReport{
-			Task: id, State: tk.state, Size: tk.size, Begun: tk.begun,
+			Task: id, State: tk.state, Size: tk.size, Begun: tk.started,
 			Priority: tk.priority, Repeatable: tk.repeatable, Saved: tk.saved,
 		})
 	}
@@ -129,7 +129,7 @@
 	if tk, ok := wk.tasks[id]; ok && tk.state.Ended() && tk.state != workermsg.Never {
 		delete(wk.tasks, id)
 		// A delayed duplicate of the start order must still be refused.
-		wk.retain(id, &task{state: workermsg.Never, begun: tk.begun})
+		wk.retain(id, &task{state: workermsg.Never, started: tk.started})
 	}
 }
 
@@ -149,9 +149,9 @@
 	}
 	if tk, ok := wk.tasks[st.Task]; ok {
 		if tk.state == workermsg.Never {
-			return workermsg.Reply{Refusal: workermsg.IsFenced, State: tk.state, Begun: tk.begun}
+			return workermsg.Reply{Refusal: workermsg.IsFenced, State: tk.state, Begun: tk.started}
 		}
-		return workermsg.Reply{State: tk.state, Begun: tk.begun}
+		return workermsg.Reply{State: tk.state, Begun: tk.started}
 	}
 	beat, ok := wk.heartbeats[st.Nonce]
 	if wk.hasCapability(workermsg.Fencing) && (!ok || time.Since(beat) > wk.opts.StartWindow) {
@@ -172,7 +172,7 @@
 	if !st.Prepared {
 		wk.begin(st.Task, tk)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun}
+	return workermsg.Reply{State: tk.state, Begun: tk.started}
 }
 
 // addUsed adds to the used resources and records when they exceed the worker's capacity.
@@ -188,7 +188,7 @@
 
 func (wk *Worker) begin(id string, tk *task) {
 	tk.state = workermsg.Running
-	tk.begun = true
+	tk.started = true
 	wk.appendRecord(Record{Task: id, Event: EventBegin, Mark: tk.payload.Mark, Resume: tk.resume})
 	run := defaultRun
 	if tk.payload.Run > 0 {
@@ -218,14 +218,14 @@
 	if tk.timer != nil {
 		tk.timer.Stop()
 	}
-	if tk.begun {
+	if tk.started {
 		wk.recordEvent(id, EventEnd, tk.payload.Mark)
 	}
 	wk.used = wk.used.Sub(tk.size)
 	tk.state = end
 	wk.retain(id, tk)
 	if cn := wk.control; cn != nil {
-		ended := &workermsg.Ended{Task: id, State: end, Begun: tk.begun, Saved: tk.saved}
+		ended := &workermsg.Ended{Task: id, State: end, Begun: tk.started, Saved: tk.saved}
 		go wk.send(cn, workermsg.From{Ended: ended})
 	}
 }
@@ -259,7 +259,7 @@
 	if tk.state == workermsg.Prepared {
 		wk.begin(id, tk)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun}
+	return workermsg.Reply{State: tk.state, Begun: tk.started}
 }
 
 func (wk *Worker) stop(id string, tk *task) workermsg.Reply {
@@ -269,7 +269,7 @@
 	if !tk.state.Ended() {
 		wk.finish(id, tk, workermsg.Stopped)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun, Saved: tk.saved}
+	return workermsg.Reply{State: tk.state, Begun: tk.started, Saved: tk.saved}
 }
 
 // fence returns the state of a task, and prevents one that never arrived from starting.
@@ -278,7 +278,7 @@
 		tk = &task{state: workermsg.Never}
 		wk.retain(id, tk)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun, Saved: tk.saved}
+	return workermsg.Reply{State: tk.state, Begun: tk.started, Saved: tk.saved}
 }
 
 // checkpoint saves the progress of a running task.
@@ -289,7 +289,7 @@
 	if tk.state == workermsg.Running {
 		tk.saved = tk.resume + time.Since(tk.startedAt)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun, Saved: tk.saved}
+	return workermsg.Reply{State: tk.state, Begun: tk.started, Saved: tk.saved}
 }
 
 // fullPercent is the share of its processors that a task has when it is not throttled.
@@ -307,5 +307,5 @@
 		tk.endsAt = time.Now().Add(left)
 		tk.timer.Reset(left)
 	}
-	return workermsg.Reply{State: tk.state, Begun: tk.begun}
+	return workermsg.Reply{State: tk.state, Begun: tk.started}
 }
--- a/internal/standin/standinworker/standinworker.go
+++ b/internal/standin/standinworker/standinworker.go
@@ -53,7 +53,7 @@
 // task is a simulated task.
 type task struct {
 	state   workermsg.State
-	begun   bool
+	started   bool
 	size    size.Size
 	payload payload
 	timer   *time.Timer
@@ -155,8 +155,8 @@
 	wk.faults = ft
 }
 
-// Leave makes the worker drain: it notifies its owner and refuses new tasks and lookups.
-func (wk *Worker) Leave() {
+// Drain makes the worker drain: it notifies its owner and refuses new tasks and lookups.
+func (wk *Worker) Drain() {
 	wk.mu.Lock()
 	wk.leaving = true
 	cn := wk.control
@@ -199,7 +199,7 @@
 	case "/standin/records":
 		jsonhttp.Write(ctx, wk.Records())
 	case "/standin/leave":
-		wk.Leave()
+		wk.Drain()
 	case "/standin/faults":
 		var ft Faults
 		if !jsonhttp.Read(ctx, &ft) {
--- a/internal/trial/firstfit.go
+++ b/internal/trial/firstfit.go
@@ -10,11 +10,10 @@
 	"tackbeam.example/tackbeam/internal/trace"
 )
 
-// firstFit is the baseline: jobs start strictly in the order in which they came,
-// each task on the first worker that has room. It knows no weights, priorities or
-// limits.
+// firstFit is the baseline policy: jobs start strictly in order of submission, each task on the first worker with
+// enough free resources. It ignores weights, priorities and limits.
 type firstFit struct {
-	wo      *world
+	sim     *simulation
 	ledger  *ledger.Ledger
 	names   []string
 	waiting []*job
@@ -22,12 +21,12 @@
 	largest size.Size
 }
 
-func newFirstFit(wo *world) decider {
-	ff := &firstFit{wo: wo, ledger: ledger.New()}
+func newFirstFit(sim *simulation) decider {
+	ff := &firstFit{sim: sim, ledger: ledger.New()}
 	return decider{
 		workerUp: ff.workerUp, workerGone: ff.workerGone, limits: func(trace.Limits) {},
-		submit: ff.submit, cancel: ff.cancel, again: ff.again, ended: ff.ended,
-		ask: ff.ask, done: ff.done, tick: ff.advance,
+		submit: ff.submit, cancel: ff.cancel, requeue: ff.requeue, taskEnded: ff.taskEnded,
+		submitLookup: ff.submitLookup, lookupDone: ff.lookupDone, tick: ff.advance,
 	}
 }
 
@@ -48,7 +47,7 @@
 
 func (ff *firstFit) submit(jb *job) string {
 	if !jb.Size.Fits(ff.largest) {
-		return "no worker has as much"
+		return "no worker is large enough"
 	}
 	ff.waiting = append(ff.waiting, jb)
 	return ""
@@ -58,11 +57,11 @@
 	ff.waiting = slices.DeleteFunc(ff.waiting, func(other *job) bool { return other == jb })
 }
 
-func (ff *firstFit) again(jb *job) { ff.waiting = append(ff.waiting, jb) }
+func (ff *firstFit) requeue(jb *job) { ff.waiting = append(ff.waiting, jb) }
 
-func (ff *firstFit) ended(_ *job, task, _ string, _ bool) { ff.ledger.Release(task) }
+func (ff *firstFit) taskEnded(_ *job, task, _ string, _ bool) { ff.ledger.Release(task) }
 
-// advance starts jobs from the head of the queue for as long as they fit.
+// advance starts jobs from the head of the queue as long as they fit.
 func (ff *firstFit) advance() {
 	for len(ff.waiting) > 0 {
 		places, ok := ff.places(ff.waiting[0])
@@ -71,7 +70,7 @@
 		}
 		jb := ff.waiting[0]
 		ff.waiting = ff.waiting[1:]
-		ff.wo.start(jb, places)
+		ff.sim.start(jb, places)
 	}
 	ff.advanceLookups()
 }
@@ -93,12 +92,12 @@
 	return places, true
 }
 
-func (ff *firstFit) ask(lk *lookup) {
+func (ff *firstFit) submitLookup(lk *lookup) {
 	ff.lookups = append(ff.lookups, lk)
 	ff.advanceLookups()
 }
 
-func (ff *firstFit) done(lk *lookup, _ bool) {
+func (ff *firstFit) lookupDone(lk *lookup, _ bool) {
 	ff.ledger.Release(lk.id)
 	ff.advanceLookups()
 }
@@ -106,9 +105,9 @@
 func (ff *firstFit) advanceLookups() {
 	for len(ff.lookups) > 0 {
 		lk := ff.lookups[0]
-		if lk.deadline <= ff.wo.now {
+		if lk.deadline <= ff.sim.now {
 			ff.lookups = ff.lookups[1:]
-			ff.wo.shed(lk)
+			ff.sim.shed(lk)
 			continue
 		}
 		at := slices.IndexFunc(ff.names, func(name string) bool { return ff.ledger.Take(name, lk.id, size.Size{}, 1) })
@@ -116,6 +115,6 @@
 			return
 		}
 		ff.lookups = ff.lookups[1:]
-		ff.wo.send(lk, ff.names[at])
+		ff.sim.send(lk, ff.names[at])
 	}
 }
--- a/internal/trial/lookups.go
+++ b/internal/trial/lookups.go
@@ -10,7 +10,7 @@
 	"tackbeam.example/tackbeam/internal/trace"
 )
 
-// stream is a stream of lookups under way.
+// stream is the state of a lookup stream.
 type stream struct {
 	trace.Lookups
 	rd    *rand.Rand
@@ -18,57 +18,56 @@
 	count int
 }
 
-// nextLookup plans the next lookup of a stream.
-func (wo *world) nextLookup(st *stream) {
+// nextLookup schedules the next lookup of a stream.
+func (sim *simulation) nextLookup(st *stream) {
 	gap := time.Duration(st.rd.ExpFloat64() / st.Rate * float64(time.Second))
-	if wo.now+gap >= st.until {
+	if sim.now+gap >= st.until {
 		return
 	}
-	wo.after(gap, func() {
+	sim.after(gap, func() {
 		st.count++
 		lk := &lookup{
 			id: fmt.Sprintf("lookup-%s-%d-%d", st.Workspace, st.Seed, st.count), workspace: st.Workspace,
-			since: wo.now, deadline: wo.now + st.Budget,
+			submittedAt: sim.now, deadline: sim.now + st.Budget,
 			run: time.Duration(float64(st.RunTime) * (0.5 + st.rd.Float64())),
 		}
-		wo.lookups[lk.id] = lk
-		wo.measure.asked++
-		wo.ask(lk)
-		wo.nextLookup(st)
+		sim.lookups[lk.id] = lk
+		sim.metrics.lookups++
+		sim.submitLookup(lk)
+		sim.nextLookup(st)
 	})
 }
 
-// send begins a lookup on a worker.
-func (wo *world) send(lk *lookup, worker string) {
+// send starts a lookup on a worker.
+func (sim *simulation) send(lk *lookup, worker string) {
 	lk.worker = worker
-	wo.measure.lookupWait(lk, wo.now-lk.since)
-	fails := wo.bad[worker]
+	sim.metrics.lookupWait(lk, sim.now-lk.submittedAt)
+	fails := sim.failing[worker]
 	run := lk.run
 	if fails {
-		run = failTime
+		run = failureTime
 	}
-	wo.after(run, func() {
-		if wo.lost[worker] {
+	sim.after(run, func() {
+		if sim.lost[worker] {
 			fails = true
 		}
 		if fails {
-			wo.measure.lookupsFailed++
+			sim.metrics.lookupsFailed++
 		}
-		delete(wo.lookups, lk.id)
-		wo.done(lk, fails)
+		delete(sim.lookups, lk.id)
+		sim.lookupDone(lk, fails)
 	})
 }
 
-// shed refuses a lookup.
-func (wo *world) shed(lk *lookup) {
-	wo.measure.shed++
-	delete(wo.lookups, lk.id)
+func (sim *simulation) shed(lk *lookup) {
+	sim.metrics.shed++
+	delete(sim.lookups, lk.id)
 }
 
-// ordered returns the jobs by their order in the trace.
-func (wo *world) ordered() []*job {
-	list := make([]*job, 0, len(wo.jobs))
-	for _, jb := range wo.jobs {
+// jobsInOrder returns the jobs in the order of the trace.
+func (sim *simulation) jobsInOrder() []*job {
+	list := make([]*job, 0, len(sim.jobs))
+	for _, jb := range sim.jobs {
 		list = append(list, jb)
 	}
 	slices.SortFunc(list, func(a, b *job) int {
@@ -77,7 +76,7 @@
 	return list
 }
 
-// tasksOn returns a job's running tasks on a worker, or all where none is named.
+// tasksOn returns a job's running tasks on a worker, or on all workers if the name is empty.
 func tasksOn(jb *job, worker string) []string {
 	var list []string
 	for task, at := range jb.running {
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -14,42 +14,42 @@
 	"tackbeam.example/tackbeam/internal/trace"
 )
 
-// CurrentPolicy is the name of the policy that nodes have.
+// CurrentPolicy is the name of the policy that nodes use.
 const CurrentPolicy = "now"
 
-// Policy is a way to decide that a trace can be run through.
+// Policy is a scheduling policy for trials.
 type Policy struct {
-	name  string
-	about string
-	make  func(wo *world) decider
+	name        string
+	description string
+	newDecider  func(sim *simulation) decider
 }
 
-// Name returns what the policy is called on the command line.
+// Name returns the policy's name on the command line.
 func (pl Policy) Name() string { return pl.name }
 
-// Description returns what it is, in one line.
-func (pl Policy) Description() string { return pl.about }
+// Description returns a description in one line.
+func (pl Policy) Description() string { return pl.description }
 
-// Policies lists the policies, the one that nodes have first.
+// Policies returns all policies, starting with the one that nodes use.
 func Policies() []Policy {
-	whole := variant{home: home.DefaultRules(), limits: owner.DefaultLimits()}
+	defaults := variant{home: home.DefaultRules(), limits: owner.DefaultLimits()}
 	list := []Policy{
-		ours(CurrentPolicy, "as nodes decide", whole, func(*variant) {}),
-		ours("no-backfill", "short tasks stay off workers kept for gangs", whole, func(vr *variant) { vr.limits.Backfill = false }),
-		ours("no-plan", "gangs reserve after two seconds, whatever their deadline", whole, func(vr *variant) { vr.home.DeferReservations = false }),
-		ours("backoff", "as before: tries after a pause, no plan, no backfill", whole, func(vr *variant) {
+		variantPolicy(CurrentPolicy, "as nodes decide", defaults, func(*variant) {}),
+		variantPolicy("no-backfill", "short tasks stay off workers kept for gangs", defaults, func(vr *variant) { vr.limits.Backfill = false }),
+		variantPolicy("no-plan", "gangs reserve after two seconds, whatever their deadline", defaults, func(vr *variant) { vr.home.DeferReservations = false }),
+		variantPolicy("backoff", "as before: tries after a pause, no plan, no backfill", defaults, func(vr *variant) {
 			vr.backoff, vr.home.DeferReservations, vr.limits.Backfill = true, false, false
 		}),
 	}
-	return append(list, Policy{name: "first-fit", about: "first come first fit, the baseline", make: newFirstFit})
+	return append(list, Policy{name: "first-fit", description: "first come first fit, the baseline", newDecider: newFirstFit})
 }
 
-func ours(name, about string, vr variant, change func(*variant)) Policy {
+func variantPolicy(name, description string, vr variant, change func(*variant)) Policy {
 	change(&vr)
-	return Policy{name: name, about: about, make: func(wo *world) decider { return newMachines(wo, vr) }}
+	return Policy{name: name, description: description, newDecider: func(sim *simulation) decider { return newNodeDecider(sim, vr) }}
 }
 
-// FindPolicy returns the policy of a name.
+// FindPolicy returns the policy with the given name.
 func FindPolicy(name string) (Policy, error) {
 	var names []string
 	for _, pl := range Policies() {
@@ -58,10 +58,10 @@
 		}
 		names = append(names, pl.name)
 	}
-	return Policy{}, fault.New(fault.BadRequest, "no policy %s; there are %v", name, names)
+	return Policy{}, fault.New(fault.BadRequest, "no policy %s; known policies are %v", name, names)
 }
 
-// Wait is the distribution of the waits of one class or workspace.
+// Wait is the distribution of the waits of a class or workspace.
 type Wait struct {
 	Count int64         `json:"count"`
 	P50   time.Duration `json:"p50"`
@@ -69,7 +69,7 @@
 	Max   time.Duration `json:"max"`
 }
 
-// Report is what a trial came to.
+// Report is the result of a trial.
 type Report struct {
 	Trace      string          `json:"trace"`
 	Policy     string          `json:"policy"`
@@ -77,13 +77,14 @@
 	Workspaces map[string]Wait `json:"workspaces"`
 	Ran        int             `json:"ran"`
 	Refused    int             `json:"refused"`
-	// Missed jobs ended after their deadline or not at all; Avoidable are those
-	// that alone would have met it.
+	// Missed jobs ended after their deadline or did not end. Avoidable are those of them that did not end, or that would
+	// have met their deadline without waiting.
 	Missed    int `json:"missed"`
 	Avoidable int `json:"avoidable"`
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
-	// Packing is the part of the bound in use while work waits, Backlog for how long.
+	// Packing is the ratio of the used resources to the upper bound of usable ones, while work waits. BacklogTime is
+	// for how long work waited.
 	Packing     float64       `json:"packing"`
 	BacklogTime time.Duration `json:"backlog"`
 	Fairness    float64       `json:"fairness"`
@@ -91,51 +92,49 @@
 	LostWork    time.Duration `json:"lost_work"`
 	Lookups     int           `json:"lookups"`
 	Shed        int           `json:"shed"`
-	// LookupsFailed went to workers that failed them.
+	// LookupsFailed counts lookups that failed on their worker.
 	LookupsFailed int           `json:"lookups_failed"`
 	Decisions     int           `json:"decisions"`
 	DecisionTime  time.Duration `json:"deciding"`
 	DecisionP99   time.Duration `json:"decision_p99"`
 	// Distribution is the distribution of the waits of all jobs, for a chart.
 	Distribution []chart.Point `json:"-"`
-	// UnmetOutcomes names the stated outcomes that did not come about.
+	// UnmetOutcomes describes the outcomes required by the trace that were not achieved.
 	UnmetOutcomes []string `json:"broken,omitempty"`
 }
 
-// DecisionRate returns the decisions made a second of processor time.
-func (rp Report) DecisionRate() float64 {
-	return float64(rp.Decisions) / max(rp.DecisionTime.Seconds(), 1e-9)
-}
+// Rate returns the number of decisions per second of processor time.
+func (rp Report) Rate() float64 { return float64(rp.Decisions) / max(rp.DecisionTime.Seconds(), 1e-9) }
 
-// Run runs a trace through a policy.
+// Run simulates a trace with a policy.
 func Run(tr *trace.Trace, pl Policy) Report {
-	wo := &world{
-		trace: tr, workers: map[string]ledger.Worker{}, bad: map[string]bool{}, lost: map[string]bool{},
-		jobs: map[string]*job{}, lookups: map[string]*lookup{}, measure: newMeasure(),
+	sim := &simulation{
+		trace: tr, workers: map[string]ledger.Worker{}, failing: map[string]bool{}, lost: map[string]bool{},
+		jobs: map[string]*job{}, lookups: map[string]*lookup{}, metrics: newMetrics(),
 	}
-	wo.decider = pl.make(wo)
-	wo.run()
-	rp := wo.measure.report()
+	sim.decider = pl.newDecider(sim)
+	sim.run()
+	rp := sim.metrics.report()
 	rp.Trace, rp.Policy = tr.Header().Name, pl.name
-	rp.UnmetOutcomes = broken(rp, tr.Header().Outcomes)
+	rp.UnmetOutcomes = unmetOutcomes(rp, tr.Header().Outcomes)
 	return rp
 }
 
-func (me *measure) report() Report {
+func (mt *metrics) report() Report {
 	rp := Report{
-		Classes: waitsOf(me.classes), Workspaces: waitsOf(me.workspaces),
-		Ran: me.outcomes[ran], Refused: me.outcomes[refused], Missed: me.outcomes[missed] + me.outcomes[unfinished],
-		Avoidable: me.missedOK + me.outcomes[unfinished], Failed: me.outcomes[failed], Cancelled: me.outcomes[cancelled],
-		Packing: 1, Fairness: 1, BacklogTime: me.backlog, Preempted: me.preempted, LostWork: me.lostWork,
-		Lookups: me.asked, Shed: me.shed, LookupsFailed: me.lookupsFailed,
-		Decisions: me.decisions, DecisionTime: me.deciding, DecisionP99: time.Duration(me.decisionTimes.ValueAtQuantile(99)),
+		Classes: waitsOf(mt.classes), Workspaces: waitsOf(mt.workspaces),
+		Ran: mt.outcomes[ran], Refused: mt.outcomes[refused], Missed: mt.outcomes[missed] + mt.outcomes[unfinished],
+		Avoidable: mt.missedAvoidably + mt.outcomes[unfinished], Failed: mt.outcomes[failed], Cancelled: mt.outcomes[cancelled],
+		Packing: 1, Fairness: 1, BacklogTime: mt.backlog, Preempted: mt.preempted, LostWork: mt.lostWork,
+		Lookups: mt.lookups, Shed: mt.shed, LookupsFailed: mt.lookupsFailed,
+		Decisions: mt.decisions, DecisionTime: mt.decisionTime, DecisionP99: time.Duration(mt.decisionTimes.ValueAtQuantile(99)),
 	}
-	rp.Distribution = chart.Points(me.jobWaits)
-	if me.boundTime > 0 {
-		rp.Packing = me.usedTime / me.boundTime
+	rp.Distribution = chart.Points(mt.jobWaits)
+	if mt.boundTime > 0 {
+		rp.Packing = mt.usedTime / mt.boundTime
 	}
-	if me.fairUntil > 0 {
-		rp.Fairness = me.fairTime / me.fairUntil
+	if mt.fairnessSpan > 0 {
+		rp.Fairness = mt.fairnessSum / mt.fairnessSpan
 	}
 	return rp
 }
@@ -149,8 +148,8 @@
 	return all
 }
 
-// broken lists the stated outcomes that a report does not meet.
-func broken(rp Report, oc trace.Outcomes) []string {
+// unmetOutcomes describes the required outcomes that a report does not meet.
+func unmetOutcomes(rp Report, oc trace.Outcomes) []string {
 	var list []string
 	need := func(ok bool, format string, args ...any) {
 		if !ok {
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -11,20 +11,20 @@
 	"tackbeam.example/tackbeam/internal/trial"
 )
 
-// still takes out of a report what depends on the machine.
-func still(rp trial.Report) trial.Report {
+// withoutTimings returns a report without the values that depend on the speed of the computer.
+func withoutTimings(rp trial.Report) trial.Report {
 	rp.DecisionTime, rp.DecisionP99 = 0, 0
 	return rp
 }
 
-// TestOutcomes runs the shipped traces through the decisions as nodes make them.
-// The outcomes stated in each come about, and the same again the second time.
+// TestOutcomes checks that each shipped trace achieves its required outcomes under the policy that nodes use, and that
+// a second run gives the same result.
 func TestOutcomes(t *testing.T) {
 	paths, err := filepath.Glob("../../traces/*.jsonl.gz")
 	if err != nil || len(paths) != len(trace.Names()) {
-		t.Fatalf("%d traces are shipped, %d can be made: run make traces", len(paths), len(trace.Names()))
+		t.Fatalf("%d traces are shipped, %d can be generated: run make traces", len(paths), len(trace.Names()))
 	}
-	now, err := trial.FindPolicy(trial.CurrentPolicy)
+	current, err := trial.FindPolicy(trial.CurrentPolicy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,18 +34,18 @@
 			is := is.New(t)
 			tr, err := trace.Load(path)
 			is.NoErr(err)
-			first := trial.Run(tr, now)
-			is.Equal(len(first.UnmetOutcomes), 0) // see the log for what is broken
+			first := trial.Run(tr, current)
+			is.Equal(len(first.UnmetOutcomes), 0) // see the log for the unmet outcomes
 			for _, why := range first.UnmetOutcomes {
 				t.Log(why)
 			}
-			is.Equal(still(trial.Run(tr, now)), still(first))
+			is.Equal(withoutTimings(trial.Run(tr, current)), withoutTimings(first))
 		})
 	}
 }
 
-// TestBroken shows that each stated outcome is seen when it does not come about.
-func TestBroken(t *testing.T) {
+// TestUnmetOutcomes checks that the report lists each kind of required outcome that was not achieved.
+func TestUnmetOutcomes(t *testing.T) {
 	none, all, soon := 0, 1.1, time.Duration(0)
 	cases := map[string]struct {
 		trace    string
