--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -158,9 +158,9 @@
 // Run sends every request at its planned time, waits for the answers and returns a report. When the context ends, it
 // sends no further requests.
 func (ld *Load) Run(ctx context.Context) Report {
-	began := ld.clock.Now()
+	startedAt := ld.clock.Now()
 	for _, ar := range ld.arrivals {
-		due := began.Add(ar.at)
+		due := startedAt.Add(ar.at)
 		if wait := due.Sub(ld.clock.Now()); wait > 0 {
 			select {
 			case <-ctx.Done():
@@ -173,7 +173,7 @@
 		ld.send(ar, due)
 	}
 	ld.wg.Wait()
-	return ld.tally.report(ld.clock.Since(began))
+	return ld.tally.report(ld.clock.Since(startedAt))
 }
 
 // send starts a request unless MaxInFlight requests are in flight.
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -63,8 +63,8 @@
 		req.Processors, req.Memory, req.Accelerators = &cores, &memory, &devices
 	}
 	if jb.Deadline > 0 {
-		left := jb.Deadline.Seconds()
-		req.DeadlineIn = &left
+		remaining := jb.Deadline.Seconds()
+		req.DeadlineIn = &remaining
 	}
 	return client.Send[api.Job](ld.client(), client.Request{
 		Method: "POST", Path: api.PathJobs, Query: map[string]string{"wait": fmt.Sprint(wait.Seconds())}, Wait: wait,
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -45,11 +45,11 @@
 
 // Header is the first line of a trace.
 type Header struct {
-	Version int          `json:"version"`
-	Node    string       `json:"node"`
-	Limits  owner.Limits `json:"limits"`
-	MaxConcurrentTries  int          `json:"at_once"`
-	Rules   home.Rules   `json:"rules"`
+	Version            int          `json:"version"`
+	Node               string       `json:"node"`
+	Limits             owner.Limits `json:"limits"`
+	MaxConcurrentTries int          `json:"at_once"`
+	Rules              home.Rules   `json:"rules"`
 }
 
 // Recorder writes a trace. A Recorder without a file discards all inputs.
--- a/internal/standin/standinworker/control.go
+++ b/internal/standin/standinworker/control.go
@@ -96,8 +96,8 @@
 			Priority: tk.priority, Repeatable: tk.repeatable, Saved: tk.saved,
 		})
 	}
-	for id, pt := range wk.lookups {
-		he.Lookups = append(he.Lookups, workermsg.TaskReport{Task: id, State: workermsg.Running, Size: pt.size})
+	for id, lk := range wk.lookups {
+		he.Lookups = append(he.Lookups, workermsg.TaskReport{Task: id, State: workermsg.Running, Size: lk.size})
 	}
 	return he
 }
@@ -153,8 +153,8 @@
 		}
 		return workermsg.Reply{State: tk.state, Begun: tk.started}
 	}
-	beat, ok := wk.heartbeats[st.Nonce]
-	if wk.hasCapability(workermsg.Fencing) && (!ok || time.Since(beat) > wk.opts.StartWindow) {
+	sentAt, ok := wk.heartbeats[st.Nonce]
+	if wk.hasCapability(workermsg.Fencing) && (!ok || time.Since(sentAt) > wk.opts.StartWindow) {
 		return workermsg.Reply{Refusal: workermsg.StaleStart, State: workermsg.Never}
 	}
 	if wk.leaving {
@@ -302,10 +302,10 @@
 	}
 	percent = max(1, min(percent, fullPercent))
 	if tk.state == workermsg.Running && tk.timer.Stop() {
-		left := time.Until(tk.endsAt) * time.Duration(tk.percent) / time.Duration(percent)
+		remaining := time.Until(tk.endsAt) * time.Duration(tk.percent) / time.Duration(percent)
 		tk.percent = percent
-		tk.endsAt = time.Now().Add(left)
-		tk.timer.Reset(left)
+		tk.endsAt = time.Now().Add(remaining)
+		tk.timer.Reset(remaining)
 	}
 	return workermsg.Reply{State: tk.state, Begun: tk.started}
 }
--- a/internal/standin/standinworker/standinworker.go
+++ b/internal/standin/standinworker/standinworker.go
@@ -53,7 +53,7 @@
 // task is a simulated task.
 type task struct {
 	state   workermsg.State
-	started   bool
+	started bool
 	size    size.Size
 	payload payload
 	timer   *time.Timer
@@ -155,7 +155,7 @@
 	wk.faults = ft
 }
 
-// Drain makes the worker drain: it notifies its owner and refuses new tasks and lookups.
+// Drain starts to drain the worker: it notifies its owner and refuses new tasks and lookups.
 func (wk *Worker) Drain() {
 	wk.mu.Lock()
 	wk.leaving = true
@@ -257,9 +257,9 @@
 // the connection, which its reader notices.
 func (wk *Worker) send(cn *frames.Conn, msg workermsg.From) bool {
 	wk.mu.Lock()
-	mute := wk.faults.DropSends
+	drop := wk.faults.DropSends
 	wk.mu.Unlock()
-	if mute {
+	if drop {
 		return false
 	}
 	if err := cn.Send(msg); err != nil {
--- a/internal/trial/metrics.go
+++ b/internal/trial/metrics.go
@@ -103,9 +103,9 @@
 	recordWait(mt.workspaces, lk.workspace, wait)
 }
 
-func (mt *metrics) count(jb *job, how outcome) {
-	mt.outcomes[how]++
-	if how == missed && jb.RunTime < jb.Deadline {
+func (mt *metrics) count(jb *job, result outcome) {
+	mt.outcomes[result]++
+	if result == missed && jb.RunTime < jb.Deadline {
 		mt.missedAvoidably++
 	}
 }
@@ -147,7 +147,7 @@
 
 // addFairness compares the weighted shares of the workspaces with waiting jobs.
 func (mt *metrics) addFairness(span float64) {
-	least, most, count := 0.0, 0.0, 0
+	minShare, maxShare, count := 0.0, 0.0, 0
 	for name, waiting := range mt.wantedBy {
 		if waiting <= 0 {
 			continue
@@ -157,14 +157,14 @@
 			weight = 1
 		}
 		share := mt.usedBy[name].DominantShare(mt.capacity) / weight
-		if count == 0 || share < least {
-			least = share
+		if count == 0 || share < minShare {
+			minShare = share
 		}
-		most = max(most, share)
+		maxShare = max(maxShare, share)
 		count++
 	}
-	if count > 1 && most > 0 {
-		mt.fairnessSum += least / most * span
+	if count > 1 && maxShare > 0 {
+		mt.fairnessSum += minShare / maxShare * span
 		mt.fairnessSpan += span
 	}
 }
--- a/internal/trial/nodedecider.go
+++ b/internal/trial/nodedecider.go
@@ -67,9 +67,9 @@
 // homeStep feeds an event to the home and executes its decisions.
 func (nd *nodeDecider) homeStep(ev home.Event) {
 	ev.At = nd.sim.now
-	began := time.Now()
+	startedAt := time.Now()
 	acts := nd.home.Step(ev)
-	nd.sim.metrics.recordDecision(time.Since(began), ev.Tick == nil)
+	nd.sim.metrics.recordDecision(time.Since(startedAt), ev.Tick == nil)
 	for _, act := range acts {
 		if act.Try != nil {
 			nd.place(act.Try)
@@ -81,9 +81,9 @@
 // the other returned actions.
 func (nd *nodeDecider) ownerStep(at int, ev owner.Event) []owner.Action {
 	ev.At = nd.sim.now
-	began := time.Now()
+	startedAt := time.Now()
 	acts := nd.owners[at].Step(ev)
-	nd.sim.metrics.recordDecision(time.Since(began), ev.Tick == nil)
+	nd.sim.metrics.recordDecision(time.Since(startedAt), ev.Tick == nil)
 	for _, act := range acts {
 		switch {
 		case act.Dispatch != nil:
@@ -155,8 +155,8 @@
 		nd.reportCapacity()
 	}
 	sb := nd.submitEvent(jb)
-	if why := nd.home.Infeasible(*sb); why != "" {
-		return why
+	if reason := nd.home.Infeasible(*sb); reason != "" {
+		return reason
 	}
 	nd.homeStep(home.Event{Submit: sb})
 	return ""
@@ -194,10 +194,10 @@
 
 // submitLookup sends a lookup to the owner with the most free slots.
 func (nd *nodeDecider) submitLookup(lk *lookup) {
-	best, most := 0, -1<<30
+	best, maxFree := 0, -1<<30
 	for at, mc := range nd.owners {
-		if free := mc.Ledger().Load().FreeSlots - mc.Waiting(); free > most {
-			best, most = at, free
+		if free := mc.Ledger().Load().FreeSlots - mc.Waiting(); free > maxFree {
+			best, maxFree = at, free
 		}
 	}
 	nd.ownerStep(best, owner.Event{Lookup: &owner.Lookup{
--- a/internal/trial/placement.go
+++ b/internal/trial/placement.go
@@ -24,7 +24,7 @@
 	reserve := tr.Reserve || nd.reserving[jb.ID]
 	held := nd.held[jb.ID]
 	var placed []owner.Place
-	left := lo.Without(taskIDs(jb), lo.Map(flatten(held), taskOf)...)
+	unplaced := lo.Without(taskIDs(jb), lo.Map(flatten(held), taskOf)...)
 	nd.summaries[0] = nd.owners[0].Ledger().Summary()
 	index := map[string]int{}
 	owners := lo.Map(nd.summaries, func(su ledger.Summary, at int) ranking.Owner {
@@ -33,16 +33,16 @@
 		return ranking.Owner{Name: name, Summary: su, Placed: len(held[at])}
 	})
 	places := map[int][]owner.Place{}
-	for _, ask := range ranking.Order(owners, ranking.Request{Size: jb.Size, Tasks: jb.Tasks, Reserve: reserve}) {
-		at := index[ask.Owner]
-		mine := lo.Map(held[at], taskOf)
-		tasks := append(mine, left[:min(len(left), ask.Tasks)]...)
+	for _, query := range ranking.Order(owners, ranking.Request{Size: jb.Size, Tasks: jb.Tasks, Reserve: reserve}) {
+		at := index[query.Owner]
+		own := lo.Map(held[at], taskOf)
+		tasks := append(own, unplaced[:min(len(unplaced), query.Tasks)]...)
 		if len(tasks) == 0 {
 			continue
 		}
 		places[at] = nd.hold(at, jb, tr, tasks, reserve)
 		placed = append(placed, places[at]...)
-		left = lo.Without(lo.Uniq(append(left, mine...)), lo.Map(places[at], taskOf)...)
+		unplaced = lo.Without(lo.Uniq(append(unplaced, own...)), lo.Map(places[at], taskOf)...)
 	}
 	nd.held[jb.ID] = places
 	nd.finishTry(jb, placed, reserve)
--- a/internal/trial/simulation.go
+++ b/internal/trial/simulation.go
@@ -192,7 +192,7 @@
 	sim.jobs[tj.ID] = jb
 	sim.openJobs++
 	sim.startWaiting(jb)
-	if why := sim.submit(jb); why != "" {
+	if reason := sim.submit(jb); reason != "" {
 		sim.end(jb, refused)
 		return
 	}
@@ -318,11 +318,11 @@
 	jb.waiting, jb.counted = false, false
 }
 
-func (sim *simulation) end(jb *job, how outcome) {
+func (sim *simulation) end(jb *job, result outcome) {
 	sim.stopWaiting(jb)
 	jb.ended = true
 	sim.openJobs--
-	sim.metrics.count(jb, how)
+	sim.metrics.count(jb, result)
 	if sim.removed != nil {
 		sim.removed(jb)
 	}
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -36,8 +36,8 @@
 			is.NoErr(err)
 			first := trial.Run(tr, current)
 			is.Equal(len(first.UnmetOutcomes), 0) // see the log for the unmet outcomes
-			for _, why := range first.UnmetOutcomes {
-				t.Log(why)
+			for _, outcome := range first.UnmetOutcomes {
+				t.Log(outcome)
 			}
 			is.Equal(withoutTimings(trial.Run(tr, current)), withoutTimings(first))
 		})
