--- a/internal/daemon/lookup_test.go
+++ b/internal/daemon/lookup_test.go
@@ -25,7 +25,7 @@
 		Method: "POST", Path: "/v1/lookups/lookup", Body: []byte(body),
 		Headers: map[string]string{api.HeaderWorkspace: "brno"},
 	})
-	return string(rsp.Body) == string(standinworker.Reply([]byte(body))), err
+	return string(rsp.Body) == string(standinworker.ExpectedAnswer([]byte(body))), err
 }
 
 func counters(t *testing.T, cl *client.Client) map[string]int64 {
@@ -46,10 +46,10 @@
 	}{
 		"in order":         {standinworker.Faults{}, true, ""},
 		"out of order":     {standinworker.Faults{LookupDelay: 20 * time.Millisecond}, true, ""},
-		"foreign answers":  {standinworker.Faults{Foreign: true}, true, owner.CounterLate},
-		"duplicates":       {standinworker.Faults{Twice: true}, true, owner.CounterLate},
-		"truncated":        {standinworker.Faults{CutShort: true}, false, owner.CounterTruncated},
-		"all faults":       {standinworker.Faults{CutShort: true, Twice: true, Foreign: true, LookupDelay: time.Millisecond}, false, owner.CounterTruncated},
+		"foreign answers":  {standinworker.Faults{SendUnrequested: true}, true, owner.CounterLate},
+		"duplicates":       {standinworker.Faults{SendTwice: true}, true, owner.CounterLate},
+		"truncated":        {standinworker.Faults{Truncate: true}, false, owner.CounterTruncated},
+		"all faults":       {standinworker.Faults{Truncate: true, SendTwice: true, SendUnrequested: true, LookupDelay: time.Millisecond}, false, owner.CounterTruncated},
 		"fails everything": {standinworker.Faults{FailAll: true}, false, "errors_" + string(fault.EndpointFailed)},
 	}
 	bd := newTestbed(t, 4, "n1", "n2")
@@ -194,7 +194,7 @@
 	}
 	for n := range 10 {
 		time.Sleep(50 * time.Millisecond)
-		bd.workers.Workers()[n%2].Cut() // the other worker keeps its connection and queue
+		bd.workers.Workers()[n%2].CloseConnections() // the other worker keeps its connection and queue
 	}
 	close(stop)
 	wg.Wait()
@@ -203,7 +203,7 @@
 	running := map[string]int{}
 	for _, rc := range sortedRecords(bd) {
 		switch rc.Event {
-		case standinworker.EventOver:
+		case standinworker.EventOverCapacity:
 			t.Errorf("worker %s exceeded its capacity", rc.Worker)
 		case standinworker.EventEnd:
 			running[rc.Mark]--
--- a/internal/daemon/partition_test.go
+++ b/internal/daemon/partition_test.go
@@ -82,7 +82,7 @@
 			t.Parallel()
 			is := is.New(t)
 			bd := newTestbedWith(t, 32, standinworker.Options{
-				Lease: time.Second, Beat: 200 * time.Millisecond, Capabilities: capabilities,
+				LeaseTTL: time.Second, HeartbeatInterval: 200 * time.Millisecond, Capabilities: capabilities,
 			})
 			bd.storeProxies = map[string]*storeProxy{}
 			for _, node := range []string{"n1", "n2", "n3", "n4"} {
@@ -112,7 +112,7 @@
 			bd.waitSlots(32 * 8)
 			starts := map[string]int{}
 			for _, rc := range sortedRecords(bd) {
-				is.True(rc.Event != standinworker.EventOver) // no worker exceeds its capacity
+				is.True(rc.Event != standinworker.EventOverCapacity) // no worker exceeds its capacity
 				if rc.Event == standinworker.EventBegin {
 					starts[rc.Mark]++
 					is.True(starts[rc.Mark] == 1) // nothing runs twice
--- a/internal/daemon/preemption_test.go
+++ b/internal/daemon/preemption_test.go
@@ -117,6 +117,6 @@
 	close(stop)
 	wg.Wait()
 	for _, rc := range sortedRecords(bd) {
-		is.True(rc.Event != standinworker.EventOver) // no worker exceeded its capacity
+		is.True(rc.Event != standinworker.EventOverCapacity) // no worker exceeded its capacity
 	}
 }
--- a/internal/daemon/testbed_test.go
+++ b/internal/daemon/testbed_test.go
@@ -56,7 +56,7 @@
 }
 
 // shortLease configures a worker with a short lease.
-var shortLease = standinworker.Options{Lease: 2 * time.Second, Beat: 200 * time.Millisecond}
+var shortLease = standinworker.Options{LeaseTTL: 2 * time.Second, HeartbeatInterval: 200 * time.Millisecond}
 
 // newTestbed starts nodes and count workers with short leases.
 func newTestbed(t testing.TB, count int, names ...string) *testbed {
@@ -70,11 +70,11 @@
 	bd := &testbed{t: t, dir: t.TempDir(), nodes: map[string]*daemon.Daemon{}}
 	must(t, keys.Issue(bd.dir, []string{"n1", "n2", "n3", "n4"}))
 	var err error
-	bd.store, err = standinstore.New(standinstore.Options{Writes: 1000, Reads: 10000})
+	bd.store, err = standinstore.New(standinstore.Options{WriteRate: 1000, ReadRate: 10000})
 	must(t, err)
 	bd.vms, err = standinvms.New("")
 	must(t, err)
-	bd.workers, err = fleet.New(fleet.Options{Count: count, First: 1, Halls: 2, Rack: 4, Worker: pattern})
+	bd.workers, err = fleet.New(fleet.Options{Count: count, FirstNumber: 1, Halls: 2, RackSize: 4, Worker: pattern})
 	must(t, err)
 	for _, vm := range bd.workers.VMs() {
 		bd.vms.Put(vm)
--- a/internal/daemon/unresponsive_test.go
+++ b/internal/daemon/unresponsive_test.go
@@ -23,7 +23,7 @@
 			}
 		}},
 		"new VMs, listed while the connections to the old ones are open": {true, func(bd *testbed) {
-			fl, err := fleet.New(fleet.Options{Count: 2, First: 1, Halls: 2, Rack: 4, Worker: shortLease})
+			fl, err := fleet.New(fleet.Options{Count: 2, FirstNumber: 1, Halls: 2, RackSize: 4, Worker: shortLease})
 			must(bd.t, err)
 			bd.t.Cleanup(func() { _ = fl.Close() })
 			for _, vm := range fl.VMs() {
@@ -41,7 +41,7 @@
 			is.NoErr(err)
 			bd.eventually("the job runs", func() bool { return len(sortedRecords(bd)) == 1 })
 			for _, wk := range bd.workers.Workers() {
-				wk.SetFaults(standinworker.Faults{Mute: true})
+				wk.SetFaults(standinworker.Faults{DropSends: true})
 			}
 			if tc.beforeExpiry {
 				tc.restore(bd)
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder writes the inputs of the decisions down as they happen, one
-// JSON line each, so that a run can be replayed.
+// Package recorder writes the inputs of a node's scheduling decisions to a trace file, one JSON line each, so that a
+// run can be replayed.
 package recorder
 
 import (
@@ -21,18 +21,17 @@
 // Version is the version of the trace format.
 const Version = 2
 
-// Line is one line of a trace: the header, an input of an owner, or an input of
-// a home. Acts is the number of decisions that the input led to, and Sum a digest
-// of them.
+// Line is one line of a trace: the header, an input of an owner, or an input of a home. ActionCount is the number of
+// decisions that the input caused, and ActionDigest their digest.
 type Line struct {
-	Trace *Header      `json:"trace,omitempty"`
-	Owner *owner.Event `json:"owner,omitempty"`
-	Home  *home.Event  `json:"home,omitempty"`
-	Acts  int          `json:"acts,omitempty"`
-	Sum   string       `json:"sum,omitempty"`
+	Trace        *Header      `json:"trace,omitempty"`
+	Owner        *owner.Event `json:"owner,omitempty"`
+	Home         *home.Event  `json:"home,omitempty"`
+	ActionCount  int          `json:"acts,omitempty"`
+	ActionDigest string       `json:"sum,omitempty"`
 }
 
-// Digest returns the number and a digest of some decisions.
+// Digest returns the number of decisions and their digest.
 func Digest[T any](acts []T) (int, string) {
 	if len(acts) == 0 {
 		return 0, ""
@@ -46,14 +45,14 @@
 
 // Header is the first line of a trace.
 type Header struct {
-	Version int          `json:"version"`
-	Node    string       `json:"node"`
-	Limits  owner.Limits `json:"limits"`
-	AtOnce  int          `json:"at_once"`
-	Rules   home.Rules   `json:"rules"`
+	Version            int          `json:"version"`
+	Node               string       `json:"node"`
+	Limits             owner.Limits `json:"limits"`
+	MaxConcurrentTries int          `json:"at_once"`
+	Rules              home.Rules   `json:"rules"`
 }
 
-// Recorder writes a trace. A recorder without a file records nothing.
+// Recorder writes a trace. A Recorder without a file discards all inputs.
 type Recorder struct {
 	mu   sync.Mutex
 	file io.WriteCloser
@@ -62,7 +61,7 @@
 	err  error
 }
 
-// New opens the file of the path, or records nothing where the path is empty.
+// New creates the trace file. If path is empty, the Recorder discards all inputs.
 func New(path string, head Header) (*Recorder, error) {
 	if path == "" {
 		return &Recorder{}, nil
@@ -78,19 +77,19 @@
 	return rc, nil
 }
 
-// Owner records an input of the owner's machine.
-func (rc *Recorder) Owner(ev owner.Event, acts []owner.Action) {
+// RecordOwner records an input of the owner's state machine and the resulting actions.
+func (rc *Recorder) RecordOwner(ev owner.Event, acts []owner.Action) {
 	if rc.enc != nil {
 		count, sum := Digest(acts)
-		rc.write(Line{Owner: &ev, Acts: count, Sum: sum})
+		rc.write(Line{Owner: &ev, ActionCount: count, ActionDigest: sum})
 	}
 }
 
-// Home records an input of the home's machine.
-func (rc *Recorder) Home(ev home.Event, acts []home.Action) {
+// RecordHome records an input of the home's state machine and the resulting actions.
+func (rc *Recorder) RecordHome(ev home.Event, acts []home.Action) {
 	if rc.enc != nil {
 		count, sum := Digest(acts)
-		rc.write(Line{Home: &ev, Acts: count, Sum: sum})
+		rc.write(Line{Home: &ev, ActionCount: count, ActionDigest: sum})
 	}
 }
 
@@ -102,15 +101,15 @@
 	}
 }
 
-// Stop writes out what is buffered and closes the file.
+// Stop flushes and closes the file. It returns the first error of any write.
 func (rc *Recorder) Stop(context.Context) error {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if rc.file == nil {
 		return nil
 	}
-	flush, shut := rc.buf.Flush(), rc.file.Close()
-	for _, err := range []error{rc.err, flush, shut} {
+	flushErr, closeErr := rc.buf.Flush(), rc.file.Close()
+	for _, err := range []error{rc.err, flushErr, closeErr} {
 		if err != nil {
 			return errors.Wrap(err, "write trace")
 		}
