--- a/internal/planner/backlog.go
+++ b/internal/planner/backlog.go
@@ -21,7 +21,7 @@
 
 // reportBacklog writes the planner's backlog to the store, where all nodes see it. The caller holds the lock.
 func (ld *leader) reportBacklog(now time.Duration) {
-	if now-ld.backlogReported < backlogInterval || !ld.reign.Proven() {
+	if now-ld.backlogReported < backlogInterval || !ld.term.Proven() {
 		return
 	}
 	urgent, all := ld.cell.Backlog(now)
@@ -45,7 +45,7 @@
 	defer cancel()
 	settling := kv.Settling{Clock: ld.clock, Hedge: backlogInterval, Refused: time.Millisecond}
 	if _, _, err := ld.opts.Store.Settle(ctx, settling, kv.Txn{
-		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
+		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.term.Token}},
 		Puts:       []kv.Put{{Key: joblog.Backlog, Value: raw}},
 	}); err != nil {
 		ld.log.Info("Backlog was not written to the store; nodes accept jobs as before.", "reason", err.Error())
--- a/internal/planner/capacity_test.go
+++ b/internal/planner/capacity_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// heartbeat is the interval in which a worker writes its entry, contact the workers' contact time. A start beyond a
-	// capacity that has shrunk counts as an error once both have passed.
+	// heartbeat is the interval in which a worker writes its entry, contact the contact time (Bounds.Contact of the
+	// site). A start beyond a capacity that has shrunk counts as an error once both have passed.
 	heartbeat = 1500 * time.Millisecond
 	contact   = 3 * time.Second
 )
--- a/internal/planner/fence.go
+++ b/internal/planner/fence.go
@@ -21,10 +21,10 @@
 func (ld *leader) nextToken(id string) uint64 {
 	count := ld.sessionCounts[id]
 	if count == maxSessions {
-		ld.reign.Depose("worker " + id + " has restarted too often in one term")
+		ld.term.Depose("worker " + id + " has restarted too often in one term")
 	}
 	ld.sessionCounts[id] = min(count+1, maxSessions)
-	return ld.reign.Token<<sessionBits | count
+	return ld.term.Token<<sessionBits | count
 }
 
 // handleFenced reports whether err is agent.ErrFenced. It ends the term if the worker rejected the call because of
@@ -38,7 +38,7 @@
 	ended := se.ended
 	ld.mu.Unlock()
 	if !ended {
-		ld.reign.Depose("worker " + string(se.incarnation) + " has seen the token of a later planner")
+		ld.term.Depose("worker " + string(se.incarnation) + " has seen the token of a later planner")
 	}
 	return true
 }
--- a/internal/planner/gc.go
+++ b/internal/planner/gc.go
@@ -82,7 +82,7 @@
 	defer cancel()
 	settling := kv.Settling{Clock: ld.clock, Hedge: gcHedge, Refused: gcRefused}
 	_, _, err := ld.opts.Store.Settle(call, settling, kv.Txn{
-		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
+		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.term.Token}},
 		Removes:    keys,
 	})
 	return err
@@ -129,7 +129,7 @@
 // its batch is removed, because otherwise another planner would run the job again. Records of workers by earlier
 // planners are not needed: each planner records the workers that it uses itself.
 func (ld *leader) needed(key string, recs []cell.Record) bool {
-	own := key >= joblog.RecordKey(ld.reign.Token, 0)
+	own := key >= joblog.RecordKey(ld.term.Token, 0)
 	for _, rec := range recs {
 		if rec.Job != "" && (ld.cell.Known(rec.Job) || ld.batches.refs[rec.Job] > 0) {
 			return true
--- a/internal/planner/incarnation.go
+++ b/internal/planner/incarnation.go
@@ -123,11 +123,11 @@
 // recorded are over.
 func (se *session) resolveEarlier(now time.Duration) {
 	ld := se.leader
-	for _, lf := range ld.earlier[se.incarnation.ID()] {
-		if _, old := ld.unresolved[lf]; old && lf != se.incarnation {
-			ld.log.Info("Worker's incarnation is over.", "worker", lf)
-			ld.cell.Over(now, lf)
-			delete(ld.unresolved, lf)
+	for _, inc := range ld.earlier[se.incarnation.ID()] {
+		if _, old := ld.unresolved[inc]; old && inc != se.incarnation {
+			ld.log.Info("Worker's incarnation is over.", "worker", inc)
+			ld.cell.Over(now, inc)
+			delete(ld.unresolved, inc)
 		}
 	}
 	delete(ld.unresolved, se.incarnation)
--- a/internal/planner/leader.go
+++ b/internal/planner/leader.go
@@ -41,7 +41,7 @@
 	// checked. listWait is the same for the list of workers, whose age limits the starts.
 	journalWait = time.Second
 	listWait    = time.Second
-	// defaultContact is the workers' contact time if the settings do not have it.
+	// defaultContact is used if the site's settings lack the contact time (Bounds.Contact).
 	defaultContact = 3 * time.Second
 	// listMargin is subtracted from the contact time: on a lossy link a start takes up to 0.4 s from its decision.
 	listMargin = 500 * time.Millisecond
@@ -63,7 +63,7 @@
 	opts  Options
 	clock clockwork.Clock
 	log   logr.Logger
-	reign term.Reign
+	term  term.Reign
 	began time.Time
 
 	// jobs is the copy of the journal's batches, workers that of the list of workers.
@@ -115,18 +115,18 @@
 	group           sync.WaitGroup
 }
 
-func newLeader(opts Options, log logr.Logger, reign term.Reign) *leader {
+func newLeader(opts Options, log logr.Logger, tm term.Reign) *leader {
 	// runsPerTerm is more than the number of starts of one task in one term, so that run numbers increase across terms
 	// although starts are not journaled.
 	const runsPerTerm = 64
 	ld := &leader{
-		opts: opts, clock: opts.Clock, log: log, reign: reign, began: opts.Clock.Now(),
+		opts: opts, clock: opts.Clock, log: log, term: tm, began: opts.Clock.Now(),
 		lease: defaultLease, sessions: map[life.Life]*session{}, current: map[string]*session{}, sessionCounts: map[string]uint64{},
 		unresolved: map[life.Life]bool{}, earlier: map[string][]life.Life{},
 		holdLimiter: newHoldLimiter(opts.Clock), wake: wake.New(), journalRead: make(chan struct{}), committed: make(chan struct{}),
 		cell: cell.New(cell.Options{
 			Keep:     opts.Site.Bounds.KeepEnded,
-			FirstRun: (reign.Number-1)*runsPerTerm + 1, StopTime: opts.Site.Bounds.StopTime,
+			FirstRun: (tm.Number-1)*runsPerTerm + 1, StopTime: opts.Site.Bounds.StopTime,
 			FirstWindow: initialWindow,
 		}),
 	}
@@ -186,7 +186,7 @@
 	if !ld.loaded {
 		return unavailable("the planner is still reading the journal")
 	}
-	if !ld.reign.Proven() {
+	if !ld.term.Proven() {
 		return unavailable("the planner's lease is not confirmed")
 	}
 	return nil
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -71,7 +71,7 @@
 	if ld.batches.has(key) {
 		return
 	}
-	inherited := revision < ld.reign.Token
+	inherited := revision < ld.term.Token
 	age := bt.Age(ld.wall())
 	for at := range bt.Jobs {
 		jb := &bt.Jobs[at]
--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -78,7 +78,7 @@
 }
 
 // canPlan reports whether tasks may be started now.
-func (ld *leader) canPlan() bool { return ld.ctx.Err() == nil && ld.reign.Proven() && ld.listFresh() }
+func (ld *leader) canPlan() bool { return ld.ctx.Err() == nil && ld.term.Proven() && ld.listFresh() }
 
 func errorText(err error) string {
 	if err == nil {
--- a/internal/planner/planloop.go
+++ b/internal/planner/planloop.go
@@ -12,7 +12,7 @@
 // yieldIfSlow lets another node plan if this one is too slow.
 func (ld *leader) yieldIfSlow() {
 	if ld.tickMonitor.slow(ld.now()) {
-		ld.reign.Yield("this node is too slow to plan")
+		ld.term.Yield("this node is too slow to plan")
 	}
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -72,8 +72,8 @@
 }
 
 // Lead plans until ctx is done.
-func (pl *Planner) Lead(ctx context.Context, reign term.Reign) {
-	ld := newLeader(pl.opts, pl.log.WithValues("token", reign.Token), reign)
+func (pl *Planner) Lead(ctx context.Context, tm term.Reign) {
+	ld := newLeader(pl.opts, pl.log.WithValues("token", tm.Token), tm)
 	pl.setLeader(ld)
 	defer pl.setLeader(nil)
 	ld.run(ctx)
--- a/internal/planner/records.go
+++ b/internal/planner/records.go
@@ -67,11 +67,11 @@
 		recs := ld.records.pending[:min(len(ld.records.pending), maxRecords)]
 		upTo := ld.records.added - len(ld.records.pending) + len(recs)
 		ld.mu.Unlock()
-		if len(recs) == 0 || !ld.commit(ctx, joblog.RecordKey(ld.reign.Token, n), recs) {
+		if len(recs) == 0 || !ld.commit(ctx, joblog.RecordKey(ld.term.Token, n), recs) {
 			continue
 		}
 		ld.mu.Lock()
-		ld.records.keep(joblog.RecordKey(ld.reign.Token, n), recs)
+		ld.records.keep(joblog.RecordKey(ld.term.Token, n), recs)
 		ld.records.pending = ld.records.pending[len(recs):]
 		ld.cell.Committed(upTo)
 		close(ld.committed)
@@ -96,7 +96,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), finalCommitTimeout)
 	defer cancel()
-	ld.commit(ctx, joblog.RecordKey(ld.reign.Token, n), recs)
+	ld.commit(ctx, joblog.RecordKey(ld.term.Token, n), recs)
 }
 
 // finalCommitTimeout bounds the last write of a term.
@@ -106,11 +106,11 @@
 func (ld *leader) commit(ctx context.Context, key string, recs []cell.Record) bool {
 	raw, err := joblog.Encode(recs)
 	if err != nil {
-		ld.reign.Depose("records cannot be encoded: " + err.Error())
+		ld.term.Depose("records cannot be encoded: " + err.Error())
 		return false
 	}
 	txn := kv.Txn{
-		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}, {Key: key}},
+		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.term.Token}, {Key: key}},
 		Puts:       []kv.Put{{Key: key, Value: raw}},
 	}
 	_, items, err := ld.opts.Store.Settle(ctx, kv.Settling{Clock: ld.clock, Hedge: commitHedge}, txn)
@@ -120,7 +120,7 @@
 	case errors.Is(err, kv.ErrConflict) && exists(items, key):
 		return true // by an earlier attempt whose answer was lost
 	case errors.Is(err, kv.ErrConflict):
-		ld.reign.Depose("the leader's key has changed")
+		ld.term.Depose("the leader's key has changed")
 	}
 	return false
 }
--- a/internal/planner/replytimeout.go
+++ b/internal/planner/replytimeout.go
@@ -26,7 +26,7 @@
 )
 
 // replyTimeout is an adaptive timeout for the answer to a start. It follows the recent answer times: on a slow node or
-// link all answers are late, and giving up early would undo a start that succeeded.
+// link all answers are late, and giving up early causes a stop, which undoes a start that succeeded.
 type replyTimeout struct {
 	mu      sync.Mutex
 	average time.Duration
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -24,7 +24,7 @@
 	// holdPause is the pause between two holds of a worker, in which ends accumulate.
 	holdPause = 30 * time.Millisecond
 	// lossyMissLimit is the number of consecutive lost holds from which a worker counts as unreachable while many calls
-	// are lost. If one call in twenty is lost, this is wrong for one worker in 8,000.
+	// are lost. If one call in twenty is lost, this is wrong once in 8,000 holds.
 	lossyMissLimit = 3
 	// holdRetryPause is the pause after an unanswered hold.
 	holdRetryPause = 100 * time.Millisecond
@@ -75,7 +75,7 @@
 
 // extend returns a deadline at least one lease from now, on the worker's clock. The caller holds the lock.
 func (se *session) extend(now time.Duration) time.Duration {
-	if !se.answered || se.leader.reign.SinceProof() > maxUnrenewed {
+	if !se.answered || se.leader.term.SinceProof() > maxUnrenewed {
 		return se.deadline
 	}
 	se.deadline = max(se.deadline, se.clock+(now-se.heard)+se.leader.lease)
--- a/internal/planner/testbed_test.go
+++ b/internal/planner/testbed_test.go
@@ -174,9 +174,9 @@
 			return ws, ok
 		},
 	})
-	nd.term = term.New(clock, bd.log(name), st, term.Options{Node: name, Processors: processors, TTL: 2 * time.Second, Lead: func(ctx context.Context, reign term.Reign) {
-		nd.latest.Store(&reign)
-		nd.planner.Lead(ctx, reign)
+	nd.term = term.New(clock, bd.log(name), st, term.Options{Node: name, Processors: processors, TTL: 2 * time.Second, Lead: func(ctx context.Context, tm term.Reign) {
+		nd.latest.Store(&tm)
+		nd.planner.Lead(ctx, tm)
 	}})
 	nd.intake = intake.New(clock, bd.log(name), st, intake.Options{
 		Node: name, Nodes: func() int { return 2 }, Down: func() bool { return false },
--- a/internal/planner/workerlist.go
+++ b/internal/planner/workerlist.go
@@ -97,8 +97,8 @@
 }
 
 // inherited reports whether an earlier planner recorded an incarnation of the worker that may have runs.
-func (ld *leader) inherited(lf life.Life) bool {
-	return slices.ContainsFunc(ld.earlier[lf.ID()], func(one life.Life) bool {
+func (ld *leader) inherited(inc life.Life) bool {
+	return slices.ContainsFunc(ld.earlier[inc.ID()], func(one life.Life) bool {
 		_, old := ld.unresolved[one]
 		return old
 	})
