--- a/internal/planner/restarts_test.go
+++ b/internal/planner/restarts_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestLateStartInNextIncarnation guards against a start that is carried out twice: the start goes unanswered, its
-// worker restarts under the same id, and the new incarnation carries out the start seconds later, when the task has
-// already run elsewhere.
+// TestLateStartInNextIncarnation guards against a start that is carried out by the wrong incarnation: the start goes
+// unanswered, its worker restarts under the same id, and the new incarnation carries out the start seconds later, when
+// the task has already run elsewhere.
 //
 // Orders name a worker by its id, and tokens rejected by one incarnation are not rejected by the next. A start of run 1
 // for the first incarnation was carried out by the second one, 2 s after run 2 had succeeded on another worker.
@@ -319,7 +319,8 @@
 
 // TestRestarts draws from a seed how workers end and restart under their ids (one, several or all of them; at once,
 // after a heartbeat, or after their lease), with lost, unanswered or late orders, a store that does not answer, and
-// changes of the planner. No task may run twice at a time, and every job must succeed.
+// changes of the planner. No task may run twice at a time, and every job must succeed unless minLosses incarnations
+// have ended under it.
 //
 //	TACKBEAM_LIVES_SEEDS=200 go test ./internal/planner -run TestRestarts
 func TestRestarts(t *testing.T) {
--- a/internal/planner/takeover_test.go
+++ b/internal/planner/takeover_test.go
@@ -127,7 +127,7 @@
 					if client == "n2" && call == "commit" {
 						commits++
 					}
-					if cut && client == "n2" && call == "commit" && commits > 1 { // the first commit lists the node
+					if cut && client == "n2" && call == "commit" && commits > 1 { // the first commit registers the node
 						return memkv.Refused
 					}
 					return memkv.None
--- a/internal/planner/terms_test.go
+++ b/internal/planner/terms_test.go
@@ -84,9 +84,9 @@
 }
 
 // TestLoadKeepsPages guards against a new planner that does not become ready while the store loses a third of its
-// answers: requests about jobs got 503, "the planner reads the journal", to the end. A journal of 100 s has 5 pages of
-// records and 11 of batches. One unanswered page made all pages of its kind be read again, so that 11 pages took 123 s
-// on average.
+// answers: requests about jobs got 503 to the end, because the planner was still reading the journal. A journal of 100
+// s has 5 pages of records and 11 of batches. One unanswered page made all pages of its kind be read again, so that 11
+// pages took 123 s on average.
 func TestLoadKeepsPages(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
