--- a/internal/planner/restarts_test.go
+++ b/internal/planner/restarts_test.go
@@ -318,9 +318,8 @@
 }
 
 // TestRestarts draws from a seed how workers end and restart under their ids (one, several or all of them; at once,
-// after a heartbeat, or after their lease), with lost, unanswered or late orders, a store that does not answer, and
-// changes of the planner. No task may run twice at a time, and every job must succeed unless minLosses incarnations
-// have ended under it.
+// after a heartbeat, or after their lease), with lost, unanswered or late orders and changes of the planner. No task
+// may run twice at a time, and every job must succeed unless minLosses incarnations have ended under it.
 //
 //	TACKBEAM_LIVES_SEEDS=200 go test ./internal/planner -run TestRestarts
 func TestRestarts(t *testing.T) {
