--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 )
 
 // Target is one incarnation of a worker, with its address.
 type Target struct {
 	Address     string
-	Incarnation life.Life
+	Incarnation incarnation.ID
 }
 
 // Hold renews the lease of a worker's runs and requests a report of them.
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -115,8 +115,8 @@
 // Rules returns the properties of the job that determine the next action of an attempt.
 func (rc Record) Rules() attempt.Rules {
 	return attempt.Rules{
-		Together: rc.Class == "gang", Repeatable: rc.Repeatable, Cancelled: rc.Cancelled,
-		Begun: rc.StartedAttempts > 0,
+		Gang: rc.Class == "gang", Repeatable: rc.Repeatable, Cancelled: rc.Cancelled,
+		Started: rc.StartedAttempts > 0,
 	}
 }
 
@@ -135,15 +135,15 @@
 		if begun {
 			return attempt.Lost // the task began, and the worker has forgotten its end
 		}
-		return attempt.Unbegun
+		return attempt.NotStarted
 	case workermsg.Stopped:
 		if !begun {
-			return attempt.Unbegun
+			return attempt.NotStarted
 		}
 		return attempt.Stopped
 	case workermsg.Lapsed:
 		if !begun {
-			return attempt.Unbegun
+			return attempt.NotStarted
 		}
 		return attempt.Lost
 	}
@@ -170,6 +170,6 @@
 
 var statusNames = map[attempt.Status]string{
 	attempt.Unknown: "unknown", attempt.Prepared: "prepared", attempt.Running: "running",
-	attempt.Unbegun: "not begun", attempt.OK: "ok", attempt.Failed: "failed",
+	attempt.NotStarted: "not begun", attempt.OK: "ok", attempt.Failed: "failed",
 	attempt.Stopped: "stopped", attempt.Lost: "lost",
 }
--- a/internal/job/model_test.go
+++ b/internal/job/model_test.go
@@ -42,7 +42,7 @@
 	workers  map[place]workermsg.State
 	begun    map[place]bool
 	begins   map[int]int
-	final    attempt.Step
+	final    attempt.Action
 }
 
 func newModel(tasks int, rl attempt.Rules) *model {
@@ -68,17 +68,17 @@
 		return
 	}
 	switch step := attempt.Next(md.statuses, md.rules); step {
-	case attempt.Ask:
+	case attempt.Query:
 		md.send("fence", attempt.Unknown)
-	case attempt.Go:
+	case attempt.Start:
 		md.send("go", attempt.Prepared)
 	case attempt.Stop:
 		md.send("stop", attempt.Prepared)
 		md.send("stop", attempt.Running)
 	case attempt.Retry:
-		md.rules.Begun = md.rules.Begun || attempt.Began(md.statuses)
+		md.rules.Started = md.rules.Started || attempt.AnyStarted(md.statuses)
 		md.start()
-	case attempt.NotRun, attempt.Ran, attempt.Doubt:
+	case attempt.NotRun, attempt.Ran, attempt.Indeterminate:
 		md.final = step
 	}
 }
@@ -122,7 +122,7 @@
 }
 
 func (md *model) learn(od order) {
-	if od.attempt != md.number || !md.kept || md.statuses[od.index] >= attempt.Unbegun {
+	if od.attempt != md.number || !md.kept || md.statuses[od.index] >= attempt.NotStarted {
 		return
 	}
 	st := job.StatusOf(od.state, od.begun)
@@ -185,7 +185,7 @@
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		md := newModel(rapid.IntRange(1, 3).Draw(rt, "tasks"), attempt.Rules{
-			Together: rapid.Bool().Draw(rt, "gang"), Repeatable: rapid.Bool().Draw(rt, "repeatable"),
+			Gang: rapid.Bool().Draw(rt, "gang"), Repeatable: rapid.Bool().Draw(rt, "repeatable"),
 		})
 		md.start()
 		for range rapid.IntRange(0, 60).Draw(rt, "events") {
@@ -252,7 +252,7 @@
 }
 
 func ExampleStatusOf() {
-	fmt.Println(job.StatusOf(workermsg.Stopped, false) == attempt.Unbegun)
+	fmt.Println(job.StatusOf(workermsg.Stopped, false) == attempt.NotStarted)
 	fmt.Println(job.StatusOf(workermsg.Never, true) == attempt.Lost)
 	// Output:
 	// true
--- a/internal/planner/awaitcommit.go
+++ b/internal/planner/awaitcommit.go
@@ -35,6 +35,6 @@
 	ld := se.leader
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	_, waits = ld.cell.Noted(se.incarnation)
+	_, waits = ld.cell.AckedEnd(se.incarnation)
 	return waits, ld.committed
 }
--- a/internal/planner/backlog.go
+++ b/internal/planner/backlog.go
@@ -21,7 +21,7 @@
 
 // reportBacklog writes the planner's backlog to the store, where all nodes see it. The caller holds the lock.
 func (ld *leader) reportBacklog(now time.Duration) {
-	if now-ld.backlogReported < backlogInterval || !ld.term.Proven() {
+	if now-ld.backlogReported < backlogInterval || !ld.term.LeaseHeld() {
 		return
 	}
 	urgent, all := ld.cell.Backlog(now)
@@ -43,8 +43,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ld.ctx, backlogInterval)
 	defer cancel()
-	settling := kv.Settling{Clock: ld.clock, Hedge: backlogInterval, Refused: time.Millisecond}
-	if _, _, err := ld.opts.Store.Settle(ctx, settling, kv.Txn{
+	commitOpts := kv.CommitOptions{Clock: ld.clock, HedgeDelay: backlogInterval, RefusedTimeout: time.Millisecond}
+	if _, _, err := ld.opts.Store.CommitWithRetry(ctx, commitOpts, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.term.Token}},
 		Puts:       []kv.Put{{Key: joblog.Backlog, Value: raw}},
 	}); err != nil {
--- a/internal/planner/fence.go
+++ b/internal/planner/fence.go
@@ -21,7 +21,7 @@
 func (ld *leader) nextToken(id string) uint64 {
 	count := ld.sessionCounts[id]
 	if count == maxSessions {
-		ld.term.Depose("worker " + id + " has restarted too often in one term")
+		ld.term.StepDown("worker " + id + " has restarted too often in one term")
 	}
 	ld.sessionCounts[id] = min(count+1, maxSessions)
 	return ld.term.Token<<sessionBits | count
@@ -38,7 +38,7 @@
 	ended := se.ended
 	ld.mu.Unlock()
 	if !ended {
-		ld.term.Depose("worker " + string(se.incarnation) + " has seen the token of a later planner")
+		ld.term.StepDown("worker " + string(se.incarnation) + " has seen the token of a later planner")
 	}
 	return true
 }
--- a/internal/planner/gc.go
+++ b/internal/planner/gc.go
@@ -80,10 +80,10 @@
 func (ld *leader) remove(ctx context.Context, keys []string) error {
 	call, cancel := context.WithTimeout(ctx, gcTimeout)
 	defer cancel()
-	settling := kv.Settling{Clock: ld.clock, Hedge: gcHedge, Refused: gcRefused}
-	_, _, err := ld.opts.Store.Settle(call, settling, kv.Txn{
+	commitOpts := kv.CommitOptions{Clock: ld.clock, HedgeDelay: gcHedge, RefusedTimeout: gcRefused}
+	_, _, err := ld.opts.Store.CommitWithRetry(call, commitOpts, kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.term.Token}},
-		Removes:    keys,
+		Deletes:    keys,
 	})
 	return err
 }
@@ -92,7 +92,7 @@
 func (ld *leader) removable() [][]string {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	if !ld.loaded || !ld.cell.Settled() {
+	if !ld.loaded || !ld.cell.Recovered() {
 		return nil
 	}
 	var keys []string
@@ -118,7 +118,7 @@
 
 func (ld *leader) anyKnown(ids []string) bool {
 	for _, id := range ids {
-		if ld.cell.Known(id) {
+		if ld.cell.Retains(id) {
 			return true
 		}
 	}
@@ -131,7 +131,7 @@
 func (ld *leader) needed(key string, recs []cell.Record) bool {
 	own := key >= joblog.RecordKey(ld.term.Token, 0)
 	for _, rec := range recs {
-		if rec.Job != "" && (ld.cell.Known(rec.Job) || ld.batches.refs[rec.Job] > 0) {
+		if rec.Job != "" && (ld.cell.Retains(rec.Job) || ld.batches.refs[rec.Job] > 0) {
 			return true
 		}
 		if known, _ := ld.cell.Listed(rec.Worker); rec.Worker != "" && !rec.Stop && own && known {
--- a/internal/planner/incarnation.go
+++ b/internal/planner/incarnation.go
@@ -5,7 +5,7 @@
 
 	"github.com/pkg/errors"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 )
@@ -35,21 +35,21 @@
 	if se.unanswered {
 		return 0
 	}
-	number, _ := se.leader.cell.Noted(se.incarnation)
+	number, _ := se.leader.cell.AckedEnd(se.incarnation)
 	return number
 }
 
 // matches reports whether an entry may be of the session's incarnation, as far as the start times are known.
 func (se *session) matches(en WorkerEntry) bool {
-	born := en.ID.Born()
-	return born == 0 || born == se.startedAt || se.startedAt == 0 && !se.answered
+	startedAt := en.ID.StartedAt()
+	return startedAt == 0 || startedAt == se.startedAt || se.startedAt == 0 && !se.answered
 }
 
 // expectOther handles an entry of another incarnation than the one that answered. The worker is asked for a report at
 // once, and gets no runs until it has answered.
 func (se *session) expectOther(en WorkerEntry) {
 	ld := se.leader
-	if en.ID.Born() < se.startedAt {
+	if en.ID.StartedAt() < se.startedAt {
 		ld.log.Info("Ignoring the entry of an earlier incarnation of a worker.", "worker", se.incarnation, "entry", en.ID)
 		return
 	}
@@ -59,7 +59,7 @@
 		return
 	}
 	ld.log.Info("Worker's entry is of another incarnation.", "worker", se.incarnation, "entry", en.ID)
-	ld.cell.Silent(ld.now(), se.incarnation)
+	ld.cell.Unreachable(ld.now(), se.incarnation)
 	se.requestReport()
 }
 
@@ -77,7 +77,7 @@
 		ld.log.Info("Ignoring the report of an earlier incarnation of a worker.", "worker", se.incarnation, "born", report.StartedAt)
 		return false
 	}
-	next := life.Of(se.incarnation.ID(), report.StartedAt)
+	next := incarnation.New(se.incarnation.WorkerID(), report.StartedAt)
 	ld.log.Info("Worker has restarted under the same id.", "worker", next, "before", se.incarnation,
 		"clock", report.Clock.String(), "clock_before", se.clock.String())
 	se.replace(next)
@@ -85,7 +85,7 @@
 }
 
 // replace ends the session in favour of another incarnation of the worker, whose entry may not be in the list yet.
-func (se *session) replace(next life.Life) {
+func (se *session) replace(next incarnation.ID) {
 	ld, now := se.leader, se.leader.now()
 	en := se.entry
 	listed := se.other != nil && se.other.ID == next
@@ -94,18 +94,18 @@
 	}
 	en.ID, se.other = next, nil
 	ld.transferUnresolved(se.incarnation, next)
-	se.close(now, func() { ld.cell.Follow(now, se.incarnation, next) })
+	se.close(now, func() { ld.cell.Restarted(now, se.incarnation, next) })
 	if listed {
 		ld.addWorker(en)
 		return
 	}
-	ld.cell.Inherit(now, next, nil)
+	ld.cell.InheritRuns(now, next, nil)
 	ld.beginSession(en)
 }
 
 // transferUnresolved makes tasks of earlier planners wait for the next incarnation if they waited for the previous one:
 // a start that the earlier planner had an answer to may have been carried out by either.
-func (ld *leader) transferUnresolved(earlier, next life.Life) {
+func (ld *leader) transferUnresolved(earlier, next incarnation.ID) {
 	if open, old := ld.unresolved[earlier]; old {
 		ld.unresolved[next] = open
 	}
@@ -123,10 +123,10 @@
 // recorded are over.
 func (se *session) resolveEarlier(now time.Duration) {
 	ld := se.leader
-	for _, inc := range ld.earlier[se.incarnation.ID()] {
+	for _, inc := range ld.earlier[se.incarnation.WorkerID()] {
 		if _, old := ld.unresolved[inc]; old && inc != se.incarnation {
 			ld.log.Info("Worker's incarnation is over.", "worker", inc)
-			ld.cell.Over(now, inc)
+			ld.cell.Replaced(now, inc)
 			delete(ld.unresolved, inc)
 		}
 	}
--- a/internal/planner/leader.go
+++ b/internal/planner/leader.go
@@ -4,13 +4,13 @@
 	"cmp"
 	"context"
 	"sync"
+	"tackbeam.example/policy/incarnation"
 	"time"
 
 	"github.com/go-logr/logr"
 	"github.com/jonboulle/clockwork"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
 
 	"tackbeam.example/tackbeam/internal/bootclock"
 	"tackbeam.example/tackbeam/internal/joblog"
@@ -63,7 +63,7 @@
 	opts  Options
 	clock clockwork.Clock
 	log   logr.Logger
-	term  term.Reign
+	term  term.Term
 	began time.Time
 
 	// jobs is the copy of the journal's batches, workers that of the list of workers.
@@ -83,16 +83,16 @@
 	journalRead chan struct{}
 	// committed is closed, and replaced, by each write of records.
 	committed chan struct{}
-	sessions  map[life.Life]*session
+	sessions  map[incarnation.ID]*session
 	// current has the sessions with the present incarnations, by worker id.
 	current map[string]*session
 	// sessionCounts counts the sessions with each worker, by worker id.
 	sessionCounts map[string]uint64
 	// unresolved has the workers of earlier planners that have neither answered nor had their lease expire. The value
 	// is true if the worker may run any task, so that all tasks of earlier planners wait for it.
-	unresolved map[life.Life]bool
+	unresolved map[incarnation.ID]bool
 	// earlier has all incarnations that earlier planners recorded, by worker id.
-	earlier      map[string][]life.Life
+	earlier      map[string][]incarnation.ID
 	records      recorder
 	replyTimeout replyTimeout
 	lossRate     lossRate
@@ -115,19 +115,19 @@
 	group           sync.WaitGroup
 }
 
-func newLeader(opts Options, log logr.Logger, tm term.Reign) *leader {
+func newLeader(opts Options, log logr.Logger, tm term.Term) *leader {
 	// runsPerTerm is more than the number of starts of one task in one term, so that run numbers increase across terms
 	// although starts are not journaled.
 	const runsPerTerm = 64
 	ld := &leader{
 		opts: opts, clock: opts.Clock, log: log, term: tm, began: opts.Clock.Now(),
-		lease: defaultLease, sessions: map[life.Life]*session{}, current: map[string]*session{}, sessionCounts: map[string]uint64{},
-		unresolved: map[life.Life]bool{}, earlier: map[string][]life.Life{},
+		lease: defaultLease, sessions: map[incarnation.ID]*session{}, current: map[string]*session{}, sessionCounts: map[string]uint64{},
+		unresolved: map[incarnation.ID]bool{}, earlier: map[string][]incarnation.ID{},
 		holdLimiter: newHoldLimiter(opts.Clock), wake: wake.New(), journalRead: make(chan struct{}), committed: make(chan struct{}),
 		cell: cell.New(cell.Options{
-			Keep:     opts.Site.Bounds.KeepEnded,
-			FirstRun: (tm.Number-1)*runsPerTerm + 1, StopTime: opts.Site.Bounds.StopTime,
-			FirstWindow: initialWindow,
+			Retention: opts.Site.Bounds.KeepEnded,
+			FirstRun:  (tm.Number-1)*runsPerTerm + 1, StopTimeout: opts.Site.Bounds.StopTime,
+			InitialWindow: initialWindow,
 		}),
 	}
 	ld.maxListAge = max(cmp.Or(opts.Site.Bounds.Contact, defaultContact)-listMargin, listMargin)
@@ -155,11 +155,11 @@
 	}
 	ld.jobs = mirror.New(ld.clock, ld.log, ld.opts.Store, mirror.Options{
 		Prefix: joblog.Batches, Wait: journalWait, Pause: journalWatchPause,
-		Changed: func(items []kv.Item, full bool) { ld.applyBatches(items, full, old) },
+		OnChange: func(items []kv.Item, full bool) { ld.applyBatches(items, full, old) },
 	})
 	ld.workers = mirror.New(ld.clock, ld.log, ld.opts.Store, mirror.Options{
 		Prefix: ld.opts.WorkersPrefix, Wait: listWait, Pause: workerWatchPause,
-		Changed: ld.applyWorkers,
+		OnChange: ld.applyWorkers,
 	})
 	ld.spawn(func() { ld.jobs.Run(ctx) })
 	ld.spawn(func() {
@@ -186,7 +186,7 @@
 	if !ld.loaded {
 		return unavailable("the planner is still reading the journal")
 	}
-	if !ld.term.Proven() {
+	if !ld.term.LeaseHeld() {
 		return unavailable("the planner's lease is not confirmed")
 	}
 	return nil
@@ -201,7 +201,7 @@
 	if err := ld.checkJournalAge(); err != nil {
 		return 0, err
 	}
-	return ld.cell.Pending(queue), nil
+	return ld.cell.QueuedJobs(queue), nil
 }
 
 // listFresh reports whether the list of workers is recent enough to start tasks by it.
@@ -221,7 +221,7 @@
 func (ld *leader) applySettings() {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	ld.cell.Reroute(ld.opts.Queue)
-	ld.cell.SetWorkspaces(ld.opts.Workspace)
+	ld.cell.UpdateQueues(ld.opts.Queue)
+	ld.cell.UpdateWorkspaces(ld.opts.Workspace)
 	ld.schedulePlan()
 }
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/joblog"
 	"tackbeam.example/tackbeam/internal/kv"
@@ -14,10 +14,10 @@
 
 // readRecords reads the records of earlier planners.
 func (ld *leader) readRecords(ctx context.Context) ([]kv.Item, bool) {
-	reading := ld.opts.Store.Read(ld.clock, joblog.Records)
+	scanner := ld.opts.Store.Scan(ld.clock, joblog.Records)
 	for {
-		if reading.On(ctx) == nil {
-			return reading.Items(), true
+		if scanner.Continue(ctx) == nil {
+			return scanner.Items(), true
 		}
 		if !loop.Pause(ctx, ld.clock, readRetryPause) {
 			return nil, false
@@ -35,7 +35,7 @@
 	defer ld.mu.Unlock()
 	now := ld.now()
 	for _, item := range items {
-		if item.Gone {
+		if item.Deleted {
 			continue
 		}
 		bt, err := joblog.Decode[joblog.Batch](item.Value)
@@ -98,8 +98,8 @@
 // restore applies the records of earlier planners.
 func (ld *leader) restore(now time.Duration, items []kv.Item) {
 	var all []cell.Record
-	workers := map[life.Life]cell.Record{}
-	stops := map[life.Life][]cell.Run{}
+	workers := map[incarnation.ID]cell.Record{}
+	stops := map[incarnation.ID][]cell.Run{}
 	for at, item := range items {
 		recs, err := joblog.Decode[[]cell.Record](item.Value)
 		if err != nil {
@@ -122,13 +122,13 @@
 		if rec.Gone {
 			continue
 		}
-		ld.cell.Inherit(now, id, rec.Held)
+		ld.cell.InheritRuns(now, id, rec.Held)
 		ld.cell.InheritStops(now, id, stops[id])
-		if rec.Left {
-			ld.cell.InheritLeft(now, id)
+		if rec.Departed {
+			ld.cell.InheritDeparted(now, id)
 		}
 		ld.unresolved[id] = !rec.Closed
-		ld.earlier[id.ID()] = append(ld.earlier[id.ID()], id)
+		ld.earlier[id.WorkerID()] = append(ld.earlier[id.WorkerID()], id)
 	}
 }
 
@@ -151,8 +151,8 @@
 			open++
 		}
 	}
-	if open == 0 && !ld.cell.Settled() {
-		ld.cell.Settle()
+	if open == 0 && !ld.cell.Recovered() {
+		ld.cell.FinishRecovery()
 		ld.log.Info("Recovery is complete: no earlier planner's task can be running unknown to this one.", "after", now.String(), "silent", len(ld.unresolved))
 	}
 }
@@ -164,8 +164,8 @@
 	return maxUnrenewed + time.Duration(float64(ld.lease)*(1+maxClockDrift)) + time.Second
 }
 
-func (ld *leader) expireOld(now time.Duration, id life.Life) {
+func (ld *leader) expireOld(now time.Duration, id incarnation.ID) {
 	delete(ld.unresolved, id)
-	ld.cell.Lapsed(now, id)
+	ld.cell.LeaseExpired(now, id)
 	ld.log.Info("Lease of an earlier planner's worker has expired.", "worker", id)
 }
--- a/internal/planner/manyworkers_test.go
+++ b/internal/planner/manyworkers_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 	"tackbeam.example/tackbeam/internal/kv"
@@ -22,11 +22,11 @@
 
 	mu sync.Mutex
 	// connected holds the workers that have been called before.
-	connected map[life.Life]bool
+	connected map[incarnation.ID]bool
 }
 
 func newProcessor() *processor {
-	return &processor{busy: make(chan struct{}, 1), connected: map[life.Life]bool{}}
+	return &processor{busy: make(chan struct{}, 1), connected: map[incarnation.ID]bool{}}
 }
 
 // use waits for the processor and occupies it for span.
@@ -57,9 +57,9 @@
 // wrapStore returns st with lease renewals that use the processor for callTime.
 func (pr *processor) wrapStore(st *kv.Store, callTime time.Duration) *kv.Store {
 	wrapped := *st
-	wrapped.Keep = func(ctx context.Context, lease uint64) error {
+	wrapped.Renew = func(ctx context.Context, lease uint64) error {
 		pr.use(callTime)
-		return st.Keep(ctx, lease)
+		return st.Renew(ctx, lease)
 	}
 	return &wrapped
 }
--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -8,7 +8,7 @@
 
 	"tackbeam.example/policy/backoff"
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 	"tackbeam.example/tackbeam/internal/fault"
@@ -27,14 +27,14 @@
 
 // stopBackoff is the pause before an unanswered stop is sent again. A crashed worker answers none until another one is
 // in its place.
-var stopBackoff = backoff.Backoff{First: 50 * time.Millisecond, Most: 800 * time.Millisecond}
+var stopBackoff = backoff.Backoff{Initial: 50 * time.Millisecond, Max: 800 * time.Millisecond}
 
 // sendStart sends one start and records its outcome.
 func (ld *leader) sendStart(sr cell.Start) {
 	se, deadline, ok := ld.prepareStart(sr)
 	if !ok || !ld.canPlan() {
 		ld.update(func(now time.Duration) {
-			ld.stats.end(now-sr.Decided, cell.RefusedLate)
+			ld.stats.end(now-sr.DecidedAt, cell.RefusedLate)
 			ld.cell.Refused(now, sr, cell.RefusedLate)
 		})
 		ld.log.Info("Start was not sent.", "task", sr.Task.String(), "run", sr.Run, "worker", sr.Worker)
@@ -55,7 +55,7 @@
 	took := ld.clock.Since(sent)
 	ld.metrics.start(took, refusal, err)
 	ld.update(func(now time.Duration) {
-		ld.stats.end(now-sr.Decided, refusal)
+		ld.stats.end(now-sr.DecidedAt, refusal)
 		if tries > 1 {
 			ld.cell.StartDelayed(sr)
 		}
@@ -69,7 +69,7 @@
 			// incarnation must not be attributed to it.
 			ld.cell.Refused(now, sr, cell.RefusedLate)
 		default:
-			ld.cell.StartLost(now, sr)
+			ld.cell.StartUnconfirmed(now, sr)
 		}
 	})
 	ld.log.Info("Sent start.", "task", sr.Task.String(), "run", sr.Run, "worker", sr.Worker,
@@ -78,7 +78,7 @@
 }
 
 // canPlan reports whether tasks may be started now.
-func (ld *leader) canPlan() bool { return ld.ctx.Err() == nil && ld.term.Proven() && ld.listFresh() }
+func (ld *leader) canPlan() bool { return ld.ctx.Err() == nil && ld.term.LeaseHeld() && ld.listFresh() }
 
 func errorText(err error) string {
 	if err == nil {
@@ -92,7 +92,7 @@
 func (ld *leader) startValid(sr cell.Start) bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	return ld.cell.Stands(sr)
+	return ld.cell.StartValid(sr)
 }
 
 // prepareStart returns the session of a start's worker and the deadline of the worker's lease.
@@ -100,7 +100,7 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	se, ok := ld.sessions[sr.Worker]
-	if !ok || !se.answered || !ld.cell.Stands(sr) {
+	if !ok || !se.answered || !ld.cell.StartValid(sr) {
 		return nil, 0, false
 	}
 	return se, se.extend(ld.now()), true
@@ -123,7 +123,7 @@
 
 // send sends an order other than a start to a worker. sent is false if the worker has no session, or if the term is
 // over.
-func (ld *leader) send(id life.Life, order func(ctx context.Context, to agent.Target, token uint64) error) (se *session, sent bool, err error) {
+func (ld *leader) send(id incarnation.ID, order func(ctx context.Context, to agent.Target, token uint64) error) (se *session, sent bool, err error) {
 	ld.mu.Lock()
 	se, ok := ld.sessions[id]
 	ld.mu.Unlock()
@@ -155,8 +155,8 @@
 		return
 	}
 	ld.handleOrderError(se, err)
-	if loop.Pause(ld.ctx, ld.clock, stopBackoff.After(sp.Tries)) {
-		ld.update(func(time.Duration) { ld.cell.StopLost(sp) })
+	if loop.Pause(ld.ctx, ld.clock, stopBackoff.Delay(sp.Attempts)) {
+		ld.update(func(time.Duration) { ld.cell.StopUnconfirmed(sp) })
 	}
 }
 
@@ -171,12 +171,12 @@
 	ld.log.Info("Sent change of pace.", "task", pc.Task.String(), "run", pc.Run, "worker", pc.Worker, "percent", pc.Percent, "error", errorText(err))
 	if err != nil {
 		ld.handleOrderError(se, err)
-		ld.update(func(time.Duration) { ld.cell.PaceLost(pc) })
+		ld.update(func(time.Duration) { ld.cell.PaceUnconfirmed(pc) })
 	}
 }
 
 // requestAdvice sends one advice request.
-func (ld *leader) requestAdvice(qn cell.Question) {
+func (ld *leader) requestAdvice(qn cell.AdviceRequest) {
 	sent := ld.clock.Now()
 	answer, err := ld.opts.Advise(ld.ctx, qn)
 	took := ld.clock.Since(sent)
@@ -185,11 +185,11 @@
 	ld.update(func(now time.Duration) {
 		switch {
 		case busy:
-			ld.cell.PutOff(now, qn)
+			ld.cell.AdviceDeferred(now, qn)
 		case err != nil:
-			ld.cell.Unadvised(now, qn)
+			ld.cell.AdviceFailed(now, qn)
 		default:
-			ld.cell.Advised(now, qn, answer.Tickets, answer.ValidFor)
+			ld.cell.AddAdvice(now, qn, answer.Tickets, answer.ValidFor)
 		}
 	})
 	if busy {
--- a/internal/planner/planloop.go
+++ b/internal/planner/planloop.go
@@ -28,7 +28,7 @@
 		case <-timer.Chan():
 			ld.tick()
 		}
-		if !loop.Pause(ctx, ld.clock, cell.Rest(ld.plan(), planPause)) {
+		if !loop.Pause(ctx, ld.clock, cell.PlanPause(ld.plan(), planPause)) {
 			return
 		}
 	}
@@ -54,14 +54,14 @@
 	ld.logLossRate()
 	ld.logStats(now)
 	ld.reportBacklog(now)
-	jobs, waiting, workers := ld.cell.Sizes()
+	jobs, waiting, workers := ld.cell.Counts()
 	ld.metrics.gauge("planner.jobs", jobs)
 	ld.metrics.gauge("planner.steps_waiting", waiting)
 	ld.metrics.gauge("planner.workers", workers)
-	oldest, kept := ld.cell.Oldest(now)
+	oldest, kept := ld.cell.OldestWait(now)
 	ld.metrics.gauge("planner.oldest_wait_ms", int(oldest.Milliseconds()))
 	ld.metrics.gauge("planner.workers_kept_free", kept)
-	ld.metrics.gauge("planner.workers_resting", ld.cell.Resting(now))
+	ld.metrics.gauge("planner.workers_resting", ld.cell.Quarantined(now))
 }
 
 // plan runs a planning pass, if the planner may start tasks, and sends the resulting orders. It returns the duration of
@@ -84,7 +84,7 @@
 
 // dispatch sends the orders of the cell and queues its records. The caller holds the lock.
 func (ld *leader) dispatch() {
-	out := ld.cell.Take()
+	out := ld.cell.TakeOutput()
 	ld.records.add(out.Records)
 	for _, rec := range out.Records {
 		if rec.Phase.Ended() {
@@ -99,7 +99,7 @@
 	for _, sp := range out.Stops {
 		ld.spawn(func() { ld.sendStop(sp) })
 	}
-	for _, id := range out.Asks {
+	for _, id := range out.ReportRequests {
 		if se, ok := ld.sessions[id]; ok {
 			se.requestReport()
 		}
@@ -107,8 +107,8 @@
 	for _, pc := range out.Paces {
 		ld.spawn(func() { ld.sendPace(pc) })
 	}
-	ld.stats.adviceRequests += len(out.Questions)
-	for _, qn := range out.Questions {
+	ld.stats.adviceRequests += len(out.AdviceRequests)
+	for _, qn := range out.AdviceRequests {
 		ld.spawn(func() { ld.requestAdvice(qn) })
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -48,7 +48,7 @@
 	WorkersPrefix string
 	DecodeWorker  func(item kv.Item) (WorkerEntry, error)
 	// Advise asks the advisor through the node that is expected to be free first.
-	Advise func(ctx context.Context, qn cell.Question) (Advice, error)
+	Advise func(ctx context.Context, qn cell.AdviceRequest) (Advice, error)
 	// ServiceInUse reports whether the configuration routes any queue to a service.
 	ServiceInUse func(service string) bool
 	// Queue returns the current settings of a queue, or false if it has no route.
@@ -72,7 +72,7 @@
 }
 
 // Lead plans until ctx is done.
-func (pl *Planner) Lead(ctx context.Context, tm term.Reign) {
+func (pl *Planner) Lead(ctx context.Context, tm term.Term) {
 	ld := newLeader(pl.opts, pl.log.WithValues("token", tm.Token), tm)
 	pl.setLeader(ld)
 	defer pl.setLeader(nil)
--- a/internal/planner/records.go
+++ b/internal/planner/records.go
@@ -73,7 +73,7 @@
 		ld.mu.Lock()
 		ld.records.keep(joblog.RecordKey(ld.term.Token, n), recs)
 		ld.records.pending = ld.records.pending[len(recs):]
-		ld.cell.Committed(upTo)
+		ld.cell.SetCommitted(upTo)
 		close(ld.committed)
 		ld.committed = make(chan struct{})
 		if len(ld.records.pending) > 0 {
@@ -106,21 +106,21 @@
 func (ld *leader) commit(ctx context.Context, key string, recs []cell.Record) bool {
 	raw, err := joblog.Encode(recs)
 	if err != nil {
-		ld.term.Depose("records cannot be encoded: " + err.Error())
+		ld.term.StepDown("records cannot be encoded: " + err.Error())
 		return false
 	}
 	txn := kv.Txn{
 		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.term.Token}, {Key: key}},
 		Puts:       []kv.Put{{Key: key, Value: raw}},
 	}
-	_, items, err := ld.opts.Store.Settle(ctx, kv.Settling{Clock: ld.clock, Hedge: commitHedge}, txn)
+	_, items, err := ld.opts.Store.CommitWithRetry(ctx, kv.CommitOptions{Clock: ld.clock, HedgeDelay: commitHedge}, txn)
 	switch {
 	case err == nil:
 		return true
 	case errors.Is(err, kv.ErrConflict) && exists(items, key):
 		return true // by an earlier attempt whose answer was lost
 	case errors.Is(err, kv.ErrConflict):
-		ld.term.Depose("the leader's key has changed")
+		ld.term.StepDown("the leader's key has changed")
 	}
 	return false
 }
--- a/internal/planner/report.go
+++ b/internal/planner/report.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 )
 
 // requestReport asks a worker for a report at once.
-func (ld *leader) requestReport(id life.Life) {
+func (ld *leader) requestReport(id incarnation.ID) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	if se, ok := ld.sessions[id]; ok {
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 	"tackbeam.example/tackbeam/internal/loop"
@@ -36,7 +36,7 @@
 // session is the planner's connection with one incarnation of a worker.
 type session struct {
 	leader      *leader
-	incarnation life.Life
+	incarnation incarnation.ID
 	entry       WorkerEntry
 	// token is the fencing token of all orders of the session.
 	token uint64
@@ -63,7 +63,7 @@
 }
 
 func newSession(ld *leader, en WorkerEntry) *session {
-	return &session{leader: ld, incarnation: en.ID, startedAt: en.ID.Born(), entry: en, token: ld.nextToken(en.ID.ID())}
+	return &session{leader: ld, incarnation: en.ID, startedAt: en.ID.StartedAt(), entry: en, token: ld.nextToken(en.ID.WorkerID())}
 }
 
 // target returns the address of the worker's current entry and its incarnation. The caller does not hold the lock.
@@ -75,7 +75,7 @@
 
 // extend returns a deadline at least one lease from now, on the worker's clock. The caller holds the lock.
 func (se *session) extend(now time.Duration) time.Duration {
-	if !se.answered || se.leader.term.SinceProof() > maxUnrenewed {
+	if !se.answered || se.leader.term.SinceRenewal() > maxUnrenewed {
 		return se.deadline
 	}
 	se.deadline = max(se.deadline, se.clock+(now-se.heard)+se.leader.lease)
@@ -157,7 +157,7 @@
 		return agent.Hold{}, 0, false
 	}
 	ld.stats.holds++
-	_, waits := ld.cell.Noted(se.incarnation)
+	_, waits := ld.cell.AckedEnd(se.incarnation)
 	hold, slack = agent.Hold{Token: se.token, Acked: se.ackedEnd()}, holdSlack
 	if se.answered && !se.unreachable {
 		// A hold to an unreachable worker does not extend the lease: a lease that is extended without an answer would
@@ -166,7 +166,7 @@
 	}
 	if se.answered && !waits && !se.unreachable {
 		hold.Wait = holdWait
-		if ld.cell.Serves(se.incarnation) {
+		if ld.cell.HasLatencyTarget(se.incarnation) {
 			hold.Wait = latencyHoldWait
 		}
 		if ld.lossRate.isHigh() {
@@ -227,18 +227,18 @@
 	}
 	se.unreachable = true
 	ld.metrics.count("planner.holds_failed")
-	ld.cell.Silent(now, se.incarnation)
+	ld.cell.Unreachable(now, se.incarnation)
 	if !se.leaseExpired(now) {
 		return
 	}
 	if se.other != nil {
 		ld.cell.Deregister(se.incarnation) // its entry is of another incarnation
 	}
-	if ld.cell.Holds(se.incarnation) {
+	if ld.cell.MayHoldRuns(se.incarnation) {
 		ld.log.Info("Worker's lease has expired.", "worker", se.incarnation, "silent_for", (now - se.heard).String())
 	}
 	delete(ld.unresolved, se.incarnation)
-	se.lose(func() { ld.cell.Lapsed(now, se.incarnation) })
+	se.lose(func() { ld.cell.LeaseExpired(now, se.incarnation) })
 	se.answered = false
 	se.heard = now
 	if known, _ := ld.cell.Listed(se.incarnation); !known {
@@ -252,7 +252,7 @@
 // incarnationOver ends the session of an incarnation that is over, if no other one of the worker is known. The caller
 // holds the lock.
 func (se *session) incarnationOver(now time.Duration) {
-	se.close(now, func() { se.leader.cell.Over(now, se.incarnation) })
+	se.close(now, func() { se.leader.cell.Replaced(now, se.incarnation) })
 }
 
 // close ends the session because the incarnation is over. The caller holds the lock.
@@ -272,14 +272,14 @@
 // lose applies the loss of the worker, and logs the runs that are lost with it. The caller holds the lock.
 func (se *session) lose(update func()) {
 	ld := se.leader
-	held := ld.cell.Held(se.incarnation)
+	held := ld.cell.HeldRuns(se.incarnation)
 	update()
 	if len(held) == 0 {
 		return
 	}
 	ld.metrics.count("planner.workers_lost_with_runs")
 	for _, rn := range held {
-		crashes, blamed := ld.cell.Crashes(rn.Task)
+		crashes, blamed := ld.cell.CrashCounts(rn.Task)
 		ld.log.Info("Run was lost with its worker.", "task", rn.Task.String(), "run", rn.Number, "worker", se.incarnation,
 			"crashes", crashes, "blamed", blamed)
 	}
@@ -289,5 +289,5 @@
 func (se *session) end() {
 	se.ended = true
 	delete(se.leader.sessions, se.incarnation)
-	delete(se.leader.current, se.incarnation.ID())
+	delete(se.leader.current, se.incarnation.WorkerID())
 }
--- a/internal/planner/stats.go
+++ b/internal/planner/stats.go
@@ -60,8 +60,8 @@
 	if st.ended > 0 {
 		each = st.took / time.Duration(st.ended)
 	}
-	_, waiting, _ := ld.cell.Sizes()
-	window, _ := ld.cell.Window()
+	_, waiting, _ := ld.cell.Counts()
+	window, _ := ld.cell.StartWindow()
 	ld.log.Info("Planner statistics.", "over", (now - st.since).String(), "plans", st.plans, "planned", st.planned.String(),
 		"steps_waiting", waiting, "starts", st.sent, "window", window, "in_flight", st.inFlight, "most_in_flight", st.maxInFlight,
 		"start_took", each.String(), "refused", st.refused, "holds", st.holds, "questions", st.adviceRequests,
--- a/internal/planner/terms_test.go
+++ b/internal/planner/terms_test.go
@@ -42,7 +42,7 @@
 		}
 	}
 	yield := func(nd *node) { nd.currentTerm().Yield("test") }
-	depose := func(nd *node) { nd.currentTerm().Depose("test") }
+	depose := func(nd *node) { nd.currentTerm().StepDown("test") }
 	cases := map[string]struct {
 		end   func(nd *node)
 		fault func(client, call string) memkv.Fault
@@ -211,7 +211,7 @@
 // later planner, or none, depends, so that the ended term seemed to hold its lease when the next planner had begun.
 func TestEndedTermHoldsNoLease(t *testing.T) {
 	cases := map[string]func(bd *testbed, nd *node){
-		"stepped down": func(_ *testbed, nd *node) { nd.currentTerm().Depose("test") },
+		"stepped down": func(_ *testbed, nd *node) { nd.currentTerm().StepDown("test") },
 		"lease lost":   func(bd *testbed, _ *node) { bd.store.Revoke() },
 	}
 	for name, end := range cases {
@@ -222,8 +222,8 @@
 				defer bd.end()
 				first, _ := bd.addPair()
 				old := first.currentTerm()
-				is.True(old.Proven())
-				is.True(old.SinceProof() < time.Second)
+				is.True(old.LeaseHeld())
+				is.True(old.SinceRenewal() < time.Second)
 				end(bd, first)
 				const within = 3 * time.Second // more than the TTL of the lease
 				began := time.Now()
@@ -231,9 +231,9 @@
 					time.Sleep(10 * time.Millisecond)
 				}
 				is.True(answers(bd, first, old.Token)) // a later planner
-				is.True(bd.leader().currentTerm().Proven())
-				is.True(!old.Proven())                  // otherwise it would start tasks with the old token
-				is.True(old.SinceProof() > time.Minute) // otherwise it would renew the workers' leases
+				is.True(bd.leader().currentTerm().LeaseHeld())
+				is.True(!old.LeaseHeld())                 // otherwise it would start tasks with the old token
+				is.True(old.SinceRenewal() > time.Minute) // otherwise it would renew the workers' leases
 			})
 		})
 	}
--- a/internal/planner/testbed_test.go
+++ b/internal/planner/testbed_test.go
@@ -15,7 +15,7 @@
 	"github.com/rcrowley/go-metrics"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 
@@ -60,18 +60,18 @@
 
 type node struct {
 	planner *planner.Planner
-	term    *term.Term
+	term    *term.Elector
 	intake  *intake.Intake
 	cancel  context.CancelFunc
 	meters  metrics.Registry
 	// latest is the node's latest term, which may begin while the test reads it.
-	latest atomic.Pointer[term.Reign]
+	latest atomic.Pointer[term.Term]
 	// suspended is the total time for which the node's VM was suspended.
 	suspended atomic.Int64
 }
 
 // currentTerm returns the node's latest term.
-func (nd *node) currentTerm() term.Reign { return *nd.latest.Load() }
+func (nd *node) currentTerm() term.Term { return *nd.latest.Load() }
 
 // newClock returns the node's clock. Monotonic time advances in the bubble; the test sets by how much suspensions
 // advance the time of day and the time since boot.
@@ -174,12 +174,12 @@
 			return ws, ok
 		},
 	})
-	nd.term = term.New(clock, bd.log(name), st, term.Options{Node: name, Processors: processors, TTL: 2 * time.Second, Lead: func(ctx context.Context, tm term.Reign) {
+	nd.term = term.New(clock, bd.log(name), st, term.Options{Node: name, Processors: processors, TTL: 2 * time.Second, Lead: func(ctx context.Context, tm term.Term) {
 		nd.latest.Store(&tm)
 		nd.planner.Lead(ctx, tm)
 	}})
 	nd.intake = intake.New(clock, bd.log(name), st, intake.Options{
-		Node: name, Nodes: func() int { return 2 }, Down: func() bool { return false },
+		Node: name, NodeCount: func() int { return 2 }, StoreDown: func() bool { return false },
 	})
 	ctx, cancel := context.WithCancel(bd.t.Context())
 	nd.cancel = cancel
@@ -191,7 +191,7 @@
 
 // decodeEntry decodes a worker's entry: words, some of which are followed by a value.
 func decodeEntry(id, value string) planner.WorkerEntry {
-	en := planner.WorkerEntry{Worker: cell.Worker{ID: life.Of(id, 0), Service: "svc"}}
+	en := planner.WorkerEntry{Worker: cell.Worker{ID: incarnation.New(id, 0), Service: "svc"}}
 	capacity := int64(defaultCapacity)
 	words := strings.Fields(value)
 	for at, word := range words {
@@ -202,7 +202,7 @@
 			capacity, _ = strconv.ParseInt(words[at+1], 10, 64) // always valid in tests
 		case "born":
 			born, _ := strconv.ParseInt(words[at+1], 10, 64)
-			en.ID = life.Of(id, born)
+			en.ID = incarnation.New(id, born)
 		case "draining":
 			en.Draining = true
 		}
--- a/internal/planner/waits.go
+++ b/internal/planner/waits.go
@@ -18,12 +18,12 @@
 		return
 	}
 	ld.waitsLogged = now
-	for _, wt := range ld.cell.Waits(now, minLoggedWait, maxLoggedWaits) {
-		ld.log.Info("Step is waiting.", "step", wt.Step.StepName(), "for", wt.For.String(), "tasks", wt.Tasks,
-			"placed", wt.Placed, "asking", wt.Asking, "asked", wt.Asked, "allowed", wt.Allowed, "room", wt.Room,
-			"kept_free", wt.Claimed, "tickets", wt.Tickets, "questions", wt.Questions, "unanswered", wt.Unanswered, "late", wt.Late,
-			"workspace", wt.Use.Workspace.Name, "at_limit", wt.AtLimit, "excess", wt.Excess,
-			"running", wt.Use.Running.String(), "limit", wt.Use.Workspace.Limit.String())
+	for _, wt := range ld.cell.LongestWaiting(now, minLoggedWait, maxLoggedWaits) {
+		ld.log.Info("Step is waiting.", "step", wt.Step.StepName(), "for", wt.Waited.String(), "tasks", wt.Tasks,
+			"placed", wt.Placed, "asking", wt.AdvicePending, "asked", wt.Asked, "allowed", wt.Allowed, "room", wt.Startable,
+			"kept_free", wt.Reserved, "tickets", wt.Tickets, "questions", wt.Requests, "unanswered", wt.Unanswered, "late", wt.Late,
+			"workspace", wt.Usage.Workspace.Name, "at_limit", wt.AtLimit, "excess", wt.Excess,
+			"running", wt.Usage.Running.String(), "limit", wt.Usage.Workspace.Limit.String())
 	}
 	ld.updateLimitGauges()
 }
@@ -33,11 +33,11 @@
 func (ld *leader) updateLimitGauges() {
 	const nearly = 0.9
 	near, over := 0, 0
-	for _, use := range ld.cell.Workspaces() {
+	for _, use := range ld.cell.WorkspaceUsages() {
 		if _, exceeds := use.Workspace.Exceeds(use.Running); exceeds {
 			over++
 		}
-		if use.Running.Share(use.Workspace.Limit) >= nearly {
+		if use.Running.DominantShare(use.Workspace.Limit) >= nearly {
 			near++
 		}
 	}
--- a/internal/planner/workerlist.go
+++ b/internal/planner/workerlist.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/kv"
 )
@@ -37,7 +37,7 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	for _, item := range items {
-		if item.Gone {
+		if item.Deleted {
 			ld.ignored.drop(item.Key)
 			ld.deregister(item.Key)
 			continue
@@ -70,7 +70,7 @@
 
 // addEntry lists a worker if it is known already, or if its service is in use.
 func (ld *leader) addEntry(key string, en WorkerEntry) {
-	if ld.current[en.ID.ID()] != nil || ld.inherited(en.ID) || ld.serviceInUse(en.Service) {
+	if ld.current[en.ID.WorkerID()] != nil || ld.inherited(en.ID) || ld.serviceInUse(en.Service) {
 		ld.applyEntry(en)
 		return
 	}
@@ -82,7 +82,7 @@
 
 // serviceInUse reports whether the configuration or a job names the service.
 func (ld *leader) serviceInUse(service string) bool {
-	return ld.opts.ServiceInUse(service) || ld.cell.Serving(service)
+	return ld.opts.ServiceInUse(service) || ld.cell.UsesService(service)
 }
 
 // listNewlyUsed lists the workers whose services have come into use.
@@ -97,8 +97,8 @@
 }
 
 // inherited reports whether an earlier planner recorded an incarnation of the worker that may have runs.
-func (ld *leader) inherited(inc life.Life) bool {
-	return slices.ContainsFunc(ld.earlier[inc.ID()], func(one life.Life) bool {
+func (ld *leader) inherited(inc incarnation.ID) bool {
+	return slices.ContainsFunc(ld.earlier[inc.WorkerID()], func(one incarnation.ID) bool {
 		_, old := ld.unresolved[one]
 		return old
 	})
@@ -106,7 +106,7 @@
 
 // applyEntry applies the entry of a worker whose service is in use.
 func (ld *leader) applyEntry(en WorkerEntry) {
-	se, ok := ld.current[en.ID.ID()]
+	se, ok := ld.current[en.ID.WorkerID()]
 	switch {
 	case !ok:
 		ld.addWorker(en)
@@ -136,7 +136,7 @@
 // beginSession begins a session with an incarnation of a worker.
 func (ld *leader) beginSession(en WorkerEntry) {
 	se := newSession(ld, en)
-	ld.sessions[se.incarnation], ld.current[se.incarnation.ID()] = se, se
+	ld.sessions[se.incarnation], ld.current[se.incarnation.WorkerID()] = se, se
 	ld.spawn(func() { se.run(ld.ctx) })
 }
 
--- a/internal/standin/memworkers/memworkers.go
+++ b/internal/standin/memworkers/memworkers.go
@@ -170,7 +170,7 @@
 		case !done.After(fl.clock.Now()) && !done.After(over):
 			fl.end(wk, name, cell.ResultDone)
 		case fl.clock.Now().After(over):
-			fl.end(wk, name, cell.ResultLapsed)
+			fl.end(wk, name, cell.ResultLeaseExpired)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 		var report agent.Report
 		var changed chan struct{}
 		waits := false
-		err := fl.deliver(ctx, to.Incarnation.ID(), "hold", func(wk *worker) error {
+		err := fl.deliver(ctx, to.Incarnation.WorkerID(), "hold", func(wk *worker) error {
 			if asked == nil {
 				asked = wk
 			}
@@ -260,7 +260,7 @@
 	ctx context.Context, to agent.Target, token uint64, deadline time.Duration, sr cell.Start,
 ) (cell.Refusal, error) {
 	var refusal cell.Refusal
-	err := fl.deliver(ctx, to.Incarnation.ID(), "start", func(wk *worker) error {
+	err := fl.deliver(ctx, to.Incarnation.WorkerID(), "start", func(wk *worker) error {
 		if err := wk.admit(token); err != nil {
 			return err
 		}
@@ -272,7 +272,7 @@
 			refusal = cell.RefusedLate
 			return nil
 		case sr.Run <= wk.fenced[sr.Task]:
-			refusal = cell.RefusedOld
+			refusal = cell.RefusedStale
 			return nil
 		}
 		fl.check(wk, sr)
@@ -287,7 +287,7 @@
 		})
 		fl.starts = append(fl.starts, sr)
 		if fl.crash.by(sr) {
-			fl.clock.AfterFunc(crashAfter, func() { fl.Crash(to.Incarnation.ID()) })
+			fl.clock.AfterFunc(crashAfter, func() { fl.Crash(to.Incarnation.WorkerID()) })
 		}
 		return nil
 	})
@@ -318,7 +318,7 @@
 }
 
 func (fl *Fleet) stop(ctx context.Context, to agent.Target, token uint64, sp cell.Stop) error {
-	return fl.deliver(ctx, to.Incarnation.ID(), "stop", func(wk *worker) error {
+	return fl.deliver(ctx, to.Incarnation.WorkerID(), "stop", func(wk *worker) error {
 		if err := wk.admit(token); err != nil {
 			return err
 		}
@@ -331,5 +331,5 @@
 }
 
 func (fl *Fleet) pace(ctx context.Context, to agent.Target, token uint64, _ cell.Pace) error {
-	return fl.deliver(ctx, to.Incarnation.ID(), "pace", func(wk *worker) error { return wk.admit(token) })
+	return fl.deliver(ctx, to.Incarnation.WorkerID(), "pace", func(wk *worker) error { return wk.admit(token) })
 }
