--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -7,8 +7,8 @@
 // configuration. Looking a digest up tells nothing of the keys that it is compared with.
 type Digest [16]byte
 
-// Of returns the digest of a key.
-func Of(key []byte) Digest {
+// Sum returns the digest of a key.
+func Sum(key []byte) Digest {
 	sum := sha256.Sum256(key)
 	return Digest(sum[:len(Digest{})])
 }
--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -7,10 +7,10 @@
 	"tackbeam.example/tackbeam/internal/apikey"
 )
 
-// ExampleOf shows that equal keys have equal digests.
-func ExampleOf() {
-	digest := apikey.Of([]byte("gkcuyj8pjbvk9m68k7b2"))
-	fmt.Println(digest == apikey.Of([]byte("gkcuyj8pjbvk9m68k7b2")), digest == apikey.Of([]byte("gkcuyj8pjbvk9m68k7b3")))
+// ExampleSum shows that equal keys have equal digests.
+func ExampleSum() {
+	digest := apikey.Sum([]byte("gkcuyj8pjbvk9m68k7b2"))
+	fmt.Println(digest == apikey.Sum([]byte("gkcuyj8pjbvk9m68k7b2")), digest == apikey.Sum([]byte("gkcuyj8pjbvk9m68k7b3")))
 	// Output: true false
 }
 
@@ -18,7 +18,7 @@
 func TestOfDoesNotAllocate(t *testing.T) {
 	key := []byte("gkcuyj8pjbvk9m68k7b2")
 	var got apikey.Digest
-	if allocs := testing.AllocsPerRun(100, func() { got = apikey.Of(key) }); allocs != 0 {
+	if allocs := testing.AllocsPerRun(100, func() { got = apikey.Sum(key) }); allocs != 0 {
 		t.Errorf("%v allocations for digest %x, want none", allocs, got)
 	}
 }
--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -53,8 +53,8 @@
 	return cl, cl.begin()
 }
 
-// NewOn returns a clock for tests, on readings of their own.
-func NewOn(clock clockwork.Clock, read func() (steady, wall time.Duration), boot func() (time.Duration, error)) (*Clock, error) {
+// NewForTest returns a clock for tests, on readings of their own.
+func NewForTest(clock clockwork.Clock, read func() (steady, wall time.Duration), boot func() (time.Duration, error)) (*Clock, error) {
 	cl := &Clock{Clock: clock, epoch: clock.Now(), read: read, boot: boot}
 	return cl, cl.begin()
 }
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -32,7 +32,7 @@
 			is := is.New(t)
 			var steady, boot time.Duration
 			wall := 50 * 365 * 24 * time.Hour
-			cl, err := bootclock.NewOn(clockwork.NewFakeClock(),
+			cl, err := bootclock.NewForTest(clockwork.NewFakeClock(),
 				func() (time.Duration, time.Duration) { return steady, wall },
 				func() (time.Duration, error) { return time.Hour + boot, nil })
 			is.NoErr(err)
@@ -50,7 +50,7 @@
 func TestSlowReadings(t *testing.T) {
 	is := is.New(t)
 	var steady, suspended, between time.Duration
-	cl, err := bootclock.NewOn(clockwork.NewFakeClock(),
+	cl, err := bootclock.NewForTest(clockwork.NewFakeClock(),
 		func() (time.Duration, time.Duration) { return steady, steady + suspended },
 		func() (time.Duration, error) {
 			steady += between
@@ -74,7 +74,7 @@
 	is := is.New(t)
 	steady := time.Duration(0)
 	none := errors.New("no such clock")
-	cl, err := bootclock.NewOn(clockwork.NewFakeClock(),
+	cl, err := bootclock.NewForTest(clockwork.NewFakeClock(),
 		func() (time.Duration, time.Duration) { return steady, steady },
 		func() (time.Duration, error) { return 0, none })
 	is.Equal(err, none)
--- a/internal/cellnode/cellnode.go
+++ b/internal/cellnode/cellnode.go
@@ -87,20 +87,20 @@
 	nd.health = kvhealth.New(clock, log, nd.meters)
 	st := nd.health.Wrap(ad.Store)
 	nd.term = term.New(clock, log, st, term.Options{
-		Node: ad.Site.Node, PeerAddr: ad.Site.Peers, Hall: ad.Site.Hall, Processors: ad.Site.Processors, Link: ad.Site.Link,
-		TTL: max(termTTL, ad.Site.Bounds.MinLease), ReadRate: ad.Site.Reads,
+		Node: ad.Site.Node, PeerAddr: ad.Site.PeerAddr, Hall: ad.Site.Hall, Processors: ad.Site.Processors, Link: ad.Site.LinkMbps,
+		TTL: max(termTTL, ad.Site.Bounds.MinLease), ReadRate: ad.Site.StoreReadRate,
 		OnBacklog: nd.updateBacklog,
 		Lead:      func(ctx context.Context, tm term.Term) { nd.planner.Lead(ctx, tm) },
 	})
 	nd.intake = intake.New(clock, log, st, intake.Options{
-		Node: ad.Site.Node, WriteRate: ad.Site.Writes, StoreDown: nd.health.Down,
+		Node: ad.Site.Node, WriteRate: ad.Site.StoreWriteRate, StoreDown: nd.health.Down,
 		NodeCount: func() int { return len(nd.term.Members()) }, OnWritten: nd.onWritten,
 	})
 	nd.link = peerlink.New(log, nd.handle).WithLimit(ad.Limit)
 	nd.registerConnectionGauges()
 	nd.config = feed.New(clock, log, st, feed.Options{
 		Key: ad.ConfigKey, Decode: ad.DecodeConfig, Activate: nd.activate,
-		Node: ad.Site.Node, Link: ad.Site.Link, Members: nd.term.Members, Request: nd.requestConfig,
+		Node: ad.Site.Node, Link: ad.Site.LinkMbps, Members: nd.term.Members, Request: nd.requestConfig,
 	})
 	nd.pool = advisor.New(advisor.Options{
 		Clock: clock, Node: ad.Site.Node, Members: nd.term.Members, Local: nd.advise, Call: nd.link.Call,
@@ -137,7 +137,7 @@
 	return []*kernel.Service{
 		{
 			Name: "link", Build: func(*kernel.Kernel) (any, error) { return nd.link, nil },
-			Start: func(context.Context) error { return nd.link.Serve(nd.adapter.Site.Peers) },
+			Start: func(context.Context) error { return nd.link.Serve(nd.adapter.Site.PeerAddr) },
 			Stop:  func(context.Context) error { return nil }, // runs until the process exits: other nodes may be waiting
 		},
 		nd.background("config", nd.config, nd.config.Run),
--- a/internal/cellnode/cellnode_test.go
+++ b/internal/cellnode/cellnode_test.go
@@ -65,7 +65,7 @@
 		dp.t.Fatal(err)
 	}
 	nd := cellnode.New(clockwork.NewRealClock(), logr.Discard(), cellnode.Adapter{
-		Site:  &site.Site{Node: name, Peers: peers, Writes: 400, Bounds: site.Bounds{KeepEnded: time.Minute}},
+		Site:  &site.Site{Node: name, PeerAddr: peers, StoreWriteRate: 400, Bounds: site.Bounds{JobRetention: time.Minute}},
 		Store: dp.store.Client(name), Agents: dp.fleet.Agents(),
 		WorkersPrefix: workersPrefix, ConfigKey: configKey,
 		DecodeWorker: func(item kv.Item) (planner.WorkerEntry, error) {
@@ -79,7 +79,7 @@
 				cf.KeyRequired = true
 				cf.Workspaces = append(cf.Workspaces, routes.Workspace{
 					Workspace: work.Workspace{Name: "ws" + strconv.Itoa(at), Limit: size.New(4000, 0, 0)},
-					Keys:      []apikey.Digest{apikey.Of([]byte(key))},
+					Keys:      []apikey.Digest{apikey.Sum([]byte(key))},
 				})
 			}
 			return cf, nil
--- a/internal/cellnode/config.go
+++ b/internal/cellnode/config.go
@@ -33,7 +33,7 @@
 // staleAfter returns the age beyond which the copy of the configuration may miss a change that was confirmed longer ago
 // than the time that the node has to apply it.
 func (nd *Node) staleAfter() time.Duration {
-	apply := nd.adapter.Site.Bounds.Apply
+	apply := nd.adapter.Site.Bounds.ConfigApplyTime
 	if apply == 0 {
 		apply = defaultApplyTime
 	}
--- a/internal/daemon/bed_test.go
+++ b/internal/daemon/bed_test.go
@@ -113,13 +113,13 @@
 	st.Store.Lease = 2 * time.Second
 	st.VMs.Address = bd.list.Addr()
 	st.VMs.Every = 100 * time.Millisecond
-	st.Owner.Lease, st.Owner.Guard = 3*time.Second, 2*time.Second
-	st.Member.Beat, st.Member.Suspect = 100*time.Millisecond, 800*time.Millisecond
-	st.Limits.Unready, st.Limits.Drain = 0, time.Second
+	st.Owner.MaxLease, st.Owner.LeaseGuard = 3*time.Second, 2*time.Second
+	st.Member.HeartbeatInterval, st.Member.SuspectAfter = 100*time.Millisecond, 800*time.Millisecond
+	st.Limits.UnreadyDelay, st.Limits.DrainTimeout = 0, time.Second
 	if bd.keep > 0 {
-		st.Limits.KeepJobs = bd.keep
+		st.Limits.JobRetention = bd.keep
 	}
-	st.Limits.Ask = 200 * time.Millisecond
+	st.Limits.QueryAfter = 200 * time.Millisecond
 	st.Limits.LookupBody, st.Limits.JobBody = 1024, 1024
 	return st
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -116,7 +116,7 @@
 // drain time does not suffice for is named in the error.
 func (dm *Daemon) Stop() error {
 	dm.log.Info("Node is stopping.")
-	ctx, cancel := context.WithTimeout(context.Background(), dm.settings.Limits.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), dm.settings.Limits.DrainTimeout)
 	defer cancel()
 	dm.front.Drain()
 	if err := dm.member.MarkLeaving(ctx); err != nil {
@@ -137,7 +137,7 @@
 // what this one had.
 func (dm *Daemon) settle(ctx context.Context) error {
 	const pause = 20 * time.Millisecond
-	until := dm.clock.Now().Add(dm.settings.Limits.Unready)
+	until := dm.clock.Now().Add(dm.settings.Limits.UnreadyDelay)
 	for {
 		busy := dm.front.InFlight() > 0 || dm.owner.Busy() > 0 || dm.mustHand()
 		if !busy && !dm.clock.Now().Before(until) {
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -123,7 +123,7 @@
 			Node: clustermap.Node{
 				Name: st.Node, Peer: addr, HTTP: st.HTTP.Listen, Region: st.Region, Hall: st.Hall,
 			},
-			HeartbeatInterval: st.Member.Beat, SuspectAfter: st.Member.Suspect, LeaseTTL: st.Store.Lease,
+			HeartbeatInterval: st.Member.HeartbeatInterval, SuspectAfter: st.Member.SuspectAfter, LeaseTTL: st.Store.Lease,
 		}), nil
 	}}
 }
@@ -134,7 +134,7 @@
 		Name: nameVMs,
 		Build: func(*kernel.Kernel) (any, error) {
 			cf := dm.settings.VMs
-			ls = vms.New(dm.clock, dm.log, vms.HTTP(cf.Address, dm.settings.Store.Timeout), cf.Every)
+			ls = vms.New(dm.clock, dm.log, vms.HTTPSource(cf.Address, dm.settings.Store.Timeout), cf.Every)
 			return ls, nil
 		},
 		Stop: func(ctx context.Context) error { return ls.Stop(ctx) },
@@ -175,7 +175,7 @@
 				return nil, err
 			}
 			ow = owner.New(pt, owner.Options{
-				Name: dm.settings.Node, Limits: dm.limits(), Drain: dm.settings.Limits.Drain, Guard: dm.settings.Owner.Guard, Lease: dm.settings.Owner.Lease,
+				Name: dm.settings.Node, Limits: dm.limits(), Drain: dm.settings.Limits.DrainTimeout, Guard: dm.settings.Owner.LeaseGuard, Lease: dm.settings.Owner.MaxLease,
 			})
 			return ow, nil
 		},
@@ -205,8 +205,8 @@
 				return nil, err
 			}
 			hm = home.New(pt, home.Options{
-				WaitingJobs: dm.settings.Limits.WaitingJobs, KeepJobs: dm.settings.Limits.KeepJobs,
-				Ask: dm.settings.Limits.Ask,
+				WaitingJobs: dm.settings.Limits.MaxUnfinishedJobs, KeepJobs: dm.settings.Limits.JobRetention,
+				Ask: dm.settings.Limits.QueryAfter,
 			})
 			return hm, nil
 		},
@@ -270,7 +270,7 @@
 			fr = front.New(pt, front.Options{
 				Listen: st.HTTP.Listen, LookupBody: st.Limits.LookupBody, JobBody: st.Limits.JobBody,
 				DefaultTimeout: st.Limits.DefaultTimeout, MaxTimeout: st.Limits.MaxTimeout,
-				Tasks: st.Limits.Tasks, Drain: st.Limits.Drain,
+				Tasks: st.Limits.Tasks, Drain: st.Limits.DrainTimeout,
 			})
 			return fr, nil
 		},
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -216,7 +216,7 @@
 		fd.timeouts++
 	}
 	fd.timedOut = false
-	loop.Pause(ctx, fd.clock, fd.retry.Next(err))
+	loop.Sleep(ctx, fd.clock, fd.retry.Next(err))
 }
 
 // maxReadSize returns the largest answer that this node accepts if it has no version yet or its watch cannot
--- a/internal/home/partition.go
+++ b/internal/home/partition.go
@@ -100,7 +100,7 @@
 			hm.unreserve(en)
 		}
 		hm.step(policy.Event{Remove: &policy.Remove{Job: en.rec.ID}})
-		en.kick.Give()
+		en.kick.Notify()
 		en.notify()
 	}
 }
--- a/internal/home/see.go
+++ b/internal/home/see.go
@@ -255,7 +255,7 @@
 	if st >= attempt.NotStarted && !en.frozen {
 		hm.step(policy.Event{TaskEnded: &policy.TaskEnded{Job: en.rec.ID, OK: st == attempt.OK}})
 	}
-	en.kick.Give()
+	en.kick.Notify()
 }
 
 // TaskEnded takes an owner's report of an end. It is settled once the job's end
--- a/internal/home/submit.go
+++ b/internal/home/submit.go
@@ -268,7 +268,7 @@
 			hm.step(policy.Event{Remove: &policy.Remove{Job: en.rec.ID}})
 			hm.settleWaiting(en, "cancelled")
 		}
-		en.kick.Give()
+		en.kick.Notify()
 	}
 	hm.mu.Unlock()
 	return hm.Get(ctx, qu)
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -142,7 +142,7 @@
 	add(bt)
 	bt.bytes += bytes
 	in.mu.Unlock()
-	in.wake.Give()
+	in.wake.Notify()
 	select {
 	case <-bt.done:
 		return bt.err
@@ -163,7 +163,7 @@
 		case <-in.wake:
 		}
 		in.flush(&group)
-		loop.Pause(ctx, in.clock, in.interval())
+		loop.Sleep(ctx, in.clock, in.interval())
 	}
 }
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -132,7 +132,7 @@
 		pd.fail(fault.New(fault.Full, "journal full; retry when jobs have ended"))
 	default:
 		jr.queue = append(jr.queue, pd)
-		jr.wake.Give()
+		jr.wake.Notify()
 	}
 	return pd
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -30,5 +30,5 @@
 	})
 }
 
-// Standard returns a logger on standard error.
-func Standard(verbosity int) logr.Logger { return New(os.Stderr, verbosity) }
+// Stderr returns a logger on standard error.
+func Stderr(verbosity int) logr.Logger { return New(os.Stderr, verbosity) }
--- a/internal/logs/queue.go
+++ b/internal/logs/queue.go
@@ -41,7 +41,7 @@
 		qu.lost++
 	}
 	qu.mu.Unlock()
-	qu.wake.Give()
+	qu.wake.Notify()
 	return len(line), nil
 }
 
@@ -54,7 +54,7 @@
 	qu.mu.Lock()
 	qu.ended = true
 	qu.mu.Unlock()
-	qu.wake.Give()
+	qu.wake.Notify()
 	select {
 	case <-qu.done:
 	case <-time.After(closeWait):
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -33,7 +33,7 @@
 
 // Kick wakes the pacer; it does not wait.
 func (pc *Pacer) Kick() {
-	pc.kick.Give()
+	pc.kick.Notify()
 }
 
 // Run calls act each period after a kick, until act reports that nothing is left
@@ -46,7 +46,7 @@
 		case <-pc.kick:
 		}
 		for more := true; more; {
-			if !Pause(ctx, clock, period) {
+			if !Sleep(ctx, clock, period) {
 				return
 			}
 			more = act()
@@ -54,8 +54,8 @@
 	}
 }
 
-// Pause waits, and reports false where the context ended first.
-func Pause(ctx context.Context, clock clockwork.Clock, pause time.Duration) bool {
+// Sleep waits, and reports false where the context ended first.
+func Sleep(ctx context.Context, clock clockwork.Clock, pause time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -183,7 +183,7 @@
 		if attempt == 0 {
 			mb.log.Info("Store does not answer; waiting to join the cluster.", "cause", err.Error())
 		}
-		if !loop.Pause(ctx, mb.clock, store.Backoff(attempt)) {
+		if !loop.Sleep(ctx, mb.clock, store.Backoff(attempt)) {
 			return err
 		}
 	}
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -92,7 +92,7 @@
 		mr.down = true
 		mr.log.Info("Store does not answer; the copy may become stale.", "reason", err.Error())
 	}
-	loop.Pause(ctx, mr.clock, mr.retry.Next(err))
+	loop.Sleep(ctx, mr.clock, mr.retry.Next(err))
 }
 
 func (mr *Mirror) markSynced(sent time.Time) {
@@ -182,7 +182,7 @@
 // watch waits once for changes and reports them. An answer that may have been truncated is followed by the next
 // watch without a pause.
 func (mr *Mirror) watch(ctx context.Context, after uint64) (uint64, error) {
-	if pause := mr.pause(); pause > 0 && !mr.behind && !loop.Pause(ctx, mr.clock, pause) {
+	if pause := mr.pause(); pause > 0 && !mr.behind && !loop.Sleep(ctx, mr.clock, pause) {
 		return 0, ctx.Err()
 	}
 	call, cancel := context.WithTimeout(ctx, mr.opts.Wait+watchGrace)
--- a/internal/nodecli/nodecli.go
+++ b/internal/nodecli/nodecli.go
@@ -79,7 +79,7 @@
 	case op.Standalone:
 		return standalone.Run(ctx, clockwork.NewRealClock(), logs.New(errOut, op.Verbosity), standalone.Options{
 			Listen: op.Listen, Workers: op.Workers, Record: op.Record,
-			Ready: ready(out),
+			OnReady: ready(out),
 		})
 	case op.Platform:
 		return platform.Run(out, op.Metrics)
--- a/internal/owner/keeper.go
+++ b/internal/owner/keeper.go
@@ -70,7 +70,7 @@
 		} else if fails++; fails == 1 || fault.Is(err, fault.Conflict) {
 			ow.Log.V(1).Info("Worker cannot be attached.", "worker", kp.vm.Name, "cause", err.Error())
 		}
-		loop.Pause(kp.ctx, ow.Clock, store.Backoff(fails))
+		loop.Sleep(kp.ctx, ow.Clock, store.Backoff(fails))
 	}
 }
 
@@ -85,7 +85,7 @@
 		return true
 	}
 	ow.Meter.Count(CounterWaited, 1)
-	return loop.Pause(kp.ctx, ow.Clock, wait)
+	return loop.Sleep(kp.ctx, ow.Clock, wait)
 }
 
 // CounterWaited counts the times that a worker without fencing or inventory was
--- a/internal/planner/awaitcommit.go
+++ b/internal/planner/awaitcommit.go
@@ -9,7 +9,7 @@
 // awaitCommit waits for further ends to accumulate, and until the journal has those that were reported.
 func (se *session) awaitCommit(ctx context.Context) {
 	ld := se.leader
-	if !loop.Pause(ctx, ld.clock, holdPause) {
+	if !loop.Sleep(ctx, ld.clock, holdPause) {
 		return
 	}
 	late := ld.clock.NewTimer(maxCommitWait)
--- a/internal/planner/gc.go
+++ b/internal/planner/gc.go
@@ -64,7 +64,7 @@
 
 // gcLoop removes batches and records whose jobs are no longer known to the cell.
 func (ld *leader) gcLoop(ctx context.Context) {
-	for loop.Pause(ctx, ld.clock, gcInterval) {
+	for loop.Sleep(ctx, ld.clock, gcInterval) {
 		for _, keys := range ld.removable() {
 			if err := ld.remove(ctx, keys); err != nil {
 				ld.log.Info("Removing old keys of the journal failed; trying again in the next round.", "keys", len(keys), "reason", err.Error())
--- a/internal/planner/leader.go
+++ b/internal/planner/leader.go
@@ -125,8 +125,8 @@
 		unresolved: map[incarnation.ID]bool{}, earlier: map[string][]incarnation.ID{},
 		holdLimiter: newHoldLimiter(opts.Clock), wake: wake.New(), journalRead: make(chan struct{}), committed: make(chan struct{}),
 		cell: cell.New(cell.Options{
-			Retention: opts.Site.Bounds.KeepEnded,
-			FirstRun:  (tm.Number-1)*runsPerTerm + 1, StopTimeout: opts.Site.Bounds.StopTime,
+			Retention: opts.Site.Bounds.JobRetention,
+			FirstRun:  (tm.Number-1)*runsPerTerm + 1, StopTimeout: opts.Site.Bounds.StopTimeout,
 			InitialWindow: initialWindow,
 		}),
 	}
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -19,7 +19,7 @@
 		if scanner.Continue(ctx) == nil {
 			return scanner.Items(), true
 		}
-		if !loop.Pause(ctx, ld.clock, readRetryPause) {
+		if !loop.Sleep(ctx, ld.clock, readRetryPause) {
 			return nil, false
 		}
 	}
--- a/internal/planner/orders.go
+++ b/internal/planner/orders.go
@@ -149,13 +149,13 @@
 		ld.update(func(now time.Duration) {
 			if ld.cell.Stopped(now, sp) {
 				// A run that never began has no end to report.
-				ld.clock.AfterFunc(ld.opts.Site.Bounds.StopTime+stopReportDelay, func() { ld.requestReport(sp.Worker) })
+				ld.clock.AfterFunc(ld.opts.Site.Bounds.StopTimeout+stopReportDelay, func() { ld.requestReport(sp.Worker) })
 			}
 		})
 		return
 	}
 	ld.handleOrderError(se, err)
-	if loop.Pause(ld.ctx, ld.clock, stopBackoff.Delay(sp.Attempts)) {
+	if loop.Sleep(ld.ctx, ld.clock, stopBackoff.Delay(sp.Attempts)) {
 		ld.update(func(time.Duration) { ld.cell.StopUnconfirmed(sp) })
 	}
 }
--- a/internal/planner/planloop.go
+++ b/internal/planner/planloop.go
@@ -28,7 +28,7 @@
 		case <-timer.Chan():
 			ld.tick()
 		}
-		if !loop.Pause(ctx, ld.clock, cell.PlanPause(ld.plan(), planPause)) {
+		if !loop.Sleep(ctx, ld.clock, cell.PlanPause(ld.plan(), planPause)) {
 			return
 		}
 	}
@@ -36,7 +36,7 @@
 
 func (ld *leader) schedulePlan() {
 	ld.dirty = true
-	ld.wake.Give()
+	ld.wake.Notify()
 }
 
 func (ld *leader) tick() {
--- a/internal/planner/records.go
+++ b/internal/planner/records.go
@@ -42,7 +42,7 @@
 	}
 	rc.pending = append(rc.pending, recs...)
 	rc.added += len(recs)
-	rc.wake.Give()
+	rc.wake.Notify()
 }
 
 func (rc *recorder) keep(key string, recs []cell.Record) { rc.keys[key] = recs }
@@ -59,7 +59,7 @@
 			return
 		case <-ld.records.wake:
 		}
-		if !loop.Pause(ctx, ld.clock, commitDelay) {
+		if !loop.Sleep(ctx, ld.clock, commitDelay) {
 			ld.commitRemaining(n)
 			return
 		}
@@ -77,7 +77,7 @@
 		close(ld.committed)
 		ld.committed = make(chan struct{})
 		if len(ld.records.pending) > 0 {
-			ld.records.wake.Give()
+			ld.records.wake.Notify()
 		}
 		ld.schedulePlan()
 		ld.mu.Unlock()
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -117,7 +117,7 @@
 		}
 		if err != nil {
 			se.failed(err)
-			loop.Pause(ctx, se.leader.clock, holdRetryPause)
+			loop.Sleep(ctx, se.leader.clock, holdRetryPause)
 			continue
 		}
 		se.apply(sent, report)
--- a/internal/planner/testbed_test.go
+++ b/internal/planner/testbed_test.go
@@ -158,7 +158,7 @@
 	clock := nd.newClock(bd)
 	nd.planner = planner.New(planner.Options{
 		Clock: clock, Log: bd.log(name), Store: st, Agents: agents, Metrics: nd.meters,
-		Site:          &site.Site{Bounds: site.Bounds{KeepEnded: 2 * time.Minute}},
+		Site:          &site.Site{Bounds: site.Bounds{JobRetention: 2 * time.Minute}},
 		WorkersPrefix: workersPrefix,
 		DecodeWorker: func(item kv.Item) (planner.WorkerEntry, error) {
 			id := strings.TrimPrefix(item.Key, workersPrefix)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -65,29 +65,29 @@
 
 // Owner is the owner's side of the workers.
 type Owner struct {
-	Lease time.Duration `json:"lease" doc:"longest lease that a worker may have; a worker with a longer one is not used"`
-	Guard time.Duration `json:"guard" doc:"time beyond a worker's lease after which its tasks surely count as ended; a node cut off from all others stops renewing after two thirds of it"`
+	MaxLease   time.Duration `json:"lease" doc:"longest lease that a worker may have; a worker with a longer one is not used"`
+	LeaseGuard time.Duration `json:"guard" doc:"time beyond a worker's lease after which its tasks surely count as ended; a node cut off from all others stops renewing after two thirds of it"`
 }
 
 // Limits on what callers send and what may wait.
 type Limits struct {
-	LookupBody     int           `json:"lookup_body" doc:"bytes in the body of a lookup"`
-	JobBody        int           `json:"job_body" doc:"bytes in the body of a job"`
-	DefaultTimeout time.Duration `json:"default_timeout" doc:"deadline of a request that names none"`
-	MaxTimeout     time.Duration `json:"max_timeout" doc:"longest deadline a lookup may ask for"`
-	Queue          int           `json:"queue" doc:"lookups that may wait on one owner"`
-	WaitingJobs    int           `json:"waiting_jobs" doc:"unfinished jobs that one node keeps"`
-	Tasks          int           `json:"tasks" doc:"tasks in one job"`
-	KeepJobs       time.Duration `json:"keep_jobs" doc:"how long an ended job and its idempotency key are kept"`
-	Ask            time.Duration `json:"ask" doc:"how long a running job may be silent before its workers are asked for it; a repeatable one saves its work when asked"`
-	Drain          time.Duration `json:"drain" doc:"longest time that a planned stop waits for work in flight"`
-	Unready        time.Duration `json:"unready" doc:"time that a stopping node still serves callers, for the balancer to notice"`
+	LookupBody        int           `json:"lookup_body" doc:"bytes in the body of a lookup"`
+	JobBody           int           `json:"job_body" doc:"bytes in the body of a job"`
+	DefaultTimeout    time.Duration `json:"default_timeout" doc:"deadline of a request that names none"`
+	MaxTimeout        time.Duration `json:"max_timeout" doc:"longest deadline a lookup may ask for"`
+	Queue             int           `json:"queue" doc:"lookups that may wait on one owner"`
+	MaxUnfinishedJobs int           `json:"waiting_jobs" doc:"unfinished jobs that one node keeps"`
+	Tasks             int           `json:"tasks" doc:"tasks in one job"`
+	JobRetention      time.Duration `json:"keep_jobs" doc:"how long an ended job and its idempotency key are kept"`
+	QueryAfter        time.Duration `json:"ask" doc:"how long a running job may be silent before its workers are asked for it; a repeatable one saves its work when asked"`
+	DrainTimeout      time.Duration `json:"drain" doc:"longest time that a planned stop waits for work in flight"`
+	UnreadyDelay      time.Duration `json:"unready" doc:"time that a stopping node still serves callers, for the balancer to notice"`
 }
 
 // Member is how nodes watch each other.
 type Member struct {
-	Beat    time.Duration `json:"beat" doc:"time between two heartbeats to each node"`
-	Suspect time.Duration `json:"suspect" doc:"silence after which a node counts as not heard"`
+	HeartbeatInterval time.Duration `json:"beat" doc:"time between two heartbeats to each node"`
+	SuspectAfter      time.Duration `json:"suspect" doc:"silence after which a node counts as not heard"`
 }
 
 // Log is the structured log.
@@ -112,14 +112,14 @@
 			Timeout: time.Second, Lease: 6 * time.Second,
 		},
 		VMs:   VMs{Every: 2 * time.Second},
-		Owner: Owner{Lease: 30 * time.Second, Guard: 15 * time.Second},
+		Owner: Owner{MaxLease: 30 * time.Second, LeaseGuard: 15 * time.Second},
 		Limits: Limits{
 			LookupBody: 64 << 10, JobBody: 16 << 10,
 			DefaultTimeout: 10 * time.Second, MaxTimeout: time.Minute,
-			Queue: 512, WaitingJobs: 20000, Tasks: 1000,
-			KeepJobs: 24 * time.Hour, Ask: time.Minute, Drain: 30 * time.Second, Unready: 2 * time.Second,
+			Queue: 512, MaxUnfinishedJobs: 20000, Tasks: 1000,
+			JobRetention: 24 * time.Hour, QueryAfter: time.Minute, DrainTimeout: 30 * time.Second, UnreadyDelay: 2 * time.Second,
 		},
-		Member: Member{Beat: time.Second, Suspect: 3 * time.Second},
+		Member: Member{HeartbeatInterval: time.Second, SuspectAfter: 3 * time.Second},
 	}
 }
 
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -14,25 +14,24 @@
 	// Processors is what the node may use of the processors, in cores; 0 where the
 	// settings do not tell.
 	Processors float64
-	// Link is the bandwidth of the node's link in Mbit/s; 0 where the settings do not tell.
-	Link float64
+	// LinkMbps is the bandwidth of the node's link in Mbit/s; 0 where the settings do not tell.
+	LinkMbps float64
 	// MaxSockets is how many sockets the process may have open; 0 where the settings do not tell.
 	MaxSockets int
-	// Callers, Ready and Peers are addresses to listen on: for jobs, for the
-	// balancer's question whether the node takes callers, for other nodes.
-	Callers string
-	Ready   string
-	Peers   string
-	// Store is the address of the platform's key-value service, Writes the writing calls
-	// a second that all nodes together may make.
-	Store  string
-	Writes float64
-	// Reads is the same for reading calls; 0 where the settings do not tell.
-	Reads float64
-	// Advisor is the address of the service that allows workers for steps; empty
-	// where there is none.
-	Advisor string
-	Bounds  Bounds
+	// CallerAddr, ReadyAddr and PeerAddr are the addresses to listen on for callers, for the load
+	// balancer's readiness checks and for other nodes.
+	CallerAddr string
+	ReadyAddr  string
+	PeerAddr   string
+	// StoreAddr is the address of the platform's key-value service. StoreWriteRate is the number of
+	// write calls per second that all nodes together may make.
+	StoreAddr      string
+	StoreWriteRate float64
+	// StoreReadRate is the same limit for read calls; 0 if the settings do not specify it.
+	StoreReadRate float64
+	// AdvisorAddr is the address of the service that allows workers for steps; empty if there is none.
+	AdvisorAddr string
+	Bounds      Bounds
 }
 
 // Bounds are the times that the deployment promises or allows.
@@ -43,14 +42,14 @@
 	MaxLease time.Duration
 	// MinLease is the shortest lease of the store.
 	MinLease time.Duration
-	// KeepEnded is how long the state of an ended job can be asked for.
-	KeepEnded time.Duration
-	// StopTime is how long a worker takes to end a run.
-	StopTime time.Duration
+	// JobRetention is how long the state of an ended job can be asked for.
+	JobRetention time.Duration
+	// StopTimeout is how long a worker takes to end a run.
+	StopTimeout time.Duration
 	// Contact is how long a node must have been undisturbed for promises with a time to bind it; 0
 	// where the settings do not tell.
 	Contact time.Duration
-	// Apply is within how long of its confirmation a change of the configuration is to be in
+	// ConfigApplyTime is within how long of its confirmation a change of the configuration is to be in
 	// force; 0 where the settings do not tell.
-	Apply time.Duration
+	ConfigApplyTime time.Duration
 }
--- a/internal/standalone/standalone.go
+++ b/internal/standalone/standalone.go
@@ -30,8 +30,8 @@
 	Workers int
 	// Record is the file for the trace of decisions; empty is none.
 	Record string
-	// Ready is called with the addresses once the node is up.
-	Ready func(callers, nodes string)
+	// OnReady is called with the addresses once the node is up.
+	OnReady func(callers, nodes string)
 }
 
 // Run runs the node until the context ends or it is drained.
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	return dm.Run(ctx, opts.Ready)
+	return dm.Run(ctx, opts.OnReady)
 }
 
 func nodeSettings(dir, store, list string, opts Options) *settings.Settings {
@@ -79,7 +79,7 @@
 	st.Peer.CA = filepath.Join(dir, keys.CAFile)
 	st.Store.Addresses = []string{store}
 	st.VMs.Address = list
-	st.Limits.Unready = 0
+	st.Limits.UnreadyDelay = 0
 	st.Record.Path = opts.Record
 	return st
 }
--- a/internal/standin/vmclock/vmclock.go
+++ b/internal/standin/vmclock/vmclock.go
@@ -13,7 +13,7 @@
 // suspended is added to its time of day and to its time since boot.
 func New(steady clockwork.Clock, suspended func() time.Duration) (*bootclock.Clock, error) {
 	epoch := steady.Now()
-	return bootclock.NewOn(steady, func() (time.Duration, time.Duration) {
+	return bootclock.NewForTest(steady, func() (time.Duration, time.Duration) {
 		now := steady.Now()
 		return now.Sub(epoch), time.Duration(now.UnixNano()) + suspended()
 	}, func() (time.Duration, error) { return steady.Since(epoch) + suspended(), nil })
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -42,7 +42,7 @@
 		}
 		synced = false
 		failures++
-		loop.Pause(ctx, cl.clock, Backoff(failures))
+		loop.Sleep(ctx, cl.clock, Backoff(failures))
 	}
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -246,7 +246,7 @@
 
 // pause waits before the next attempt. It reports false if the context ends first.
 func (cl *Client) pause(ctx context.Context, attempt int) bool {
-	return loop.Pause(ctx, cl.clock, Backoff(attempt))
+	return loop.Sleep(ctx, cl.clock, Backoff(attempt))
 }
 
 // Grant creates a lease, or renews the one with the given ID. It reports false if that lease has expired.
--- a/internal/term/election.go
+++ b/internal/term/election.go
@@ -118,7 +118,7 @@
 	er.mu.Unlock()
 	er.syncTerm()
 	er.yieldToStronger()
-	er.wake.Give()
+	er.wake.Notify()
 }
 
 func (er *Elector) applyItem(item kv.Item) {
@@ -285,7 +285,7 @@
 		Yield:        func(reason string) { er.yield(reason, abstainTime) },
 	}
 	go func() {
-		defer er.wake.Give() // this node may still hold the leader's key
+		defer er.wake.Notify() // this node may still hold the leader's key
 		defer close(rt.done)
 		if previous != nil {
 			<-previous.done
@@ -333,7 +333,7 @@
 	}
 	er.log.Info("This node is no longer the planner.", "token", rt.token, "reason", reason)
 	rt.cancel()
-	er.wake.Give()
+	er.wake.Notify()
 }
 
 // stop ends the term and waits until Lead has returned, since it may still write its last records.
--- a/internal/term/lease.go
+++ b/internal/term/lease.go
@@ -113,7 +113,7 @@
 	if errors.Is(err, kv.ErrLeaseExpired) {
 		er.dropLease(lease, "expired")
 	}
-	er.wake.Give()
+	er.wake.Notify()
 }
 
 // nextRenewal returns when the next renewal is due: one renewal interval after the last confirmed one was sent,
--- a/internal/vms/vms.go
+++ b/internal/vms/vms.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// HTTP returns the source for a list served as JSON over HTTP.
-func HTTP(addr string, timeout time.Duration) Source {
+// HTTPSource returns the source for a list served as JSON over HTTPSource.
+func HTTPSource(addr string, timeout time.Duration) Source {
 	client := &fasthttp.Client{NoDefaultUserAgentHeader: true}
 	return Source{Fetch: func(_ context.Context, tag string) ([]vmsmsg.VM, string, bool, error) {
 		req := fasthttp.AcquireRequest()
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -7,9 +7,9 @@
 // New returns a signal that nobody has given.
 func New() Signal { return make(Signal, 1) }
 
-// Give wakes the one that sleeps, now or as soon as it looks. It never waits; several
+// Notify wakes the one that sleeps, now or as soon as it looks. It never waits; several
 // given before it looks count as one.
-func (sg Signal) Give() {
+func (sg Signal) Notify() {
 	select {
 	case sg <- struct{}{}:
 	default:
--- a/internal/wake/wake_test.go
+++ b/internal/wake/wake_test.go
@@ -10,7 +10,7 @@
 func TestGive(t *testing.T) {
 	sg := wake.New()
 	for range 3 {
-		sg.Give()
+		sg.Notify()
 	}
 	<-sg
 	select {
@@ -18,6 +18,6 @@
 		t.Error("signals given together count as more than one")
 	default:
 	}
-	sg.Give()
+	sg.Notify()
 	<-sg
 }
