--- a/cmd/tackbeam/main.go
+++ b/cmd/tackbeam/main.go
@@ -1,4 +1,4 @@
-// Command tackbeam drives a tackbeam cluster from the command line.
+// Command tackbeam operates a tackbeam cluster from the command line.
 package main
 
 import (
--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -1,10 +1,11 @@
-// Package apikey keeps API keys as digests, so that no key stands in memory, logs or messages between nodes.
+// Package apikey represents API keys by digests, so that no key is kept in memory, logs or messages between nodes.
 package apikey
 
 import "crypto/sha256"
 
-// Digest stands for a key. It is a truncated SHA-256: 128 bits, since it travels for each key of a
-// configuration. Looking a digest up tells nothing of the keys that it is compared with.
+// Digest represents a key. It is SHA-256 truncated to 128 bits to keep messages small, because a
+// configuration is sent with the digest of each key. Looking up a digest reveals nothing about the keys
+// with which it is compared.
 type Digest [16]byte
 
 // Sum returns the digest of a key.
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -1,4 +1,4 @@
-// Package frames sends and receives CBOR messages over one WebSocket connection.
+// Package frames sends and receives CBOR messages over a WebSocket connection.
 package frames
 
 import (
@@ -13,11 +13,10 @@
 	"tackbeam.example/tackbeam/internal/wire"
 )
 
-// writeTimeout bounds one write, so that a peer that does not read cannot hold
-// the sender.
+// writeTimeout limits each write, so that a peer that does not read cannot block the sender.
 const writeTimeout = 2 * time.Second
 
-// Conn is one connection. Any number of goroutines may send; one may receive.
+// Conn is a connection. Any number of goroutines may send concurrently, but only one may receive.
 type Conn struct {
 	ws       *websocket.Conn
 	mu       sync.Mutex
@@ -59,25 +58,25 @@
 	return wire.Decode(raw, msg)
 }
 
-// frameHeader returns the bytes of a masked frame's header by its length.
+// frameHeader returns the size of a masked frame's header for a payload of n bytes.
 func frameHeader(n int) int64 {
-	const short, small, mask = 125, 2, 4
+	const maxShortPayload, baseHeader, maskKey = 125, 2, 4
 	switch {
-	case n <= short:
-		return small + mask
+	case n <= maxShortPayload:
+		return baseHeader + maskKey
 	case n < 1<<16:
-		return small + 2 + mask
+		return baseHeader + 2 + maskKey
 	}
-	return small + 8 + mask
+	return baseHeader + 8 + maskKey
 }
 
-// Traffic returns the bytes sent and received so far, without TCP's headers.
+// Traffic returns the number of bytes sent and received so far, without TCP headers.
 func (cn *Conn) Traffic() (sent, received int64) {
 	return cn.sent.Load(), cn.received.Load()
 }
 
-// RemoteAddr returns the address of the other side.
+// RemoteAddr returns the remote address.
 func (cn *Conn) RemoteAddr() net.Addr { return cn.ws.RemoteAddr() }
 
-// Close closes the connection at once.
+// Close closes the connection immediately, without a closing handshake.
 func (cn *Conn) Close() error { return errors.Wrap(cn.ws.Close(), "close connection") }
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,5 +1,5 @@
-// Package kernel starts the named services of a process in order and stops them
-// in the reverse order. Services find each other by name.
+// Package kernel starts the named services of a process in order and stops them in reverse order.
+// Services look each other up by name.
 package kernel
 
 import (
@@ -10,15 +10,15 @@
 	"github.com/samber/do/v2"
 )
 
-// Service is a part of the process that the kernel starts and stops.
+// Service is a component of the process that the kernel starts and stops.
 type Service struct {
-	// Name is the name that other services find this one by.
+	// Name is the name by which other services look this one up.
 	Name string
-	// Build makes the service's value; it may look other services up.
+	// Build creates the service's value; it may look up other services.
 	Build func(kn *Kernel) (any, error)
-	// Start begins work; nil where there is nothing to begin.
+	// Start starts the service; nil if there is nothing to start.
 	Start func(ctx context.Context) error
-	// Stop ends work; nil where there is nothing to end.
+	// Stop stops the service; nil if there is nothing to stop.
 	Stop func(ctx context.Context) error
 }
 
@@ -35,7 +35,7 @@
 	return &Kernel{injector: do.New(), log: log.WithName("kernel")}
 }
 
-// Add builds a service and registers its value under its name.
+// Add builds a service and registers its value under the service's name.
 func (kn *Kernel) Add(sv *Service) error {
 	value, err := sv.Build(kn)
 	if err != nil {
@@ -46,12 +46,12 @@
 	return nil
 }
 
-// Get returns the service of the name, or an error that names it.
+// Get returns the service with the given name. The error contains the name.
 func Get[T any](kn *Kernel, name string) (T, error) {
 	value, err := do.InvokeNamed[any](kn.injector, name)
 	if err != nil {
-		var none T
-		return none, errors.Wrapf(err, "find service %s", name)
+		var zero T
+		return zero, errors.Wrapf(err, "find service %s", name)
 	}
 	typed, ok := value.(T)
 	if !ok {
@@ -60,27 +60,27 @@
 	return typed, nil
 }
 
-// Finder looks up several services and keeps the first error.
+// Finder looks up several services and records the first error.
 type Finder struct {
 	kernel *Kernel
 	err    error
 }
 
-// Finder returns a finder of the kernel's services.
+// Finder returns a finder for the kernel's services.
 func (kn *Kernel) Finder() *Finder { return &Finder{kernel: kn} }
 
-// Err returns why the first service that could not be found was not.
+// Err returns the error of the first lookup that failed.
 func (fd *Finder) Err() error { return fd.err }
 
-// Find stores the service of the name, unless an earlier one was not found.
+// Find stores the service with the given name in into. It does nothing if an earlier lookup failed.
 func Find[T any](fd *Finder, name string, into *T) {
 	if fd.err == nil {
 		*into, fd.err = Get[T](fd.kernel, name)
 	}
 }
 
-// Start starts the services in the order in which they were added. If one
-// fails, those already started are stopped again.
+// Start starts the services in the order in which they were added. If one fails to start, those
+// already started are stopped.
 func (kn *Kernel) Start(ctx context.Context) error {
 	for _, sv := range kn.services {
 		if sv.Start != nil {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// Stop stops the started services in reverse order. Each is stopped even where
-// another fails to.
+// Stop stops the started services in reverse order. A service that fails to stop does not keep the
+// others from being stopped.
 func (kn *Kernel) Stop(ctx context.Context) {
 	for kn.started > 0 {
 		kn.started--
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs makes the structured loggers of the processes. Each part of the
-// system logs under its own fixed prefix, in short sentences.
+// Package logs creates the structured loggers of the processes. Each component logs short sentences
+// under its own fixed name.
 package logs
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/go-logr/logr/funcr"
 )
 
-// Debug is the verbosity of messages that operators seldom need.
+// Debug is the verbosity of messages that operators rarely need.
 const Debug = 1
 
 // New returns a logger that writes JSON lines at or below the verbosity to out.
@@ -21,7 +21,7 @@
 	write := func(line string) {
 		mu.Lock()
 		defer mu.Unlock()
-		_, _ = io.WriteString(out, line+"\n") // a log that cannot be written has nowhere to say so
+		_, _ = io.WriteString(out, line+"\n") // a failure to write the log cannot be logged
 	}
 	return funcr.NewJSON(write, funcr.Options{
 		LogTimestamp:    true,
--- a/internal/logs/queue_test.go
+++ b/internal/logs/queue_test.go
@@ -13,33 +13,33 @@
 	"tackbeam.example/tackbeam/internal/logs"
 )
 
-// gate is a reader that reads only while it is open.
-type gate struct {
+// gatedWriter is a writer that blocks until opened is closed.
+type gatedWriter struct {
 	opened chan struct{}
 	mu     sync.Mutex
 	text   strings.Builder
 }
 
-func (ga *gate) Write(text []byte) (int, error) {
+func (ga *gatedWriter) Write(text []byte) (int, error) {
 	<-ga.opened
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.text.Write(text)
 }
 
-func (ga *gate) lines() []string {
+func (ga *gatedWriter) lines() []string {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return strings.Split(strings.TrimSpace(ga.text.String()), "\n")
 }
 
-// TestReaderThatDoesNotRead writes far more than the queue holds while nobody reads. No
-// write waits. Once somebody reads, the lines that were kept come in order, with one
-// that says how many were dropped, and what is written then is not lost.
-func TestReaderThatDoesNotRead(t *testing.T) {
+// TestStalledReader writes far more lines than the queue holds while the reader is stalled. No write may block.
+// Once the reader continues, it gets the queued lines in order, a line with the number of dropped lines, and
+// the lines written afterwards.
+func TestStalledReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ga := &gate{opened: make(chan struct{})}
+		ga := &gatedWriter{opened: make(chan struct{})}
 		qu := logs.NewQueue(ga)
 		began := time.Now()
 		const written = 20000
@@ -48,17 +48,17 @@
 			is.NoErr(err)
 			is.True(size > 0)
 			if n == 0 {
-				synctest.Wait() // the writer takes the first line, and stands
+				synctest.Wait() // the queue's goroutine takes the first line and blocks
 			}
 		}
-		is.Equal(time.Since(began), time.Duration(0)) // nothing waited
+		is.Equal(time.Since(began), time.Duration(0)) // no write blocked
 		close(ga.opened)
 		synctest.Wait()
 		_, err := fmt.Fprintln(qu, "after")
 		is.NoErr(err)
 		qu.Close()
 		lines := ga.lines()
-		const kept = 4096 + 1 // what waits, and the line that was being written
+		const kept = 4096 + 1 // the queued lines and the line being written
 		is.Equal(len(lines), kept+2)
 		is.Equal(lines[kept-1], fmt.Sprintf("line %d", kept-1))
 		is.True(strings.Contains(lines[kept], fmt.Sprintf(`"lines":%d`, written-kept)))
@@ -66,11 +66,11 @@
 	})
 }
 
-// TestCloseDoesNotHang ends a queue whose reader never reads again: the process has to
-// end all the same.
-func TestCloseDoesNotHang(t *testing.T) {
+// TestCloseWithStalledReader closes a queue whose reader has stopped for good. Close must return so that the process
+// can exit.
+func TestCloseWithStalledReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := &gate{opened: make(chan struct{})}
+		ga := &gatedWriter{opened: make(chan struct{})}
 		qu := logs.NewQueue(ga)
 		if _, err := fmt.Fprintln(qu, "line"); err != nil {
 			t.Error(err)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop runs work at a steady period.
+// Package loop calls functions periodically.
 package loop
 
 import (
@@ -10,7 +10,7 @@
 	"tackbeam.example/tackbeam/internal/wake"
 )
 
-// Every calls act each period until the context ends.
+// Every calls act once per period until the context is cancelled.
 func Every(ctx context.Context, clock clockwork.Clock, period time.Duration, act func()) {
 	tick := clock.NewTicker(period)
 	defer tick.Stop()
@@ -24,20 +24,20 @@
 	}
 }
 
-// Pacer calls an act at a steady period for as long as there is something to do,
-// and sleeps otherwise, so that a node at rest does not wake up for nothing.
+// Pacer calls a function periodically while there is work to do and sleeps otherwise, so that an idle
+// node does not wake up needlessly.
 type Pacer struct{ kick wake.Signal }
 
-// NewPacer returns a pacer that sleeps.
+// NewPacer returns a sleeping pacer.
 func NewPacer() *Pacer { return &Pacer{kick: wake.New()} }
 
-// Kick wakes the pacer; it does not wait.
+// Kick wakes the pacer. It does not block.
 func (pc *Pacer) Kick() {
 	pc.kick.Notify()
 }
 
-// Run calls act each period after a kick, until act reports that nothing is left
-// to do, and sleeps until the next kick. It ends with the context.
+// Run waits for a kick, then calls act once per period until act reports that no work is left, and
+// waits for the next kick. It returns when the context is cancelled.
 func (pc *Pacer) Run(ctx context.Context, clock clockwork.Clock, period time.Duration, act func() (more bool)) {
 	for {
 		select {
@@ -54,7 +54,7 @@
 	}
 }
 
-// Sleep waits, and reports false where the context ended first.
+// Sleep waits for a duration and returns false if the context is cancelled before it has passed.
 func Sleep(ctx context.Context, clock clockwork.Clock, pause time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -11,8 +11,8 @@
 	"tackbeam.example/tackbeam/internal/loop"
 )
 
-// TestPacer kicks a pacer once. It acts until nothing is left, sleeps though time
-// passes, and acts again after another kick, one that came while it was at work too.
+// TestPacer checks that a pacer, once kicked, calls its function until no work is left, then sleeps
+// although time passes, and works again after further kicks, including one that arrives during the work.
 func TestPacer(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -33,7 +33,7 @@
 		})
 	}()
 	step := func() int {
-		is.NoErr(clock.BlockUntilContext(ctx, 1)) // it waits for the period
+		is.NoErr(clock.BlockUntilContext(ctx, 1)) // the pacer waits for the period
 		clock.Advance(time.Second)
 		return <-acts
 	}
--- a/internal/metricsrv/metricsrv.go
+++ b/internal/metricsrv/metricsrv.go
@@ -1,4 +1,4 @@
-// Package metricsrv serves a node's counters and latency histograms as text.
+// Package metricsrv serves a node's metrics as text over HTTP.
 package metricsrv
 
 import (
@@ -17,17 +17,17 @@
 	"tackbeam.example/tackbeam/internal/httpcall"
 )
 
-// Path is where the text is served.
+// Path is the path at which the metrics are served.
 const Path = "/metrics"
 
-// Server serves a registry.
+// Server serves the metrics of a registry.
 type Server struct {
 	registry metrics.Registry
 	log      logr.Logger
 	server   *fasthttp.Server
 }
 
-// New returns a server that does not listen yet.
+// New returns a server that is not listening yet.
 func New(log logr.Logger, registry metrics.Registry) *Server {
 	sr := &Server{registry: registry, log: log.WithName("metrics")}
 	sr.server = &fasthttp.Server{
@@ -36,42 +36,42 @@
 	return sr
 }
 
-// Listen serves at an address until Close.
+// Listen serves requests at an address until Close is called.
 func (sr *Server) Listen(address string) error {
 	ln, err := accept.Listen(sr.log, "tcp4", address)
 	if err != nil {
-		return errors.Wrap(err, "listen for questions about measures")
+		return errors.Wrap(err, "listen for metrics requests")
 	}
 	go func() {
 		if err := sr.server.Serve(ln); err != nil {
-			sr.log.Error(err, "Serving of measures has ended.")
+			sr.log.Error(err, "Metrics server stopped.")
 		}
 	}()
 	return nil
 }
 
-// Close ends the serving.
-func (sr *Server) Close() error { return errors.Wrap(sr.server.Shutdown(), "close measures") }
+// Close shuts the server down.
+func (sr *Server) Close() error { return errors.Wrap(sr.server.Shutdown(), "close metrics server") }
 
 func (sr *Server) serve(rc *fasthttp.RequestCtx) {
 	if string(rc.Path()) != Path {
-		rc.Error("measures are at "+Path, fasthttp.StatusNotFound)
+		rc.Error("metrics are served at "+Path, fasthttp.StatusNotFound)
 		return
 	}
 	rc.SetContentType("text/plain; charset=utf-8")
 	rc.SetBody(Text(sr.registry))
 }
 
-// quantiles that are told of each histogram.
+// quantiles are reported for each histogram.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// Text writes each measure of a registry in a line or more, sorted by name. Times are
-// in seconds.
+// Text returns the metrics of a registry as text, one or more lines for each, sorted by name. Times
+// are in seconds.
 func Text(registry metrics.Registry) []byte {
 	var lines []string
-	registry.Each(func(name string, measure any) {
+	registry.Each(func(name string, metric any) {
 		name = "tackbeam_" + strings.NewReplacer(".", "_", "-", "_").Replace(name)
-		switch ms := measure.(type) {
+		switch ms := metric.(type) {
 		case metrics.Counter:
 			lines = append(lines, fmt.Sprintf("%s_total %d", name, ms.Count()))
 		case metrics.Gauge:
@@ -79,8 +79,8 @@
 		case metrics.Histogram:
 			snap := ms.Snapshot()
 			lines = append(lines, fmt.Sprintf("%s_seconds_count %d", name, snap.Count()))
-			for at, value := range snap.Percentiles(quantiles) {
-				lines = append(lines, fmt.Sprintf("%s_seconds{quantile=%q} %.6f", name, fmt.Sprint(quantiles[at]), time.Duration(value).Seconds()))
+			for i, value := range snap.Percentiles(quantiles) {
+				lines = append(lines, fmt.Sprintf("%s_seconds{quantile=%q} %.6f", name, fmt.Sprint(quantiles[i]), time.Duration(value).Seconds()))
 			}
 		}
 	})
--- a/internal/metricsrv/metricsrv_test.go
+++ b/internal/metricsrv/metricsrv_test.go
@@ -10,7 +10,7 @@
 	"tackbeam.example/tackbeam/internal/timing"
 )
 
-// ExampleText writes a counter, a gauge and a histogram.
+// ExampleText prints a counter, a gauge and a histogram.
 func ExampleText() {
 	registry := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("callers.refused.unavailable", registry).Inc(3)
--- a/internal/nodecli/nodecli.go
+++ b/internal/nodecli/nodecli.go
@@ -1,4 +1,4 @@
-// Package nodecli is the command line of tackbeamd.
+// Package nodecli implements the command line of tackbeamd.
 package nodecli
 
 import (
@@ -24,7 +24,7 @@
 	"tackbeam.example/tackbeam/platform"
 )
 
-// options are the arguments of tackbeamd.
+// options are the command-line options of tackbeamd.
 type options struct {
 	Config     string `long:"config" description:"file with the node's settings, JSON"`
 	Check      bool   `long:"check" description:"check the settings and end"`
@@ -39,7 +39,7 @@
 	Version    bool   `long:"version" description:"print the release and end"`
 }
 
-// Run carries a command line out and returns its exit code.
+// Run executes a command line and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
 	var op options
 	parser := flags.NewParser(&op, flags.HelpFlag|flags.PassDoubleDash)
@@ -79,24 +79,24 @@
 	case op.Standalone:
 		return standalone.Run(ctx, clockwork.NewRealClock(), logs.New(errOut, op.Verbosity), standalone.Options{
 			Listen: op.Listen, Workers: op.Workers, Record: op.Record,
-			OnReady: ready(out),
+			OnReady: printReady(out),
 		})
 	case op.Platform:
 		return platform.Run(out, op.Metrics)
 	case op.Config == "":
 		return fault.New(fault.BadRequest, "give --config FILE, --platform or --standalone; see tackbeamd --help")
 	}
-	return op.node(ctx, out, errOut)
+	return op.runNode(ctx, out, errOut)
 }
 
-// ready tells whoever started the node where it listens.
-func ready(out io.Writer) func(callers, nodes string) {
+// printReady returns a function that prints the addresses at which the node listens.
+func printReady(out io.Writer) func(callers, nodes string) {
 	return func(callers, nodes string) {
 		_, _ = fmt.Fprintf(out, "tackbeamd is up at %s, for nodes at %s\n", callers, nodes)
 	}
 }
 
-func (op *options) node(ctx context.Context, out, errOut io.Writer) error {
+func (op *options) runNode(ctx context.Context, out, errOut io.Writer) error {
 	st, err := settings.Load(op.Config)
 	if err != nil {
 		return err
@@ -109,5 +109,5 @@
 	if err != nil {
 		return err
 	}
-	return dm.Run(ctx, ready(out))
+	return dm.Run(ctx, printReady(out))
 }
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -7,8 +7,8 @@
 	"tackbeam.example/tackbeam/internal/settings"
 )
 
-// FuzzParse feeds any bytes to the reader of settings. What it refuses, it refuses
-// as a bad request; what it takes passes its own check.
+// FuzzParse checks that Parse, given arbitrary bytes, either returns a bad request or settings that
+// pass Check.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"node":"n1"}`))
 	f.Add([]byte(`{"limits":{"queue":1e99},"store":{"addresses":[null]}}`))
@@ -18,9 +18,9 @@
 		st, err := settings.Parse(raw)
 		switch {
 		case err != nil && !fault.Is(err, fault.BadRequest):
-			t.Errorf("refused as %v", err)
+			t.Errorf("Parse returned %v, want a bad request", err)
 		case err == nil && len(st.Check()) > 0:
-			t.Errorf("taken, but %v", st.Check())
+			t.Errorf("Parse accepted invalid settings: %v", st.Check())
 		}
 	})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the settings of a node. Settings are JSON;
-// every fault is named by its path, with what is allowed.
+// Package settings reads and validates the settings of a node. Settings are JSON; an error names the path
+// of each invalid setting and the allowed values.
 package settings
 
 import (
@@ -17,8 +17,7 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// Settings of one node. The tags are the one source of names and documentation;
-// New has the defaults.
+// Settings are the settings of one node. The tags define the names and the documentation, New the defaults.
 type Settings struct {
 	Node   string `json:"node" doc:"name of this node; letters, digits and dashes; no two nodes share one"`
 	Region string `json:"region" doc:"region that the node is in"`
@@ -34,12 +33,12 @@
 	Record Record `json:"record" doc:"the recorder of decisions"`
 }
 
-// HTTP is the callers' and operators' side.
+// HTTP configures the server for callers and operators.
 type HTTP struct {
 	Listen string `json:"listen" doc:"IP address and port to listen on"`
 }
 
-// Peer is the side towards the other nodes.
+// Peer configures the connections to the other nodes.
 type Peer struct {
 	Listen    string `json:"listen" doc:"IP address and UDP port to listen on"`
 	Advertise string `json:"advertise" doc:"address that other nodes use; empty means the one listened on"`
@@ -48,7 +47,7 @@
 	CA        string `json:"ca" doc:"file with the certificates that sign nodes, PEM"`
 }
 
-// Store is the platform's key-value service.
+// Store configures the use of the platform's key-value service.
 type Store struct {
 	Addresses []string      `json:"addresses" doc:"IP addresses and ports, tried in order"`
 	Writes    float64       `json:"writes" doc:"writes a second that all nodes together may make"`
@@ -57,19 +56,19 @@
 	Lease     time.Duration `json:"lease" doc:"how long a node's own record outlives its last renewal"`
 }
 
-// VMs is the platform's list of VMs.
+// VMs configures how the platform's list of VMs is read.
 type VMs struct {
 	Address string        `json:"address" doc:"IP address and port of the list"`
 	Every   time.Duration `json:"every" doc:"time between two reads of the list"`
 }
 
-// Owner is the owner's side of the workers.
+// Owner configures how a node owns workers.
 type Owner struct {
 	MaxLease   time.Duration `json:"lease" doc:"longest lease that a worker may have; a worker with a longer one is not used"`
 	LeaseGuard time.Duration `json:"guard" doc:"time beyond a worker's lease after which its tasks surely count as ended; a node cut off from all others stops renewing after two thirds of it"`
 }
 
-// Limits on what callers send and what may wait.
+// Limits are the limits on requests, queues and jobs, and the times of jobs and of a planned stop.
 type Limits struct {
 	LookupBody        int           `json:"lookup_body" doc:"bytes in the body of a lookup"`
 	JobBody           int           `json:"job_body" doc:"bytes in the body of a job"`
@@ -84,23 +83,23 @@
 	UnreadyDelay      time.Duration `json:"unready" doc:"time that a stopping node still serves callers, for the balancer to notice"`
 }
 
-// Member is how nodes watch each other.
+// Member configures how nodes monitor each other.
 type Member struct {
 	HeartbeatInterval time.Duration `json:"beat" doc:"time between two heartbeats to each node"`
 	SuspectAfter      time.Duration `json:"suspect" doc:"silence after which a node counts as not heard"`
 }
 
-// Log is the structured log.
+// Log configures the structured log.
 type Log struct {
 	Verbosity int `json:"verbosity" doc:"0 for what operators need, 1 for more"`
 }
 
-// Record is the recorder of decisions.
+// Record configures the recorder of decisions.
 type Record struct {
 	Path string `json:"path" doc:"file that the inputs of the decisions are written to; empty records nothing"`
 }
 
-// New returns the defaults.
+// New returns the default settings.
 func New() *Settings {
 	return &Settings{
 		Region: "local",
@@ -123,7 +122,7 @@
 	}
 }
 
-// Load reads settings from a file, over the defaults, and checks them.
+// Load reads settings from a file, applies them over the defaults and validates the result.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -132,7 +131,7 @@
 	return Parse(raw)
 }
 
-// Parse reads settings from JSON, over the defaults, and checks them.
+// Parse reads settings from JSON, applies them over the defaults and validates the result.
 func Parse(raw []byte) (*Settings, error) {
 	var tree map[string]any
 	if err := json.Unmarshal(raw, &tree); err != nil {
@@ -146,7 +145,7 @@
 		MatchName:  func(key, field string) bool { return key == field },
 	})
 	if err != nil {
-		return nil, errors.Wrap(err, "make settings decoder")
+		return nil, errors.Wrap(err, "create settings decoder")
 	}
 	if err := dec.Decode(tree); err != nil {
 		return nil, fault.New(fault.BadRequest, "settings: %s", oneLine(err))
@@ -156,8 +155,8 @@
 		return nil, fault.New(fault.BadRequest, "settings: %s: no such setting; see tackbeamd --settings",
 			strings.Join(meta.Unused, ", "))
 	}
-	if faults := st.Check(); len(faults) > 0 {
-		return nil, fault.New(fault.BadRequest, "settings: %s", strings.Join(faults, "; "))
+	if violations := st.Check(); len(violations) > 0 {
+		return nil, fault.New(fault.BadRequest, "settings: %s", strings.Join(violations, "; "))
 	}
 	return st, nil
 }
@@ -166,42 +165,42 @@
 	return strings.Join(strings.Fields(strings.ReplaceAll(err.Error(), "\n", " ")), " ")
 }
 
-// Field documents one setting.
+// Field describes one setting.
 type Field struct {
-	path    string
-	initial string
-	doc     string
+	path         string
+	defaultValue string
+	doc          string
 }
 
 // Path returns the setting's path, for example "store.timeout".
 func (fd Field) Path() string { return fd.path }
 
-// Default returns the value of a setting that is left out.
-func (fd Field) Default() string { return fd.initial }
+// Default returns the setting's default value.
+func (fd Field) Default() string { return fd.defaultValue }
 
-// Doc returns what the setting means.
+// Doc returns the setting's description.
 func (fd Field) Doc() string { return fd.doc }
 
-// Fields lists every setting with its default and meaning.
+// Fields returns all settings with their defaults and descriptions.
 func Fields() []Field { return fields("", reflect.ValueOf(*New())) }
 
 func fields(prefix string, value reflect.Value) []Field {
 	var all []Field
 	for i := range value.NumField() {
-		kind := value.Type().Field(i)
-		path := prefix + kind.Tag.Get("json")
-		if kind.Type.Kind() == reflect.Struct {
+		field := value.Type().Field(i)
+		path := prefix + field.Tag.Get("json")
+		if field.Type.Kind() == reflect.Struct {
 			all = append(all, fields(path+".", value.Field(i))...)
 			continue
 		}
 		all = append(all, Field{
-			path: path, initial: fmt.Sprint(value.Field(i).Interface()), doc: kind.Tag.Get("doc"),
+			path: path, defaultValue: fmt.Sprint(value.Field(i).Interface()), doc: field.Tag.Get("doc"),
 		})
 	}
 	return all
 }
 
-// Document returns the page on settings, as docs/settings.md has it.
+// Document returns the documentation of all settings, which docs/settings.md contains.
 func Document() string {
 	var page strings.Builder
 	page.WriteString("# Settings of tackbeamd\n\n")
@@ -209,7 +208,7 @@
 	page.WriteString("Times are strings such as `\"250ms\"` or `\"3s\"`. An unknown setting is refused.\n\n")
 	page.WriteString("| path | default | meaning |\n| --- | --- | --- |\n")
 	for _, fd := range Fields() {
-		fmt.Fprintf(&page, "| `%s` | `%s` | %s |\n", fd.path, fd.initial, fd.doc)
+		fmt.Fprintf(&page, "| `%s` | `%s` | %s |\n", fd.path, fd.defaultValue, fd.doc)
 	}
 	return page.String()
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,22 +1,21 @@
-// Package site describes where a node runs and what the deployment promises: what a
-// node knows from its settings before it has talked to anybody.
+// Package site describes a node's place in the deployment and the time limits that the deployment
+// guarantees. A node reads them from its settings, before it contacts any other component.
 package site
 
 import "time"
 
-// Site is one node's place in a deployment.
+// Site is the place of one node in a deployment.
 type Site struct {
 	Node   string
 	Hall   string
 	Region string
 	// IP is the node's address.
 	IP string
-	// Processors is what the node may use of the processors, in cores; 0 where the
-	// settings do not tell.
+	// Processors is the number of cores that the node may use; 0 if the settings do not specify it.
 	Processors float64
-	// LinkMbps is the bandwidth of the node's link in Mbit/s; 0 where the settings do not tell.
+	// LinkMbps is the bandwidth of the node's network link in Mbit/s; 0 if the settings do not specify it.
 	LinkMbps float64
-	// MaxSockets is how many sockets the process may have open; 0 where the settings do not tell.
+	// MaxSockets is the number of sockets that the process may have open; 0 if the settings do not specify it.
 	MaxSockets int
 	// CallerAddr, ReadyAddr and PeerAddr are the addresses to listen on for callers, for the load
 	// balancer's readiness checks and for other nodes.
@@ -34,22 +33,22 @@
 	Bounds      Bounds
 }
 
-// Bounds are the times that the deployment promises or allows.
+// Bounds are the time limits that the deployment guarantees or requires.
 type Bounds struct {
-	// Grace is the time between the order to end and the kill.
+	// Grace is the time between the order to stop and the kill.
 	Grace time.Duration
-	// MaxLease is the longest lease that a worker grants.
+	// MaxLease is the maximum duration of a lease that a worker grants.
 	MaxLease time.Duration
-	// MinLease is the shortest lease of the store.
+	// MinLease is the minimum duration of a lease in the store.
 	MinLease time.Duration
-	// JobRetention is how long the state of an ended job can be asked for.
+	// JobRetention is how long the state of a finished job can be queried.
 	JobRetention time.Duration
-	// StopTimeout is how long a worker takes to end a run.
+	// StopTimeout is the longest time that a worker takes to stop a run.
 	StopTimeout time.Duration
-	// Contact is how long a node must have been undisturbed for promises with a time to bind it; 0
-	// where the settings do not tell.
+	// Contact is how long a node must have been in undisturbed contact before guarantees with a time limit
+	// apply to it; 0 if the settings do not specify it.
 	Contact time.Duration
-	// ConfigApplyTime is within how long of its confirmation a change of the configuration is to be in
-	// force; 0 where the settings do not tell.
+	// ConfigApplyTime is the time after its confirmation within which a change of the configuration must be
+	// active; 0 if the settings do not specify it.
 	ConfigApplyTime time.Duration
 }
--- a/internal/standalone/standalone.go
+++ b/internal/standalone/standalone.go
@@ -1,5 +1,4 @@
-// Package standalone runs one node with stand-ins of the whole platform in the
-// same process, for a first look.
+// Package standalone runs one node and stand-ins for the whole platform in one process, for demos.
 package standalone
 
 import (
@@ -19,8 +18,8 @@
 	"tackbeam.example/tackbeam/internal/standin/standinvms"
 )
 
-// node is the name of the one node.
-const node = "node-1"
+// nodeName is the name of the only node.
+const nodeName = "node-1"
 
 // Options of a standalone run.
 type Options struct {
@@ -28,20 +27,20 @@
 	Listen string
 	// Workers is the number of stand-in workers.
 	Workers int
-	// Record is the file for the trace of decisions; empty is none.
+	// Record is the file to which the trace of decisions is written; empty for none.
 	Record string
-	// OnReady is called with the addresses once the node is up.
+	// OnReady is called with the node's addresses once the node is up.
 	OnReady func(callers, nodes string)
 }
 
-// Run runs the node until the context ends or it is drained.
+// Run runs the node until the context is cancelled or the node is drained.
 func Run(ctx context.Context, clock clockwork.Clock, log logr.Logger, opts Options) error {
 	dir, err := os.MkdirTemp("", "tackbeam-keys-")
 	if err != nil {
 		return errors.Wrap(err, "make key directory")
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // only test keys are left behind
-	if err := keys.Issue(dir, []string{node}); err != nil {
+	defer func() { _ = os.RemoveAll(dir) }() // on failure only test keys remain
+	if err := keys.Issue(dir, []string{nodeName}); err != nil {
 		return err
 	}
 	store, err := standinstore.New(standinstore.Options{})
@@ -71,11 +70,11 @@
 
 func nodeSettings(dir, store, list string, opts Options) *settings.Settings {
 	st := settings.New()
-	st.Node = node
+	st.Node = nodeName
 	st.HTTP.Listen = opts.Listen
 	st.Peer.Listen = "127.0.0.1:0"
-	st.Peer.Cert = filepath.Join(dir, node+keys.CertSuffix)
-	st.Peer.Key = filepath.Join(dir, node+keys.KeySuffix)
+	st.Peer.Cert = filepath.Join(dir, nodeName+keys.CertSuffix)
+	st.Peer.Key = filepath.Join(dir, nodeName+keys.KeySuffix)
 	st.Peer.CA = filepath.Join(dir, keys.CAFile)
 	st.Store.Addresses = []string{store}
 	st.VMs.Address = list
--- a/internal/storemsg/storemsg.go
+++ b/internal/storemsg/storemsg.go
@@ -1,8 +1,8 @@
-// Package storemsg holds the bodies of the platform's key-value service, as the
-// stand-in store speaks them: JSON over HTTP, values in base64.
+// Package storemsg defines the request and response bodies of the platform's key-value service as the
+// stand-in store implements it: JSON over HTTP, with values in base64.
 package storemsg
 
-// The paths of the service. Put and Lease count as writes, Get and Watch as reads.
+// HTTP paths of the service. Put and Lease count as writes, Get and Watch as reads.
 const (
 	GetPath   = "/v1/get"
 	PutPath   = "/v1/put"
@@ -10,11 +10,11 @@
 	WatchPath = "/v1/watch"
 )
 
-// MaxValue is the largest value in bytes.
+// MaxValue is the maximum size of a value in bytes.
 const MaxValue = 1 << 20
 
-// Item is one key. Version is the store's revision at the key's last change; a
-// key that is absent has version 0.
+// Item is a key with its value. Version is the store's revision at the key's last change, or 0 if the
+// key does not exist.
 type Item struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value,omitempty"`
@@ -22,21 +22,21 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// GetRequest reads one key, or all keys with a prefix.
+// GetRequest reads one key or all keys with a prefix.
 type GetRequest struct {
 	Key    string `json:"key,omitempty"`
 	Prefix string `json:"prefix,omitempty"`
 }
 
-// ItemsResponse answers a get or a watch. Compacted says that changes after the
-// watch's revision were forgotten; the caller reads everything again.
+// ItemsResponse is the response to a get or a watch. Compacted means that the store no longer has all
+// changes after the watch's revision, so the caller must read all items again.
 type ItemsResponse struct {
 	Items     []Item `json:"items"`
 	Revision  uint64 `json:"revision"`
 	Compacted bool   `json:"compacted,omitempty"`
 }
 
-// PutRequest changes a key if its version is still Version.
+// PutRequest changes a key if its version equals Version.
 type PutRequest struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value,omitempty"`
@@ -45,26 +45,25 @@
 	Lease   string `json:"lease,omitempty"`
 }
 
-// PutResponse says whether the change took effect, with the key as it is now.
+// PutResponse states whether the change was made and contains the key's current item.
 type PutResponse struct {
 	OK   bool `json:"ok"`
 	Item Item `json:"item"`
 }
 
-// LeaseRequest makes a lease, or renews the one of the id. TTL is in milliseconds.
+// LeaseRequest creates a lease, or renews the one with the given ID. TTL is in milliseconds.
 type LeaseRequest struct {
 	ID  string `json:"id,omitempty"`
 	TTL int64  `json:"ttl_ms"`
 }
 
-// LeaseResponse names the lease.
+// LeaseResponse identifies the lease. TTL is in milliseconds.
 type LeaseResponse struct {
 	ID  string `json:"id"`
 	TTL int64  `json:"ttl_ms"`
 }
 
-// WatchRequest waits for changes under a prefix after a revision, at most Wait
-// milliseconds.
+// WatchRequest waits for up to Wait milliseconds for changes under a prefix after a revision.
 type WatchRequest struct {
 	Prefix string `json:"prefix"`
 	After  uint64 `json:"after"`
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,4 +1,4 @@
-// Package timing keeps how long things took as histograms.
+// Package timing records durations in histograms.
 package timing
 
 import (
@@ -7,14 +7,14 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// reservoir is the number of values that a histogram draws its quantiles from.
-const reservoir = 512
+// sampleSize is the number of values that a histogram keeps to compute its quantiles.
+const sampleSize = 512
 
-// Observe adds a time to the histogram of a name. It uses no timer of the metrics
-// library: those run a clock of their own for rates that nobody reads.
+// Observe adds a duration to the histogram with the given name. It does not use the timers of the
+// metrics library, because these run a ticker for rates that nothing reads.
 func Observe(registry metrics.Registry, name string, took time.Duration) {
-	fresh := func() metrics.Histogram { return metrics.NewHistogram(metrics.NewUniformSample(reservoir)) }
-	if hi, ok := registry.GetOrRegister(name, fresh).(metrics.Histogram); ok {
+	newHistogram := func() metrics.Histogram { return metrics.NewHistogram(metrics.NewUniformSample(sampleSize)) }
+	if hi, ok := registry.GetOrRegister(name, newHistogram).(metrics.Histogram); ok {
 		hi.Update(int64(took))
 	}
 }
--- a/internal/vms/vms.go
+++ b/internal/vms/vms.go
@@ -1,4 +1,4 @@
-// Package vms reads the platform's list of VMs, which lags.
+// Package vms reads the platform's list of VMs, which lags behind the actual VMs.
 package vms
 
 import (
@@ -15,42 +15,42 @@
 	"tackbeam.example/tackbeam/internal/vmsmsg"
 )
 
-// Source reads the list. Fetch is a seam: it returns the list and true, or
-// false where the list has not changed since the tag.
+// Source reads the list. Fetch, which tests replace, returns the list and true, or false if the list
+// has not changed since the given entity tag.
 type Source struct {
 	Fetch func(ctx context.Context, tag string) (vms []vmsmsg.VM, newTag string, changed bool, err error)
 }
 
 // List is this node's copy of the list.
 type List struct {
-	clock  clockwork.Clock
-	log    logr.Logger
-	source Source
-	every  time.Duration
+	clock    clockwork.Clock
+	log      logr.Logger
+	source   Source
+	interval time.Duration
 
-	mu     sync.Mutex
-	vms    map[string]vmsmsg.VM
-	subs   []func(map[string]vmsmsg.VM)
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
+	mu          sync.Mutex
+	vms         map[string]vmsmsg.VM
+	subscribers []func(map[string]vmsmsg.VM)
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
 }
 
-// New returns an empty copy that is read anew each period.
-func New(clock clockwork.Clock, log logr.Logger, source Source, every time.Duration) *List {
+// New returns an empty copy. Once started, it is refreshed at the given interval.
+func New(clock clockwork.Clock, log logr.Logger, source Source, interval time.Duration) *List {
 	return &List{
-		clock: clock, log: log.WithName("vms"), source: source, every: every,
+		clock: clock, log: log.WithName("vms"), source: source, interval: interval,
 		vms: map[string]vmsmsg.VM{},
 	}
 }
 
-// Subscribe calls act with each changed list. The function does not change it.
+// Subscribe registers a function that is called with each changed list. The function must not modify it.
 func (ls *List) Subscribe(act func(map[string]vmsmsg.VM)) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	ls.subs = append(ls.subs, act)
+	ls.subscribers = append(ls.subscribers, act)
 }
 
-// Get returns what the list last said of a VM.
+// Get returns a VM's entry as last read.
 func (ls *List) Get(name string) (vmsmsg.VM, bool) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -65,7 +65,7 @@
 	return len(ls.vms)
 }
 
-// Start begins to read the list.
+// Start starts reading the list.
 func (ls *List) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	ls.cancel = cancel
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Stop ends the reading.
+// Stop stops reading the list and waits for the reader to exit.
 func (ls *List) Stop(context.Context) error {
 	if ls.cancel != nil {
 		ls.cancel()
@@ -90,14 +90,14 @@
 		vms, next, changed, err := ls.source.Fetch(ctx, tag)
 		switch {
 		case err != nil:
-			ls.log.V(1).Info("List of VMs cannot be read.", "cause", err.Error())
+			ls.log.V(1).Info("Failed to read the list of VMs.", "cause", err.Error())
 		case changed:
 			tag = next
 			ls.apply(vms)
 		}
 		select {
 		case <-ctx.Done():
-		case <-ls.clock.After(ls.every):
+		case <-ls.clock.After(ls.interval):
 		}
 	}
 }
@@ -109,14 +109,14 @@
 	}
 	ls.mu.Lock()
 	ls.vms = next
-	subs := ls.subs
+	subscribers := ls.subscribers
 	ls.mu.Unlock()
-	for _, act := range subs {
+	for _, act := range subscribers {
 		act(next)
 	}
 }
 
-// HTTPSource returns the source for a list served as JSON over HTTPSource.
+// HTTPSource returns a source that reads the list as JSON over HTTP.
 func HTTPSource(addr string, timeout time.Duration) Source {
 	client := &fasthttp.Client{NoDefaultUserAgentHeader: true}
 	return Source{Fetch: func(_ context.Context, tag string) ([]vmsmsg.VM, string, bool, error) {
@@ -136,7 +136,7 @@
 			return nil, tag, false, nil
 		case fasthttp.StatusOK:
 		default:
-			return nil, tag, false, errors.Errorf("list of VMs answered %d", rsp.StatusCode())
+			return nil, tag, false, errors.Errorf("list of VMs returned HTTP status %d", rsp.StatusCode())
 		}
 		var vms []vmsmsg.VM
 		if err := json.Unmarshal(rsp.Body(), &vms); err != nil {
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -1,14 +1,14 @@
-// Package wake lets one goroutine wake another.
+// Package wake provides a signal by which one goroutine wakes another.
 package wake
 
-// Signal is received from by the one that sleeps.
+// Signal wakes the goroutine that receives from it.
 type Signal chan struct{}
 
-// New returns a signal that nobody has given.
+// New returns a signal without a pending notification.
 func New() Signal { return make(Signal, 1) }
 
-// Notify wakes the one that sleeps, now or as soon as it looks. It never waits; several
-// given before it looks count as one.
+// Notify wakes the receiver, now or at its next receive. It never blocks, and several notifications before
+// the next receive count as one.
 func (sg Signal) Notify() {
 	select {
 	case sg <- struct{}{}:
--- a/internal/wake/wake_test.go
+++ b/internal/wake/wake_test.go
@@ -6,8 +6,8 @@
 	"tackbeam.example/tackbeam/internal/wake"
 )
 
-// TestGive gives a signal more often than anybody looks: no call waits, and one is kept.
-func TestGive(t *testing.T) {
+// TestNotify checks that Notify never blocks and that notifications that were not received yet count as one.
+func TestNotify(t *testing.T) {
 	sg := wake.New()
 	for range 3 {
 		sg.Notify()
@@ -15,7 +15,7 @@
 	<-sg
 	select {
 	case <-sg:
-		t.Error("signals given together count as more than one")
+		t.Error("several pending notifications count as more than one")
 	default:
 	}
 	sg.Notify()
