--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of tackbeam: a list of commands, each in a
-// file of its own, from which the help and the pages in docs/commands are made.
+// Package cli implements the command line of tackbeam as a list of commands, each in its own file. The
+// help and the pages in docs/commands are generated from this list.
 package cli
 
 import (
@@ -17,19 +17,19 @@
 	"tackbeam.example/tackbeam/internal/fault"
 )
 
-// Command is one command of the list.
+// Command describes one command.
 type Command struct {
-	// Name is what the user types; a space parts a command from its own.
+	// Name is what the user types; a space separates a command group from its command.
 	Name string
-	// Summary says in one line what the command does.
+	// Summary describes the command in one line.
 	Summary string
-	// Doc explains it, with an example.
+	// Doc describes the command in full, with an example.
 	Doc string
-	// New returns the command's arguments with their defaults and its action.
+	// New returns the command's go-flags value: its options and arguments, and its Execute method.
 	New func(env *Env) any
 }
 
-// Env is what a command works with.
+// Env is the environment of a command: its input and output and the common options.
 type Env struct {
 	In      io.Reader
 	Out     io.Writer
@@ -37,14 +37,14 @@
 	Options Options
 }
 
-// Options are the options that every command takes.
+// Options are the options common to all commands.
 type Options struct {
 	Node    []string      `long:"node" env:"TACKBEAM_NODE" env-delim:"," default:"127.0.0.1:7420" description:"address of a node; give several to try them in order"`
 	JSON    bool          `long:"json" description:"print JSON"`
 	Timeout time.Duration `long:"timeout" default:"10s" description:"how long to wait for an answer"`
 }
 
-// commands is the list, in the order of the help.
+// commands returns all commands in the order of the help.
 func commands() []Command {
 	return []Command{
 		cmdTableShow, cmdTableGet, cmdTableSet, cmdTableRemove, cmdTableHistory, cmdTableWatch,
@@ -54,19 +54,19 @@
 	}
 }
 
-// groups are the commands that only hold others.
+// groups maps the name of each command group to its summary.
 var groups = map[string]string{
 	"table":   "show and edit the operators' table",
 	"jobs":    "list, show and cancel jobs",
 	"standin": "run stand-ins of the platform, for demos and tests",
 }
 
-// Run carries a command line out and returns its exit code.
+// Run executes a command line and returns the exit code.
 func Run(args []string, in io.Reader, out, errOut io.Writer) int {
 	env := &Env{In: in, Out: out, Err: errOut}
 	parser, err := newParser(env)
 	if err != nil {
-		return env.fail(err)
+		return env.reportError(err)
 	}
 	_, err = parser.ParseArgs(args)
 	var fe *flags.Error
@@ -75,38 +75,38 @@
 			_, _ = fmt.Fprintln(out, fe.Message)
 			return 0
 		}
-		return env.fail(fault.New(fault.BadRequest, "%s; see tackbeam --help", fe.Message))
+		return env.reportError(fault.New(fault.BadRequest, "%s; see tackbeam --help", fe.Message))
 	}
-	return env.fail(err)
+	return env.reportError(err)
 }
 
 func newParser(env *Env) (*flags.Parser, error) {
 	parser := flags.NewParser(&env.Options, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = "tackbeam"
 	parser.LongDescription = "drive a tackbeam cluster: its table, its jobs and its nodes"
-	made := map[string]*flags.Command{}
+	groupCommands := map[string]*flags.Command{}
 	for _, cm := range commands() {
-		into := parser.Command
+		parent := parser.Command
 		name := cm.Name
 		if group, rest, ok := strings.Cut(cm.Name, " "); ok {
-			if made[group] == nil {
+			if groupCommands[group] == nil {
 				gc, err := parser.AddCommand(group, groups[group], "", &struct{}{})
 				if err != nil {
 					return nil, errors.Wrap(err, "add command group")
 				}
-				made[group] = gc
+				groupCommands[group] = gc
 			}
-			into, name = made[group], rest
+			parent, name = groupCommands[group], rest
 		}
-		if _, err := into.AddCommand(name, cm.Summary, cm.Doc, cm.New(env)); err != nil {
+		if _, err := parent.AddCommand(name, cm.Summary, cm.Doc, cm.New(env)); err != nil {
 			return nil, errors.Wrapf(err, "add command %s", cm.Name)
 		}
 	}
 	return parser, nil
 }
 
-// fail says an error once and returns its exit code; 0 for none.
-func (env *Env) fail(err error) int {
+// reportError prints an error as one line and returns its exit code, or 0 for nil.
+func (env *Env) reportError(err error) int {
 	if err == nil {
 		return 0
 	}
@@ -119,12 +119,12 @@
 	return er.Kind.Answer().Exit()
 }
 
-// client returns a client of the nodes that the options name.
+// client returns a client for the nodes given by the options.
 func (env *Env) client() *client.Client {
 	return client.New(env.Options.Timeout, env.Options.Node...)
 }
 
-// print writes a value as JSON where that is asked for, otherwise as a table.
+// print writes a value as JSON if --json is given, and as a table otherwise.
 func (env *Env) print(value any, table func(io.Writer)) error {
 	if !env.Options.JSON {
 		table(env.Out)
@@ -135,7 +135,7 @@
 	return errors.Wrap(enc.Encode(value), "print JSON")
 }
 
-// readFile reads a file, or standard input for "-".
+// readFile reads a file, or standard input if the path is "-".
 func (env *Env) readFile(path string) ([]byte, error) {
 	if path == "-" {
 		raw, err := io.ReadAll(env.In)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -12,20 +12,20 @@
 	"tackbeam.example/tackbeam/internal/cli"
 )
 
-// run carries a command line out and returns its exit code and what it printed.
+// run executes a command line and returns its exit code and output.
 func run(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = cli.Run(args, strings.NewReader(""), &o, &e)
 	return code, o.String(), e.String()
 }
 
-// TestExitCodes shows that each failure says one line and exits by its kind.
+// TestExitCodes checks that each failure prints one line and exits with the code of its kind of error.
 func TestExitCodes(t *testing.T) {
-	nowhere := []string{"--node", "127.0.0.1:1", "--timeout", "1s"}
+	unreachable := []string{"--node", "127.0.0.1:1", "--timeout", "1s"}
 	cases := map[string]struct {
-		args []string
-		code int
-		says string
+		args    []string
+		code    int
+		wantErr string
 	}{
 		"version":            {[]string{"version"}, 0, ""},
 		"help":               {[]string{"--help"}, 0, ""},
@@ -34,27 +34,27 @@
 		"unknown option":     {[]string{"nodes", "--fast"}, 2, "fast"},
 		"missing argument":   {[]string{"table", "get"}, 2, "ROW"},
 		"bad row":            {[]string{"table", "get", "brno"}, 2, "workspace/NAME"},
-		"payload is no JSON": {[]string{"submit", "push", "-w", "brno", "--payload", "{"}, 2, "not JSON"},
+		"payload not JSON":   {[]string{"submit", "push", "-w", "brno", "--payload", "{"}, 2, "not JSON"},
 		"no such trace":      {[]string{"replay", "/none"}, 2, "/none"},
 		"no such policy":     {[]string{"replay", "--compare", "best", "../../traces/brno-day.jsonl.gz"}, 2, "no policy best"},
-		"no such recipe":     {[]string{"trace", "zlin-day", "/none"}, 2, "brno-day"},
+		"no such workload":   {[]string{"trace", "zlin-day", "/none"}, 2, "brno-day"},
 		"drain without yes":  {[]string{"drain", "n1"}, 18, "--yes"},
 		"remove without yes": {[]string{"table", "remove", "workspace/brno"}, 18, "--yes"},
-		"node not reached":   {append(nowhere, "nodes"), 14, "127.0.0.1:1"},
+		"node unreachable":   {append(unreachable, "nodes"), 14, "127.0.0.1:1"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			code, _, errOut := run(tc.args...)
 			is.Equal(code, tc.code)
-			is.True(strings.Contains(errOut, tc.says))
-			is.True(strings.Count(errOut, "\n") == min(tc.code, 1)) // one line, or none
+			is.True(strings.Contains(errOut, tc.wantErr))
+			is.True(strings.Count(errOut, "\n") == min(tc.code, 1)) // one line on failure, none on success
 		})
 	}
 }
 
-// TestPagesAreCurrent compares docs/commands with what the list of commands makes.
-func TestPagesAreCurrent(t *testing.T) {
+// TestPagesUpToDate checks that docs/commands contains the pages that are generated from the list of commands.
+func TestPagesUpToDate(t *testing.T) {
 	is := is.New(t)
 	pages, err := cli.Pages()
 	is.NoErr(err)
--- a/internal/cli/cmd_drain.go
+++ b/internal/cli/cmd_drain.go
@@ -27,7 +27,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *drain) Execute([]string) error {
 	if !cm.Yes {
 		return fault.New(fault.Denied, "draining %s needs --yes", cm.Args.Name)
--- a/internal/cli/cmd_errors.go
+++ b/internal/cli/cmd_errors.go
@@ -17,16 +17,16 @@
 
 type errorsCommand struct{ env *Env }
 
-// errorRow is one kind as JSON shows it.
+// errorRow is the JSON output for one kind of error.
 type errorRow struct {
-	Kind    fault.Kind `json:"kind"`
-	Status  int        `json:"status"`
-	Exit    int        `json:"exit"`
-	Again   bool       `json:"again"`
-	Meaning string     `json:"meaning"`
+	Kind      fault.Kind `json:"kind"`
+	Status    int        `json:"status"`
+	Exit      int        `json:"exit"`
+	Retryable bool       `json:"again"`
+	Meaning   string     `json:"meaning"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *errorsCommand) Execute([]string) error {
 	var rows []errorRow
 	for kd, an := range fault.Kinds() {
@@ -36,7 +36,7 @@
 	return cm.env.print(rows, func(out io.Writer) {
 		gr := newGrid(out, "kind", "status", "exit", "again", "meaning")
 		for _, rw := range rows {
-			gr.line(string(rw.Kind), strconv.Itoa(rw.Status), strconv.Itoa(rw.Exit), yesNo(rw.Again), rw.Meaning)
+			gr.line(string(rw.Kind), strconv.Itoa(rw.Status), strconv.Itoa(rw.Exit), yesNo(rw.Retryable), rw.Meaning)
 		}
 		gr.flush()
 	})
--- a/internal/cli/cmd_jobs_cancel.go
+++ b/internal/cli/cmd_jobs_cancel.go
@@ -22,7 +22,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *jobsCancel) Execute([]string) error {
 	vw, err := client.JSON[api.Job](cm.env.client(), client.Request{
 		Method: http.MethodDelete, Path: api.PathJobs + "/" + cm.Args.Job,
--- a/internal/cli/cmd_jobs_list.go
+++ b/internal/cli/cmd_jobs_list.go
@@ -24,7 +24,7 @@
 	Limit     int    `long:"limit" default:"100" description:"at most so many"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *jobsList) Execute([]string) error {
 	query := map[string]string{"limit": strconv.Itoa(cm.Limit)}
 	if cm.Workspace != "" {
@@ -42,8 +42,8 @@
 func printJobs(out io.Writer, list api.Jobs) {
 	gr := newGrid(out, "job", "workspace", "workload", "tasks", "state", "answer", "result", "submitted", "reason")
 	for _, jb := range list.Jobs {
-		gr.line(jb.ID, jb.Workspace, jb.Workload, strconv.Itoa(jb.Count), jb.State, dash(jb.Answer),
-			dash(jb.Result), jb.Submitted.Format(time.DateTime), dash(jb.Reason))
+		gr.line(jb.ID, jb.Workspace, jb.Workload, strconv.Itoa(jb.Count), jb.State, orDash(jb.Answer),
+			orDash(jb.Result), jb.Submitted.Format(time.DateTime), orDash(jb.Reason))
 	}
 	gr.flush()
 	printUnreached(out, list.Unreached)
--- a/internal/cli/cmd_jobs_show.go
+++ b/internal/cli/cmd_jobs_show.go
@@ -25,7 +25,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *jobsShow) Execute([]string) error {
 	vw, err := client.JSON[api.Job](cm.env.client(), client.Request{
 		Method: "GET", Path: api.PathJobs + "/" + cm.Args.Job,
--- a/internal/cli/cmd_keys.go
+++ b/internal/cli/cmd_keys.go
@@ -22,7 +22,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *keysCommand) Execute([]string) error {
 	if err := keys.Issue(cm.Args.Dir, cm.Args.Nodes); err != nil {
 		return err
--- a/internal/cli/cmd_load.go
+++ b/internal/cli/cmd_load.go
@@ -32,26 +32,26 @@
 }
 
 type loadCommand struct {
-	env        *Env
-	Workspaces []string      `short:"w" long:"workspace" description:"workspace that asks; give several"`
-	Lookups    float64       `long:"lookups" description:"lookups a second"`
-	Jobs       float64       `long:"jobs" description:"jobs a second, of one task each"`
-	Time       time.Duration `long:"time" default:"10s" description:"how long to send"`
-	Trace      string        `long:"trace" description:"workload trace whose jobs and lookups to send, instead of rates"`
-	Seed       uint64        `long:"seed" default:"1" description:"where the chance begins; job keys are made from it"`
-	Service    string        `long:"service" default:"lookup" description:"workload of the lookups"`
-	Batch      string        `long:"batch" default:"push" description:"workload of the jobs"`
-	Run        time.Duration `long:"run" default:"100ms" description:"how long each job runs on stand-in workers"`
-	Most       int           `long:"most" default:"2000" description:"requests under way at most; more are not sent, and counted"`
-	JobWait    time.Duration `long:"job-wait" default:"60s" description:"how long to wait for a job's end"`
-	AnyAnswer  bool          `long:"any-answer" description:"take any answer to a lookup; otherwise it must be that of a stand-in worker"`
-	Plot       string        `long:"plot" value-name:"FILE" description:"draw the latencies by workload: .svg, .png or .pdf"`
+	env         *Env
+	Workspaces  []string      `short:"w" long:"workspace" description:"workspace that asks; give several"`
+	Lookups     float64       `long:"lookups" description:"lookups a second"`
+	Jobs        float64       `long:"jobs" description:"jobs a second, of one task each"`
+	Duration    time.Duration `long:"time" default:"10s" description:"how long to send"`
+	Trace       string        `long:"trace" description:"workload trace whose jobs and lookups to send, instead of rates"`
+	Seed        uint64        `long:"seed" default:"1" description:"where the chance begins; job keys are made from it"`
+	Service     string        `long:"service" default:"lookup" description:"workload of the lookups"`
+	Batch       string        `long:"batch" default:"push" description:"workload of the jobs"`
+	JobRunTime  time.Duration `long:"run" default:"100ms" description:"how long each job runs on stand-in workers"`
+	MaxInFlight int           `long:"most" default:"2000" description:"requests under way at most; more are not sent, and counted"`
+	JobWait     time.Duration `long:"job-wait" default:"60s" description:"how long to wait for a job's end"`
+	AnyAnswer   bool          `long:"any-answer" description:"take any answer to a lookup; otherwise it must be that of a stand-in worker"`
+	Plot        string        `long:"plot" value-name:"FILE" description:"draw the latencies by workload: .svg, .png or .pdf"`
 }
 
-// progressEvery is how often the load says how far it is.
-const progressEvery = 5 * time.Second
+// progressInterval is the interval between two progress lines.
+const progressInterval = 5 * time.Second
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *loadCommand) Execute([]string) error {
 	ld, err := cm.plan()
 	if err != nil {
@@ -60,11 +60,11 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	done := make(chan struct{})
-	go cm.tell(ld, done)
+	go cm.reportProgress(ld, done)
 	rp := ld.Run(ctx)
 	close(done)
 	if cm.Plot != "" {
-		if err := drawLoad(cm.Plot, rp); err != nil {
+		if err := plotLoad(cm.Plot, rp); err != nil {
 			return err
 		}
 	}
@@ -79,8 +79,8 @@
 
 func (cm *loadCommand) plan() (*load.Load, error) {
 	op := load.Options{
-		Lookups: cm.Lookups, Jobs: cm.Jobs, Span: cm.Time, Seed: cm.Seed, Workspaces: cm.Workspaces,
-		Service: cm.Service, Batch: cm.Batch, Run: cm.Run, Most: cm.Most, JobWait: cm.JobWait,
+		Lookups: cm.Lookups, Jobs: cm.Jobs, Span: cm.Duration, Seed: cm.Seed, Workspaces: cm.Workspaces,
+		Service: cm.Service, Batch: cm.Batch, Run: cm.JobRunTime, Most: cm.MaxInFlight, JobWait: cm.JobWait,
 		Expect: standinworker.Reply,
 	}
 	if cm.AnyAnswer {
@@ -100,16 +100,16 @@
 	return load.FromTrace(clock, cm.clients(), op, tr)
 }
 
-// clients returns a client of each node, which take turns.
+// clients returns a client for each node. The load uses them in turn.
 func (cm *loadCommand) clients() []*client.Client {
 	return lo.Map(cm.env.Options.Node, func(addr string, _ int) *client.Client {
 		return client.New(cm.env.Options.Timeout, addr)
 	})
 }
 
-// tell says on standard error how far the load is, until it is done.
-func (cm *loadCommand) tell(ld *load.Load, done <-chan struct{}) {
-	tick := time.NewTicker(progressEvery)
+// reportProgress prints the progress of the load on standard error until it is done.
+func (cm *loadCommand) reportProgress(ld *load.Load, done <-chan struct{}) {
+	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -122,7 +122,7 @@
 	}
 }
 
-func drawLoad(path string, rp load.Report) error {
+func plotLoad(path string, rp load.Report) error {
 	ch := chart.New("latencies under load")
 	for _, name := range slices.Sorted(maps.Keys(rp.Workloads)) {
 		if err := ch.Line(name, rp.Workloads[name].Curve); err != nil {
--- a/internal/cli/cmd_lookup.go
+++ b/internal/cli/cmd_lookup.go
@@ -30,14 +30,14 @@
 	} `positional-args:"yes"`
 }
 
-// lookupAnswer is the answer as JSON shows it.
+// lookupAnswer is the JSON output for the answer to a lookup.
 type lookupAnswer struct {
 	Worker string `json:"worker"`
 	Answer string `json:"answer"`
 	Stale  bool   `json:"stale,omitempty"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *lookup) Execute([]string) error {
 	body := []byte(cm.Args.Body)
 	if len(body) > 0 && body[0] == '@' {
--- a/internal/cli/cmd_nodes.go
+++ b/internal/cli/cmd_nodes.go
@@ -19,7 +19,7 @@
 
 type nodes struct{ env *Env }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *nodes) Execute([]string) error {
 	list, err := client.JSON[api.Nodes](cm.env.client(), client.Request{Method: "GET", Path: api.PathNodes})
 	if err != nil {
--- a/internal/cli/cmd_pages.go
+++ b/internal/cli/cmd_pages.go
@@ -25,7 +25,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *pages) Execute([]string) error {
 	const mode = 0o644
 	all, err := Pages()
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Pages returns the pages of all commands by file name.
+// Pages returns the documentation pages of all commands by file name.
 func Pages() (map[string]string, error) {
 	parser, err := newParser(&Env{})
 	if err != nil {
@@ -48,11 +48,11 @@
 	}
 	all := map[string]string{}
 	for _, cm := range commands() {
-		found := parser.Command
+		parsed := parser.Command
 		for _, name := range strings.Fields(cm.Name) {
-			found = found.Find(name)
+			parsed = parsed.Find(name)
 		}
-		all["tackbeam-"+strings.ReplaceAll(cm.Name, " ", "-")+".md"] = page(cm, found)
+		all["tackbeam-"+strings.ReplaceAll(cm.Name, " ", "-")+".md"] = page(cm, parsed)
 	}
 	return all, nil
 }
--- a/internal/cli/cmd_replay.go
+++ b/internal/cli/cmd_replay.go
@@ -40,7 +40,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *replayCommand) Execute([]string) error {
 	kinds := lo.GroupBy(cm.Args.Traces, isWorkload)
 	if len(kinds[false]) > 0 && (len(kinds[true]) > 0 || cm.Compare != "" || cm.Plot != "") {
@@ -48,39 +48,39 @@
 			kinds[false][0])
 	}
 	if len(kinds[true]) > 0 {
-		return cm.trials()
+		return cm.runTrials()
 	}
-	return cm.replays()
+	return cm.runReplays()
 }
 
-// isWorkload reports whether a file is a workload trace, by its name or first line.
+// isWorkload reports whether a file is a workload trace, judging by its name or first line.
 func isWorkload(path string) bool {
 	if strings.HasSuffix(path, ".gz") {
 		return true
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		return false // the error is said when the trace is read
+		return false // reading the trace reports the error
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	line, _ := bufio.NewReader(file).ReadString('\n')
 	return strings.Contains(line, `"workload"`)
 }
 
-func (cm *replayCommand) replays() error {
+func (cm *replayCommand) runReplays() error {
 	var reports []replay.Report
-	differ := 0
+	differences := 0
 	for _, path := range cm.Args.Traces {
 		rp, err := replayFile(path)
 		if err != nil {
 			return err
 		}
-		differ += rp.Differences
+		differences += rp.Differences
 		reports = append(reports, rp)
 	}
 	err := cm.env.print(reports, func(out io.Writer) { printReplays(out, cm.Args.Traces, reports) })
-	if err == nil && differ > 0 {
-		err = fault.New(fault.WrongAnswer, "%d decisions differ from the trace", differ)
+	if err == nil && differences > 0 {
+		err = fault.New(fault.WrongAnswer, "%d decisions differ from the trace", differences)
 	}
 	return err
 }
@@ -90,7 +90,7 @@
 	if err != nil {
 		return replay.Report{}, fault.New(fault.BadRequest, "%v", err)
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	return replay.Run(file, time.Now)
 }
 
@@ -113,8 +113,8 @@
 	}
 }
 
-// trials runs workload traces.
-func (cm *replayCommand) trials() error {
+// runTrials runs the workload traces through the selected policies.
+func (cm *replayCommand) runTrials() error {
 	policies, err := cm.policies()
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 		}
 	}
 	if cm.Plot != "" {
-		if err := drawTrials(cm.Plot, reports); err != nil {
+		if err := plotTrials(cm.Plot, reports); err != nil {
 			return err
 		}
 	}
@@ -143,11 +143,11 @@
 	if cm.Compare != "" {
 		return nil
 	}
-	return unmet(reports)
+	return checkOutcomes(reports)
 }
 
-// drawTrials draws the waits of one trace, a line for each policy.
-func drawTrials(path string, reports []trial.Report) error {
+// plotTrials plots the wait times of one trace, with a line for each policy.
+func plotTrials(path string, reports []trial.Report) error {
 	ch := chart.New("waits of jobs, trace " + reports[0].Trace)
 	for _, rp := range reports {
 		if err := ch.Line(rp.Policy, rp.Curve); err != nil {
@@ -157,7 +157,7 @@
 	return ch.Save(path)
 }
 
-// policies returns those to run: the one that nodes have, unless others are named.
+// policies returns the policies to run: those given by --compare, or else the one that nodes use.
 func (cm *replayCommand) policies() ([]trial.Policy, error) {
 	switch cm.Compare {
 	case "":
@@ -177,8 +177,8 @@
 	return list, nil
 }
 
-// unmet is an error where a stated outcome did not come about.
-func unmet(reports []trial.Report) error {
+// checkOutcomes returns an error that lists the outcomes stated by the traces that were not met, if any.
+func checkOutcomes(reports []trial.Report) error {
 	var list []string
 	for _, rp := range reports {
 		for _, why := range rp.Broken {
--- a/internal/cli/cmd_standin_store.go
+++ b/internal/cli/cmd_standin_store.go
@@ -23,7 +23,7 @@
 	Reads  float64 `long:"reads" default:"2000" description:"reads a second"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *standinStore) Execute([]string) error {
 	st, err := standinstore.New(standinstore.Options{Listen: cm.Listen, Writes: cm.Writes, Reads: cm.Reads})
 	if err != nil {
@@ -36,7 +36,7 @@
 	if _, err := fmt.Fprintf(cm.env.Out, "store %s vms %s\n", st.Addr(), ls.Addr()); err != nil {
 		return err
 	}
-	untilInterrupted()
+	waitForInterrupt()
 	if err := st.Close(); err != nil {
 		return err
 	}
--- a/internal/cli/cmd_standin_workers.go
+++ b/internal/cli/cmd_standin_workers.go
@@ -40,7 +40,7 @@
 	Lookup  time.Duration `long:"lookup-time" default:"2ms" description:"time that a lookup takes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *standinWorkers) Execute([]string) error {
 	const milliPerCore = 1000
 	records, err := cm.openRecords()
@@ -65,11 +65,11 @@
 			return err
 		}
 	}
-	untilInterrupted()
+	waitForInterrupt()
 	return fl.Close()
 }
 
-// openRecords opens the file for records; nil where none is asked for.
+// openRecords opens the file for records. It returns nil if none is given.
 func (cm *standinWorkers) openRecords() (io.Writer, error) {
 	if cm.Records == "" {
 		return nil, nil
@@ -78,8 +78,8 @@
 	return file, errors.Wrap(err, "open records")
 }
 
-// untilInterrupted waits for the signal to end.
-func untilInterrupted() {
+// waitForInterrupt blocks until the process receives SIGINT or SIGTERM.
+func waitForInterrupt() {
 	end := make(chan os.Signal, 1)
 	signal.Notify(end, os.Interrupt, syscall.SIGTERM)
 	<-end
--- a/internal/cli/cmd_stats.go
+++ b/internal/cli/cmd_stats.go
@@ -22,13 +22,13 @@
 }
 
 type stats struct {
-	env   *Env
-	Watch bool          `long:"watch" description:"redraw in a terminal until interrupted"`
-	Every time.Duration `long:"every" default:"2s" description:"time between two looks"`
-	Count int           `long:"count" description:"with --watch, end after so many looks and do not clear the screen; 0 is never"`
+	env      *Env
+	Watch    bool          `long:"watch" description:"redraw in a terminal until interrupted"`
+	Interval time.Duration `long:"every" default:"2s" description:"time between two looks"`
+	Count    int           `long:"count" description:"with --watch, end after so many looks and do not clear the screen; 0 is never"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *stats) Execute([]string) error {
 	if cm.Watch {
 		return cm.watch()
--- a/internal/cli/cmd_submit.go
+++ b/internal/cli/cmd_submit.go
@@ -38,7 +38,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *submit) Execute([]string) error {
 	payload, err := cm.payload()
 	if err != nil {
--- a/internal/cli/cmd_table_columns.go
+++ b/internal/cli/cmd_table_columns.go
@@ -16,7 +16,7 @@
 
 type tableColumns struct{ env *Env }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *tableColumns) Execute([]string) error {
 	list, err := client.JSON[[]api.Column](cm.env.client(), client.Request{Method: "GET", Path: api.PathColumns})
 	if err != nil {
@@ -25,7 +25,7 @@
 	return cm.env.print(list, func(out io.Writer) {
 		gr := newGrid(out, "row", "column", "default", "unit", "allowed", "meaning")
 		for _, cl := range list {
-			gr.line(cl.Kind, cl.Name, dash(cl.Default), dash(cl.Unit), cl.Allowed, cl.Meaning)
+			gr.line(cl.Kind, cl.Name, orDash(cl.Default), orDash(cl.Unit), cl.Allowed, cl.Meaning)
 		}
 		gr.flush()
 	})
--- a/internal/cli/cmd_table_get.go
+++ b/internal/cli/cmd_table_get.go
@@ -26,9 +26,9 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *tableGet) Execute([]string) error {
-	row, err := cm.env.row(cm.Args.Row)
+	row, err := cm.env.getRow(cm.Args.Row)
 	if err != nil {
 		return err
 	}
@@ -42,8 +42,8 @@
 	return cm.env.print(row.Cell(cl), func(out io.Writer) { _, _ = fmt.Fprintln(out, row.Cell(cl)) })
 }
 
-// row reads one row from the node.
-func (env *Env) row(name string) (table.Row, error) {
+// getRow reads one row of the table from a node.
+func (env *Env) getRow(name string) (table.Row, error) {
 	path, err := rowPath(name)
 	if err != nil {
 		return table.Row{}, err
@@ -62,7 +62,7 @@
 func printRow(out io.Writer, row table.Row) {
 	gr := newGrid(out, "column", "value", "unit", "meaning")
 	for _, cl := range column.Of(row.Kind) {
-		gr.line(cl.Name(), dash(row.Cell(cl)), dash(cl.Unit()), cl.Meaning())
+		gr.line(cl.Name(), orDash(row.Cell(cl)), orDash(cl.Unit()), cl.Meaning())
 	}
 	gr.flush()
 }
--- a/internal/cli/cmd_table_history.go
+++ b/internal/cli/cmd_table_history.go
@@ -21,9 +21,9 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *tableHistory) Execute([]string) error {
-	row, err := cm.env.row(cm.Args.Row)
+	row, err := cm.env.getRow(cm.Args.Row)
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 func printHistory(out io.Writer, row table.Row) {
 	gr := newGrid(out, "when", "who", "column", "old", "new")
 	for _, ed := range row.History {
-		gr.line(ed.At.Format(time.DateTime), dash(ed.By), ed.Column, dash(ed.Old), dash(ed.New))
+		gr.line(ed.At.Format(time.DateTime), orDash(ed.By), ed.Column, orDash(ed.Old), orDash(ed.New))
 	}
 	gr.flush()
 }
--- a/internal/cli/cmd_table_remove.go
+++ b/internal/cli/cmd_table_remove.go
@@ -25,7 +25,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *tableRemove) Execute([]string) error {
 	if !cm.Yes {
 		return fault.New(fault.Denied, "removing %s needs --yes", cm.Args.Row)
@@ -34,9 +34,9 @@
 	if err != nil {
 		return err
 	}
-	kept, err := client.JSON[table.Kept](cm.env.client(), client.Request{Method: http.MethodDelete, Path: path})
+	result, err := client.JSON[table.Kept](cm.env.client(), client.Request{Method: http.MethodDelete, Path: path})
 	if err != nil {
 		return err
 	}
-	return cm.env.print(kept, func(out io.Writer) { _, _ = fmt.Fprintf(out, "%s is removed\n", cm.Args.Row) })
+	return cm.env.print(result, func(out io.Writer) { _, _ = fmt.Fprintf(out, "%s is removed\n", cm.Args.Row) })
 }
--- a/internal/cli/cmd_table_set.go
+++ b/internal/cli/cmd_table_set.go
@@ -34,32 +34,32 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *tableSet) Execute([]string) error {
 	path, err := rowPath(cm.Args.Row)
 	if err != nil {
 		return err
 	}
-	kept, err := client.Send[table.Kept](cm.env.client(), client.Request{
+	result, err := client.Send[table.Kept](cm.env.client(), client.Request{
 		Method: http.MethodPut, Path: path + "/" + cm.Args.Column,
 		Headers: map[string]string{api.HeaderOperator: os.Getenv("USER")},
 	}, api.CellRequest{Value: cm.Args.Value, Expect: cm.Expect, Wait: cm.Wait})
 	if err != nil {
 		return err
 	}
-	if err := cm.env.print(kept, func(out io.Writer) { printKept(out, cm.Args.Row, kept) }); err != nil {
+	if err := cm.env.print(result, func(out io.Writer) { printEditResult(out, cm.Args.Row, result) }); err != nil {
 		return err
 	}
-	if cm.Wait && len(kept.Unconfirmed) > 0 {
-		return fault.New(fault.NotConfirmed, "the edit is kept; not yet confirmed by %s", strings.Join(kept.Unconfirmed, ", "))
+	if cm.Wait && len(result.Unconfirmed) > 0 {
+		return fault.New(fault.NotConfirmed, "the edit is kept; not yet confirmed by %s", strings.Join(result.Unconfirmed, ", "))
 	}
 	return nil
 }
 
-func printKept(out io.Writer, name string, kept table.Kept) {
+func printEditResult(out io.Writer, name string, result table.Kept) {
 	_, _ = fmt.Fprintf(out, "%s is kept as version %d, in force on %s\n",
-		name, kept.Row.Version, strings.Join(kept.Confirmed, ", "))
-	if len(kept.Unconfirmed) > 0 {
-		_, _ = fmt.Fprintf(out, "not yet confirmed by %s\n", strings.Join(kept.Unconfirmed, ", "))
+		name, result.Row.Version, strings.Join(result.Confirmed, ", "))
+	if len(result.Unconfirmed) > 0 {
+		_, _ = fmt.Fprintf(out, "not yet confirmed by %s\n", strings.Join(result.Unconfirmed, ", "))
 	}
 }
--- a/internal/cli/cmd_table_show.go
+++ b/internal/cli/cmd_table_show.go
@@ -20,7 +20,7 @@
 	env *Env
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *tableShow) Execute([]string) error {
 	tb, err := client.JSON[api.Table](cm.env.client(), client.Request{Method: "GET", Path: api.PathTable})
 	if err != nil {
--- a/internal/cli/cmd_table_watch.go
+++ b/internal/cli/cmd_table_watch.go
@@ -21,15 +21,15 @@
 	Count int `long:"count" description:"end after so many changes; 0 is never"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *tableWatch) Execute([]string) error {
 	const wait = 30 * time.Second
 	cl := cm.env.client()
-	now, err := client.JSON[api.Table](cl, client.Request{Method: "GET", Path: api.PathTable})
+	current, err := client.JSON[api.Table](cl, client.Request{Method: "GET", Path: api.PathTable})
 	if err != nil {
 		return err
 	}
-	after := now.Version
+	after := current.Version
 	for seen := 0; cm.Count == 0 || seen < cm.Count; {
 		tb, err := client.JSON[api.Table](cl, client.Request{
 			Method: "GET", Path: api.PathTable, Wait: wait,
--- a/internal/cli/cmd_trace.go
+++ b/internal/cli/cmd_trace.go
@@ -24,7 +24,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *traceCommand) Execute([]string) error {
 	tr, err := trace.Make(cm.Args.Name, cm.Seed)
 	if err != nil {
--- a/internal/cli/cmd_version.go
+++ b/internal/cli/cmd_version.go
@@ -15,7 +15,7 @@
 
 type versionCommand struct{ env *Env }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *versionCommand) Execute([]string) error {
 	_, err := fmt.Fprintln(cm.env.Out, "tackbeam", version.Release)
 	return err
--- a/internal/cli/cmd_workers.go
+++ b/internal/cli/cmd_workers.go
@@ -18,7 +18,7 @@
 
 type workers struct{ env *Env }
 
-// Execute carries the command out.
+// Execute implements flags.Commander.
 func (cm *workers) Execute([]string) error {
 	list, err := client.JSON[api.Workers](cm.env.client(), client.Request{Method: "GET", Path: api.PathWorkers})
 	if err != nil {
--- a/internal/cli/print.go
+++ b/internal/cli/print.go
@@ -9,10 +9,10 @@
 	"tackbeam.example/policy/size"
 )
 
-// columnGap is the space between two columns of a printed table.
+// columnGap is the number of spaces between two columns of a printed table.
 const columnGap = 2
 
-// grid prints lines of cells in columns.
+// grid prints rows of cells in aligned columns.
 type grid struct{ tw *tabwriter.Writer }
 
 func newGrid(out io.Writer, head ...string) *grid {
@@ -22,19 +22,19 @@
 }
 
 func (gr *grid) line(cells ...string) {
-	_, _ = fmt.Fprintln(gr.tw, strings.Join(cells, "\t")) // the writer's own error shows at flush
+	_, _ = fmt.Fprintln(gr.tw, strings.Join(cells, "\t")) // a write error appears at flush
 }
 
 func (gr *grid) flush() { _ = gr.tw.Flush() }
 
-// sizeText is a size in one short cell: cores, MiB, accelerators.
+// sizeText formats a size as cores/MiB/accelerators.
 func sizeText(sz size.Size) string {
 	const milliPerCore = 1000
 	return fmt.Sprintf("%g/%d/%d", float64(sz.Processors())/milliPerCore, sz.Memory(), sz.Accelerators())
 }
 
-// dash stands for an empty cell.
-func dash(text string) string {
+// orDash returns "-" for an empty cell and the text otherwise.
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/internal/cli/watch.go
+++ b/internal/cli/watch.go
@@ -10,43 +10,43 @@
 	"tackbeam.example/tackbeam/internal/nodemsg"
 )
 
-// The limits on what control may cost a node: per cent of a core, memory, and
-// bytes a second.
+// Limits on a node's resource usage for control: percent of a core, bytes of memory, and bytes sent
+// per second.
 const (
-	limitCPU    = 2.9
-	limitMemory = 64 << 20
-	limitBytes  = 8 << 10
+	maxCPUPercent     = 2.9
+	maxMemory         = 64 << 20
+	maxBytesPerSecond = 8 << 10
 )
 
-// clearScreen moves to the top of a terminal and clears it.
+// clearScreen moves the cursor to the top of the terminal and clears the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// usage is what a node spent between two looks.
+// usage is a node's resource usage between two samples.
 type usage struct {
-	cpu    float64 // per cent of a core
+	cpu    float64 // percent of a core
 	memory int64
-	bytes  float64 // sent a second
+	bytes  float64 // sent per second
 	reads  float64
 	writes float64
 }
 
-// between returns what a node spent from one look to the next. A node that has
-// started anew is told since its start.
-func between(was, is nodemsg.Control) usage {
-	if is.Up < was.Up {
-		was = nodemsg.Control{}
+// usageBetween returns a node's usage between two samples. If the node has restarted in between, it returns
+// the usage since the start.
+func usageBetween(prev, cur nodemsg.Control) usage {
+	if cur.Up < prev.Up {
+		prev = nodemsg.Control{}
 	}
-	span := max((is.Up - was.Up).Seconds(), 1e-3)
-	sent := float64(is.PeerSent-was.PeerSent) + float64(is.WorkerSent-was.WorkerSent)
+	elapsed := max((cur.Up - prev.Up).Seconds(), 1e-3)
+	sent := float64(cur.PeerSent-prev.PeerSent) + float64(cur.WorkerSent-prev.WorkerSent)
 	return usage{
-		cpu: 100 * (is.CPU - was.CPU).Seconds() / span, memory: is.Resident, bytes: sent / span,
-		reads:  float64(is.StoreReads-was.StoreReads) / span,
-		writes: float64(is.StoreWrites-was.StoreWrites) / span,
+		cpu: 100 * (cur.CPU - prev.CPU).Seconds() / elapsed, memory: cur.Resident, bytes: sent / elapsed,
+		reads:  float64(cur.StoreReads-prev.StoreReads) / elapsed,
+		writes: float64(cur.StoreWrites-prev.StoreWrites) / elapsed,
 	}
 }
 
-// watch prints what all nodes spend and have, again and again, until interrupted
-// or, with a count, after so many times.
+// watch prints the usage and state of all nodes periodically, until it is interrupted or, if a count is
+// given, has printed that many times.
 func (cm *stats) watch() error {
 	cl := cm.env.client()
 	last := map[string]nodemsg.Control{}
@@ -59,7 +59,7 @@
 			if cm.Count == 0 {
 				_, _ = fmt.Fprint(out, clearScreen)
 			}
-			printSpending(out, list, last)
+			printUsage(out, list, last)
 		})
 		if err != nil {
 			return err
@@ -68,14 +68,14 @@
 			last[nd.Name] = nd.Control
 		}
 		if n+1 != cm.Count {
-			time.Sleep(cm.Every)
+			time.Sleep(cm.Interval)
 		}
 	}
 	return nil
 }
 
-// printSpending prints a line for each node; what is over its limit has a mark.
-func printSpending(out io.Writer, list api.Nodes, last map[string]nodemsg.Control) {
+// printUsage prints a line for each node, with a mark on each value over its limit.
+func printUsage(out io.Writer, list api.Nodes, last map[string]nodemsg.Control) {
 	gr := newGrid(out, "node", "state", "cpu %", "MiB", "sent B/s", "store r/s", "w/s", "budget %",
 		"room used %", "jobs wait", "lookups wait", "table", "map")
 	newest := uint64(0)
@@ -83,21 +83,21 @@
 		newest = max(newest, nd.TableRev)
 	}
 	for _, nd := range list.Nodes {
-		us := between(last[nd.Name], nd.Control)
-		gr.line(nd.Name, nd.State, marked("%.2f", us.cpu, limitCPU), marked("%.1f", float64(us.memory)/(1<<20), limitMemory>>20),
-			marked("%.0f", us.bytes, limitBytes), fmt.Sprintf("%.1f", us.reads), fmt.Sprintf("%.1f", us.writes),
+		us := usageBetween(last[nd.Name], nd.Control)
+		gr.line(nd.Name, nd.State, markExceeded("%.2f", us.cpu, maxCPUPercent), markExceeded("%.1f", float64(us.memory)/(1<<20), maxMemory>>20),
+			markExceeded("%.0f", us.bytes, maxBytesPerSecond), fmt.Sprintf("%.1f", us.reads), fmt.Sprintf("%.1f", us.writes),
 			fmt.Sprintf("%.0f", 100*nd.Control.StoreSpent),
 			fmt.Sprintf("%.0f", 100*nd.Room.Capacity.Sub(nd.Room.Free).DominantShare(nd.Room.Capacity)),
-			fmt.Sprint(nd.WaitingJobs), fmt.Sprint(nd.Waiting), freshness(nd, newest), fmt.Sprint(nd.MapEpoch))
+			fmt.Sprint(nd.WaitingJobs), fmt.Sprint(nd.Waiting), tableStatus(nd, newest), fmt.Sprint(nd.MapEpoch))
 	}
 	gr.flush()
-	_, _ = fmt.Fprintf(out, "limits of a node: %.1f%% of a core, %d MiB, %d B/s; ! is over\n", limitCPU, limitMemory>>20, limitBytes)
+	_, _ = fmt.Fprintf(out, "limits of a node: %.1f%% of a core, %d MiB, %d B/s; ! is over\n", maxCPUPercent, maxMemory>>20, maxBytesPerSecond)
 	for _, name := range list.Unreached {
 		_, _ = fmt.Fprintf(out, "no answer from node %s\n", name)
 	}
 }
 
-func marked(format string, value, limit float64) string {
+func markExceeded(format string, value, limit float64) string {
 	text := fmt.Sprintf(format, value)
 	if value > limit {
 		text += "!"
@@ -105,8 +105,8 @@
 	return text
 }
 
-// freshness tells whether a node's table is that of the others.
-func freshness(nd nodemsg.NodeInfo, newest uint64) string {
+// tableStatus returns the version of a node's table and whether it may be stale or is behind the other nodes.
+func tableStatus(nd nodemsg.NodeInfo, newest uint64) string {
 	switch {
 	case nd.Stale:
 		return fmt.Sprintf("%d may be stale", nd.TableRev)
--- a/internal/daemon/bed_test.go
+++ b/internal/daemon/bed_test.go
@@ -110,9 +110,9 @@
 	if ga := bd.gates[name]; ga != nil {
 		st.Store.Addresses = []string{ga.listener.Addr().String()}
 	}
-	st.Store.Lease = 2 * time.Second
+	st.Store.LeaseTTL = 2 * time.Second
 	st.VMs.Address = bd.list.Addr()
-	st.VMs.Every = 100 * time.Millisecond
+	st.VMs.Interval = 100 * time.Millisecond
 	st.Owner.MaxLease, st.Owner.LeaseGuard = 3*time.Second, 2*time.Second
 	st.Member.HeartbeatInterval, st.Member.SuspectAfter = 100*time.Millisecond, 800*time.Millisecond
 	st.Limits.UnreadyDelay, st.Limits.DrainTimeout = 0, time.Second
@@ -120,7 +120,7 @@
 		st.Limits.JobRetention = bd.keep
 	}
 	st.Limits.QueryAfter = 200 * time.Millisecond
-	st.Limits.LookupBody, st.Limits.JobBody = 1024, 1024
+	st.Limits.MaxLookupBody, st.Limits.MaxJobBody = 1024, 1024
 	return st
 }
 
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -50,7 +50,7 @@
 
 func (dm *Daemon) limits() policy.Limits {
 	lim := policy.DefaultLimits()
-	lim.Queue = dm.settings.Limits.Queue
+	lim.Queue = dm.settings.Limits.MaxQueuedLookups
 	return lim
 }
 
@@ -80,7 +80,7 @@
 	return &kernel.Service{Name: nameStore, Build: func(*kernel.Kernel) (any, error) {
 		so := dm.settings.Store
 		return store.New(dm.clock, store.HTTP(so.Addresses), store.Options{
-			Writes: so.Writes, Reads: so.Reads, Timeout: so.Timeout,
+			Writes: so.WriteRate, Reads: so.ReadRate, Timeout: so.Timeout,
 		}), nil
 	}}
 }
@@ -123,7 +123,7 @@
 			Node: clustermap.Node{
 				Name: st.Node, Peer: addr, HTTP: st.HTTP.Listen, Region: st.Region, Hall: st.Hall,
 			},
-			HeartbeatInterval: st.Member.HeartbeatInterval, SuspectAfter: st.Member.SuspectAfter, LeaseTTL: st.Store.Lease,
+			HeartbeatInterval: st.Member.HeartbeatInterval, SuspectAfter: st.Member.SuspectAfter, LeaseTTL: st.Store.LeaseTTL,
 		}), nil
 	}}
 }
@@ -134,7 +134,7 @@
 		Name: nameVMs,
 		Build: func(*kernel.Kernel) (any, error) {
 			cf := dm.settings.VMs
-			ls = vms.New(dm.clock, dm.log, vms.HTTPSource(cf.Address, dm.settings.Store.Timeout), cf.Every)
+			ls = vms.New(dm.clock, dm.log, vms.HTTPSource(cf.Address, dm.settings.Store.Timeout), cf.Interval)
 			return ls, nil
 		},
 		Stop: func(ctx context.Context) error { return ls.Stop(ctx) },
@@ -268,9 +268,9 @@
 			}
 			st := dm.settings
 			fr = front.New(pt, front.Options{
-				Listen: st.HTTP.Listen, LookupBody: st.Limits.LookupBody, JobBody: st.Limits.JobBody,
+				Listen: st.HTTP.Listen, LookupBody: st.Limits.MaxLookupBody, JobBody: st.Limits.MaxJobBody,
 				DefaultTimeout: st.Limits.DefaultTimeout, MaxTimeout: st.Limits.MaxTimeout,
-				Tasks: st.Limits.Tasks, Drain: st.Limits.DrainTimeout,
+				Tasks: st.Limits.MaxTasks, Drain: st.Limits.DrainTimeout,
 			})
 			return fr, nil
 		},
--- a/internal/nodecli/nodecli.go
+++ b/internal/nodecli/nodecli.go
@@ -78,7 +78,7 @@
 		return err
 	case op.Standalone:
 		return standalone.Run(ctx, clockwork.NewRealClock(), logs.New(errOut, op.Verbosity), standalone.Options{
-			Listen: op.Listen, Workers: op.Workers, Record: op.Record,
+			Listen: op.Listen, Workers: op.Workers, RecordPath: op.Record,
 			OnReady: printReady(out),
 		})
 	case op.Platform:
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -53,7 +53,7 @@
 	ck.peer(st.Peer)
 	ck.store(st.Store)
 	ck.address(st.VMs.Address, "vms.address")
-	ck.durationBetween(st.VMs.Every, 100*time.Millisecond, time.Minute, "vms.every")
+	ck.durationBetween(st.VMs.Interval, 100*time.Millisecond, time.Minute, "vms.every")
 	ck.durationBetween(st.Owner.MaxLease, 100*time.Millisecond, time.Hour, "owner.lease")
 	ck.durationBetween(st.Owner.LeaseGuard, 100*time.Millisecond, 10*time.Minute, "owner.guard")
 	ck.limits(st.Limits)
@@ -81,21 +81,21 @@
 	for i, addr := range so.Addresses {
 		ck.address(addr, fmt.Sprintf("store.addresses[%d]", i))
 	}
-	ck.require(so.Writes > 0, "store.writes", "a number above 0")
-	ck.require(so.Reads > 0, "store.reads", "a number above 0")
+	ck.require(so.WriteRate > 0, "store.writes", "a number above 0")
+	ck.require(so.ReadRate > 0, "store.reads", "a number above 0")
 	ck.durationBetween(so.Timeout, 10*time.Millisecond, 30*time.Second, "store.timeout")
-	ck.durationBetween(so.Lease, time.Second, 5*time.Minute, "store.lease")
+	ck.durationBetween(so.LeaseTTL, time.Second, 5*time.Minute, "store.lease")
 }
 
 func (ck *checker) limits(li Limits) {
 	const mebibyte = 1 << 20
-	ck.intBetween(li.LookupBody, 1, mebibyte/2, "limits.lookup_body")
-	ck.intBetween(li.JobBody, 1, mebibyte/4, "limits.job_body")
+	ck.intBetween(li.MaxLookupBody, 1, mebibyte/2, "limits.lookup_body")
+	ck.intBetween(li.MaxJobBody, 1, mebibyte/4, "limits.job_body")
 	ck.durationBetween(li.DefaultTimeout, time.Millisecond, li.MaxTimeout, "limits.default_timeout")
 	ck.durationBetween(li.MaxTimeout, time.Millisecond, time.Hour, "limits.max_timeout")
-	ck.intBetween(li.Queue, 1, mebibyte, "limits.queue")
+	ck.intBetween(li.MaxQueuedLookups, 1, mebibyte, "limits.queue")
 	ck.intBetween(li.MaxUnfinishedJobs, 1, mebibyte, "limits.waiting_jobs")
-	ck.intBetween(li.Tasks, 1, 10000, "limits.tasks")
+	ck.intBetween(li.MaxTasks, 1, 10000, "limits.tasks")
 	ck.durationBetween(li.QueryAfter, 100*time.Millisecond, time.Hour, "limits.ask")
 	ck.durationBetween(li.JobRetention, time.Minute, 7*24*time.Hour, "limits.keep_jobs")
 	ck.durationBetween(li.DrainTimeout, time.Second, 10*time.Minute, "limits.drain")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -50,16 +50,16 @@
 // Store configures the use of the platform's key-value service.
 type Store struct {
 	Addresses []string      `json:"addresses" doc:"IP addresses and ports, tried in order"`
-	Writes    float64       `json:"writes" doc:"writes a second that all nodes together may make"`
-	Reads     float64       `json:"reads" doc:"reads a second that all nodes together may make"`
+	WriteRate float64       `json:"writes" doc:"writes a second that all nodes together may make"`
+	ReadRate  float64       `json:"reads" doc:"reads a second that all nodes together may make"`
 	Timeout   time.Duration `json:"timeout" doc:"how long one call may take"`
-	Lease     time.Duration `json:"lease" doc:"how long a node's own record outlives its last renewal"`
+	LeaseTTL  time.Duration `json:"lease" doc:"how long a node's own record outlives its last renewal"`
 }
 
 // VMs configures how the platform's list of VMs is read.
 type VMs struct {
-	Address string        `json:"address" doc:"IP address and port of the list"`
-	Every   time.Duration `json:"every" doc:"time between two reads of the list"`
+	Address  string        `json:"address" doc:"IP address and port of the list"`
+	Interval time.Duration `json:"every" doc:"time between two reads of the list"`
 }
 
 // Owner configures how a node owns workers.
@@ -70,13 +70,13 @@
 
 // Limits are the limits on requests, queues and jobs, and the times of jobs and of a planned stop.
 type Limits struct {
-	LookupBody        int           `json:"lookup_body" doc:"bytes in the body of a lookup"`
-	JobBody           int           `json:"job_body" doc:"bytes in the body of a job"`
+	MaxLookupBody     int           `json:"lookup_body" doc:"bytes in the body of a lookup"`
+	MaxJobBody        int           `json:"job_body" doc:"bytes in the body of a job"`
 	DefaultTimeout    time.Duration `json:"default_timeout" doc:"deadline of a request that names none"`
 	MaxTimeout        time.Duration `json:"max_timeout" doc:"longest deadline a lookup may ask for"`
-	Queue             int           `json:"queue" doc:"lookups that may wait on one owner"`
+	MaxQueuedLookups  int           `json:"queue" doc:"lookups that may wait on one owner"`
 	MaxUnfinishedJobs int           `json:"waiting_jobs" doc:"unfinished jobs that one node keeps"`
-	Tasks             int           `json:"tasks" doc:"tasks in one job"`
+	MaxTasks          int           `json:"tasks" doc:"tasks in one job"`
 	JobRetention      time.Duration `json:"keep_jobs" doc:"how long an ended job and its idempotency key are kept"`
 	QueryAfter        time.Duration `json:"ask" doc:"how long a running job may be silent before its workers are asked for it; a repeatable one saves its work when asked"`
 	DrainTimeout      time.Duration `json:"drain" doc:"longest time that a planned stop waits for work in flight"`
@@ -107,15 +107,15 @@
 		HTTP:   HTTP{Listen: "127.0.0.1:7420"},
 		Peer:   Peer{Listen: "127.0.0.1:7421"},
 		Store: Store{
-			Writes: 100, Reads: 2000,
-			Timeout: time.Second, Lease: 6 * time.Second,
+			WriteRate: 100, ReadRate: 2000,
+			Timeout: time.Second, LeaseTTL: 6 * time.Second,
 		},
-		VMs:   VMs{Every: 2 * time.Second},
+		VMs:   VMs{Interval: 2 * time.Second},
 		Owner: Owner{MaxLease: 30 * time.Second, LeaseGuard: 15 * time.Second},
 		Limits: Limits{
-			LookupBody: 64 << 10, JobBody: 16 << 10,
+			MaxLookupBody: 64 << 10, MaxJobBody: 16 << 10,
 			DefaultTimeout: 10 * time.Second, MaxTimeout: time.Minute,
-			Queue: 512, MaxUnfinishedJobs: 20000, Tasks: 1000,
+			MaxQueuedLookups: 512, MaxUnfinishedJobs: 20000, MaxTasks: 1000,
 			JobRetention: 24 * time.Hour, QueryAfter: time.Minute, DrainTimeout: 30 * time.Second, UnreadyDelay: 2 * time.Second,
 		},
 		Member: Member{HeartbeatInterval: time.Second, SuspectAfter: 3 * time.Second},
--- a/internal/standalone/standalone.go
+++ b/internal/standalone/standalone.go
@@ -27,8 +27,8 @@
 	Listen string
 	// Workers is the number of stand-in workers.
 	Workers int
-	// Record is the file to which the trace of decisions is written; empty for none.
-	Record string
+	// RecordPath is the file to which the trace of decisions is written; empty for none.
+	RecordPath string
 	// OnReady is called with the node's addresses once the node is up.
 	OnReady func(callers, nodes string)
 }
@@ -79,6 +79,6 @@
 	st.Store.Addresses = []string{store}
 	st.VMs.Address = list
 	st.Limits.UnreadyDelay = 0
-	st.Record.Path = opts.Record
+	st.Record.Path = opts.RecordPath
 	return st
 }
