--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -14,8 +14,8 @@
 	// Output: true false
 }
 
-// TestOfDoesNotAllocate: a key is looked up for each request.
-func TestOfDoesNotAllocate(t *testing.T) {
+// TestSumDoesNotAllocate checks that Sum does not allocate, because it is called for each request.
+func TestSumDoesNotAllocate(t *testing.T) {
 	key := []byte("gkcuyj8pjbvk9m68k7b2")
 	var got apikey.Digest
 	if allocs := testing.AllocsPerRun(100, func() { got = apikey.Sum(key) }); allocs != 0 {
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -49,15 +49,15 @@
 // Such a delay occurs when the process is preempted between them. A later suspension is still detected.
 func TestSlowReadings(t *testing.T) {
 	is := is.New(t)
-	var mono, suspended, between time.Duration
+	var mono, suspended, readDelay time.Duration
 	cl, err := bootclock.NewForTest(clockwork.NewFakeClock(),
 		func() (time.Duration, time.Duration) { return mono, mono + suspended },
 		func() (time.Duration, error) {
-			mono += between
+			mono += readDelay
 			return mono + suspended, nil
 		})
 	is.NoErr(err)
-	between = 300 * time.Millisecond
+	readDelay = 300 * time.Millisecond
 	for range 20 {
 		mono += 2 * time.Second
 		cl.Now()
