--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -116,7 +116,7 @@
 // the error says how many are left.
 func (dm *Daemon) Stop() error {
 	dm.log.Info("Node is stopping.")
-	ctx, cancel := context.WithTimeout(context.Background(), dm.settings.Limits.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), dm.settings.Limits.DrainTimeout)
 	defer cancel()
 	dm.front.Drain()
 	if err := dm.member.MarkLeaving(ctx); err != nil {
@@ -138,7 +138,7 @@
 // balancer notices that the node is not ready.
 func (dm *Daemon) awaitDrained(ctx context.Context) error {
 	const pause = 20 * time.Millisecond
-	until := dm.clock.Now().Add(dm.settings.Limits.Unready)
+	until := dm.clock.Now().Add(dm.settings.Limits.UnreadyDelay)
 	for {
 		busy := dm.front.InFlight() > 0 || dm.owner.PendingLookups() > 0 || dm.handoverPending()
 		if !busy && !dm.clock.Now().Before(until) {
--- a/internal/daemon/testbed_test.go
+++ b/internal/daemon/testbed_test.go
@@ -111,17 +111,17 @@
 	if px := bd.storeProxies[name]; px != nil {
 		st.Store.Addresses = []string{px.listener.Addr().String()}
 	}
-	st.Store.Lease = 2 * time.Second
+	st.Store.LeaseTTL = 2 * time.Second
 	st.VMs.Address = bd.vms.Addr()
-	st.VMs.Every = 100 * time.Millisecond
-	st.Owner.Lease, st.Owner.Guard = 3*time.Second, 2*time.Second
-	st.Member.Beat, st.Member.Suspect = 100*time.Millisecond, 800*time.Millisecond
-	st.Limits.Unready, st.Limits.Drain = 0, time.Second
+	st.VMs.Interval = 100 * time.Millisecond
+	st.Owner.MaxLease, st.Owner.LeaseGuard = 3*time.Second, 2*time.Second
+	st.Member.HeartbeatInterval, st.Member.SuspectAfter = 100*time.Millisecond, 800*time.Millisecond
+	st.Limits.UnreadyDelay, st.Limits.DrainTimeout = 0, time.Second
 	if bd.keepJobs > 0 {
-		st.Limits.KeepJobs = bd.keepJobs
+		st.Limits.JobRetention = bd.keepJobs
 	}
-	st.Limits.Ask = 200 * time.Millisecond
-	st.Limits.LookupBody, st.Limits.JobBody = 1024, 1024
+	st.Limits.QueryAfter = 200 * time.Millisecond
+	st.Limits.MaxLookupBody, st.Limits.MaxJobBody = 1024, 1024
 	return st
 }
 
--- a/internal/home/run.go
+++ b/internal/home/run.go
@@ -251,7 +251,7 @@
 	if st >= attempt.NotStarted && !en.frozen {
 		hm.step(policy.Event{TaskEnded: &policy.TaskEnded{Job: en.rec.ID, OK: st == attempt.OK}})
 	}
-	en.kick.Give()
+	en.kick.Notify()
 }
 
 // TaskEnded processes an owner's report of the end of a task. The report is acknowledged once the job's end is in the
--- a/internal/owner/workerconn.go
+++ b/internal/owner/workerconn.go
@@ -70,7 +70,7 @@
 		} else if failures++; failures == 1 || fault.Is(err, fault.Conflict) {
 			ow.Log.V(1).Info("Could not attach to worker.", "worker", wc.vm.Name, "cause", err.Error())
 		}
-		loop.Pause(wc.ctx, ow.Clock, store.Backoff(failures))
+		loop.Sleep(wc.ctx, ow.Clock, store.Backoff(failures))
 	}
 }
 
@@ -85,7 +85,7 @@
 		return true
 	}
 	ow.Meter.Count(CounterLeaseWaits, 1)
-	return loop.Pause(wc.ctx, ow.Clock, wait)
+	return loop.Sleep(wc.ctx, ow.Clock, wait)
 }
 
 // CounterLeaseWaits counts the waits until the lease of a worker without fencing or inventory had surely expired.
--- a/internal/planner/backlog.go
+++ b/internal/planner/backlog.go
@@ -21,7 +21,7 @@
 
 // reportBacklog writes the planner's backlog to the store, where all nodes see it. The caller holds the lock.
 func (ld *leader) reportBacklog(now time.Duration) {
-	if now-ld.backlogReported < backlogInterval || !ld.reign.LeaseHeld() {
+	if now-ld.backlogReported < backlogInterval || !ld.term.LeaseHeld() {
 		return
 	}
 	urgent, all := ld.cell.Backlog(now)
@@ -43,9 +43,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ld.ctx, backlogInterval)
 	defer cancel()
-	settling := kv.CommitOptions{Clock: ld.clock, HedgeDelay: backlogInterval, RefusedTimeout: time.Millisecond}
-	if _, _, err := ld.opts.Store.CommitWithRetry(ctx, settling, kv.Txn{
-		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
+	commitOpts := kv.CommitOptions{Clock: ld.clock, HedgeDelay: backlogInterval, RefusedTimeout: time.Millisecond}
+	if _, _, err := ld.opts.Store.CommitWithRetry(ctx, commitOpts, kv.Txn{
+		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.term.Token}},
 		Puts:       []kv.Put{{Key: joblog.Backlog, Value: raw}},
 	}); err != nil {
 		ld.log.Info("Backlog was not written to the store; nodes accept jobs as before.", "reason", err.Error())
--- a/internal/planner/gc.go
+++ b/internal/planner/gc.go
@@ -64,7 +64,7 @@
 
 // gcLoop removes batches and records whose jobs are no longer known to the cell.
 func (ld *leader) gcLoop(ctx context.Context) {
-	for loop.Pause(ctx, ld.clock, gcInterval) {
+	for loop.Sleep(ctx, ld.clock, gcInterval) {
 		for _, keys := range ld.removable() {
 			if err := ld.remove(ctx, keys); err != nil {
 				ld.log.Info("Removing old keys of the journal failed; trying again in the next round.", "keys", len(keys), "reason", err.Error())
@@ -80,9 +80,9 @@
 func (ld *leader) remove(ctx context.Context, keys []string) error {
 	call, cancel := context.WithTimeout(ctx, gcTimeout)
 	defer cancel()
-	settling := kv.CommitOptions{Clock: ld.clock, HedgeDelay: gcHedge, RefusedTimeout: gcRefused}
-	_, _, err := ld.opts.Store.CommitWithRetry(call, settling, kv.Txn{
-		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.reign.Token}},
+	commitOpts := kv.CommitOptions{Clock: ld.clock, HedgeDelay: gcHedge, RefusedTimeout: gcRefused}
+	_, _, err := ld.opts.Store.CommitWithRetry(call, commitOpts, kv.Txn{
+		Conditions: []kv.Condition{{Key: joblog.Leader, Revision: ld.term.Token}},
 		Deletes:    keys,
 	})
 	return err
@@ -129,7 +129,7 @@
 // its batch is removed, because otherwise another planner would run the job again. Records of workers by earlier
 // planners are not needed: each planner records the workers that it uses itself.
 func (ld *leader) needed(key string, recs []cell.Record) bool {
-	own := key >= joblog.RecordKey(ld.reign.Token, 0)
+	own := key >= joblog.RecordKey(ld.term.Token, 0)
 	for _, rec := range recs {
 		if rec.Job != "" && (ld.cell.Retains(rec.Job) || ld.batches.refs[rec.Job] > 0) {
 			return true
--- a/internal/planner/incarnation.go
+++ b/internal/planner/incarnation.go
@@ -41,8 +41,8 @@
 
 // matches reports whether an entry may be of the session's incarnation, as far as the start times are known.
 func (se *session) matches(en WorkerEntry) bool {
-	born := en.ID.StartedAt()
-	return born == 0 || born == se.startedAt || se.startedAt == 0 && !se.answered
+	startedAt := en.ID.StartedAt()
+	return startedAt == 0 || startedAt == se.startedAt || se.startedAt == 0 && !se.answered
 }
 
 // expectOther handles an entry of another incarnation than the one that answered. The worker is asked for a report at
@@ -123,11 +123,11 @@
 // recorded are over.
 func (se *session) resolveEarlier(now time.Duration) {
 	ld := se.leader
-	for _, lf := range ld.earlier[se.incarnation.WorkerID()] {
-		if _, old := ld.unresolved[lf]; old && lf != se.incarnation {
-			ld.log.Info("Worker's incarnation is over.", "worker", lf)
-			ld.cell.Replaced(now, lf)
-			delete(ld.unresolved, lf)
+	for _, inc := range ld.earlier[se.incarnation.WorkerID()] {
+		if _, old := ld.unresolved[inc]; old && inc != se.incarnation {
+			ld.log.Info("Worker's incarnation is over.", "worker", inc)
+			ld.cell.Replaced(now, inc)
+			delete(ld.unresolved, inc)
 		}
 	}
 	delete(ld.unresolved, se.incarnation)
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -14,12 +14,12 @@
 
 // readRecords reads the records of earlier planners.
 func (ld *leader) readRecords(ctx context.Context) ([]kv.Item, bool) {
-	reading := ld.opts.Store.Scan(ld.clock, joblog.Records)
+	scanner := ld.opts.Store.Scan(ld.clock, joblog.Records)
 	for {
-		if reading.Continue(ctx) == nil {
-			return reading.Items(), true
+		if scanner.Continue(ctx) == nil {
+			return scanner.Items(), true
 		}
-		if !loop.Pause(ctx, ld.clock, readRetryPause) {
+		if !loop.Sleep(ctx, ld.clock, readRetryPause) {
 			return nil, false
 		}
 	}
@@ -71,7 +71,7 @@
 	if ld.batches.has(key) {
 		return
 	}
-	inherited := revision < ld.reign.Token
+	inherited := revision < ld.term.Token
 	age := bt.Age(ld.wall())
 	for at := range bt.Jobs {
 		jb := &bt.Jobs[at]
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -108,9 +108,9 @@
 		fault  memkv.Fault
 		revoke bool
 	}{
-		"silent":                {memkv.RequestLost, false},
-		"silent, leases expire": {memkv.RequestLost, true},
-		"refuses":               {memkv.Refused, false},
+		"no answer":                {memkv.RequestLost, false},
+		"no answer, leases expire": {memkv.RequestLost, true},
+		"refuses":                  {memkv.Refused, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/planner/testbed_test.go
+++ b/internal/planner/testbed_test.go
@@ -158,7 +158,7 @@
 	clock := nd.newClock(bd)
 	nd.planner = planner.New(planner.Options{
 		Clock: clock, Log: bd.log(name), Store: st, Agents: agents, Metrics: nd.meters,
-		Site:          &site.Site{Bounds: site.Bounds{KeepEnded: 2 * time.Minute}},
+		Site:          &site.Site{Bounds: site.Bounds{JobRetention: 2 * time.Minute}},
 		WorkersPrefix: workersPrefix,
 		DecodeWorker: func(item kv.Item) (planner.WorkerEntry, error) {
 			id := strings.TrimPrefix(item.Key, workersPrefix)
@@ -174,9 +174,9 @@
 			return ws, ok
 		},
 	})
-	nd.term = term.New(clock, bd.log(name), st, term.Options{Node: name, Processors: processors, TTL: 2 * time.Second, Lead: func(ctx context.Context, reign term.Term) {
-		nd.latest.Store(&reign)
-		nd.planner.Lead(ctx, reign)
+	nd.term = term.New(clock, bd.log(name), st, term.Options{Node: name, Processors: processors, TTL: 2 * time.Second, Lead: func(ctx context.Context, tm term.Term) {
+		nd.latest.Store(&tm)
+		nd.planner.Lead(ctx, tm)
 	}})
 	nd.intake = intake.New(clock, bd.log(name), st, intake.Options{
 		Node: name, NodeCount: func() int { return 2 }, StoreDown: func() bool { return false },
--- a/internal/planner/workerlist.go
+++ b/internal/planner/workerlist.go
@@ -97,8 +97,8 @@
 }
 
 // inherited reports whether an earlier planner recorded an incarnation of the worker that may have runs.
-func (ld *leader) inherited(lf incarnation.ID) bool {
-	return slices.ContainsFunc(ld.earlier[lf.WorkerID()], func(one incarnation.ID) bool {
+func (ld *leader) inherited(inc incarnation.ID) bool {
+	return slices.ContainsFunc(ld.earlier[inc.WorkerID()], func(one incarnation.ID) bool {
 		_, old := ld.unresolved[one]
 		return old
 	})
