--- a/internal/home/forget.go
+++ b/internal/home/forget.go
@@ -38,7 +38,7 @@
 	}
 	ctx, cancel := context.WithTimeout(hm.ctx, handTimeout)
 	defer cancel()
-	err := hm.Member.Change(ctx, func(mp *clustermap.Map) (*clustermap.Map, bool) { return mp.Older(value) })
+	err := hm.Member.Change(ctx, func(mp *clustermap.Map) (*clustermap.Map, bool) { return mp.AdvanceAge(value) })
 	if err != nil {
 		hm.Log.V(1).Info("Age of the map did not move.", "cause", err.Error())
 	}
@@ -52,7 +52,7 @@
 	now := hm.Member.Map().Age
 	var gone []nodemsg.Record
 	for id, en := range hm.jobs {
-		if en.rec.State != job.Done || en.frozen || now <= en.rec.EndedAge+keepSteps {
+		if en.rec.State != job.Done || en.frozen || now <= en.rec.EndedMapAge+keepSteps {
 			continue
 		}
 		gone = append(gone, nodemsg.Record{Key: id, Version: en.rec.Version + 1})
--- a/internal/planner/manyworkers_test.go
+++ b/internal/planner/manyworkers_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/agent"
 	"tackbeam.example/tackbeam/internal/kv"
@@ -22,11 +22,11 @@
 
 	mu sync.Mutex
 	// connected holds the workers that have been called before.
-	connected map[life.Life]bool
+	connected map[incarnation.ID]bool
 }
 
 func newProcessor() *processor {
-	return &processor{busy: make(chan struct{}, 1), connected: map[life.Life]bool{}}
+	return &processor{busy: make(chan struct{}, 1), connected: map[incarnation.ID]bool{}}
 }
 
 // use waits for the processor and occupies it for span.
@@ -43,10 +43,10 @@
 	wrapped.Hold = func(ctx context.Context, to agent.Target, hold agent.Hold) (agent.Report, error) {
 		pr.mu.Lock()
 		span := callTime
-		if !pr.connected[to.Life] {
+		if !pr.connected[to.Incarnation] {
 			span = connectTime
 		}
-		pr.connected[to.Life] = true
+		pr.connected[to.Incarnation] = true
 		pr.mu.Unlock()
 		pr.use(span)
 		return ag.Hold(ctx, to, hold)
@@ -57,9 +57,9 @@
 // wrapStore returns st with lease renewals that use the processor for callTime.
 func (pr *processor) wrapStore(st *kv.Store, callTime time.Duration) *kv.Store {
 	wrapped := *st
-	wrapped.Keep = func(ctx context.Context, lease uint64) error {
+	wrapped.Renew = func(ctx context.Context, lease uint64) error {
 		pr.use(callTime)
-		return st.Keep(ctx, lease)
+		return st.Renew(ctx, lease)
 	}
 	return &wrapped
 }
@@ -74,14 +74,14 @@
 		// within is the time limit of the job, and how long the node is observed after it.
 		within time.Duration
 	}{
-		"3,000 workers":                    {workers: 3000, within: 8 * time.Second},
-		"3,000 workers, a quarter is dead": {workers: 3000, dead: 750, within: 10 * time.Second},
-		"10 workers":                       {workers: 10, within: time.Second},
+		"3,000 workers":                         {workers: 3000, within: 8 * time.Second},
+		"3,000 workers, a quarter of them dead": {workers: 3000, dead: 750, within: 10 * time.Second},
+		"10 workers":                            {workers: 10, within: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const connectTime, callTime = time.Millisecond, 100 * time.Microsecond
-				bd := newBed(t, time.Second)
+				bd := newTestbed(t, time.Second)
 				defer bd.end()
 				dead := map[string]bool{}
 				for at := range tc.workers {
@@ -103,7 +103,7 @@
 				bd.submit(nd, "a", 10)
 				bd.await("a", cell.Succeeded, tc.within)
 				time.Sleep(tc.within)
-				if number := nd.reign().Number; number != 1 {
+				if number := nd.currentTerm().Number; number != 1 {
 					t.Errorf("the node lost leadership %d times", number-1)
 				}
 			})
--- a/policy/cell/advice_test.go
+++ b/policy/cell/advice_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -22,24 +22,24 @@
 	whole := size.New(64000, 100, 0)
 	submitStep(cl, "gang", work.Step{Count: 2, Gang: true, Need: whole}, work.Queue{Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1})
 	cl.Plan(0)
-	requests := cl.Take().Questions
+	requests := cl.TakeOutput().AdviceRequests
 	is.Equal(len(requests), 1)
-	asked := map[life.Life]bool{}
+	asked := map[incarnation.ID]bool{}
 	var rows []cell.Ticket
 	for _, id := range requests[0].Workers {
 		asked[id] = true
 		rows = append(rows, cell.Ticket{Worker: id, Text: "t"})
 	}
-	cl.Advised(0, requests[0], rows, 0) // allowed, but the tickets have expired
+	cl.AddAdvice(0, requests[0], rows, 0) // allowed, but the tickets have expired
 	for n := range workers {
-		if id := life.Life(fmt.Sprintf("w%03d", n)); asked[id] {
+		if id := incarnation.ID(fmt.Sprintf("w%03d", n)); asked[id] {
 			// a run of another job that fills the worker
 			submitStep(cl, "job"+string(id), work.Step{Count: 1, Need: whole, Estimate: time.Minute}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 			cl.Report(0, id, 0, []cell.Run{{Task: work.Task{Job: "job" + string(id)}, Number: 1}}, nil)
 		}
 	}
 	cl.Plan(time.Second)
-	requests = cl.Take().Questions
+	requests = cl.TakeOutput().AdviceRequests
 	is.Equal(len(requests), 1)
 	for _, id := range requests[0].Workers {
 		is.True(!asked[id])
@@ -57,7 +57,7 @@
 	submitStep(cl, "soon", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: time.Second}, plain)
 	submitStep(cl, "late", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: time.Minute}, plain)
 	cl.Plan(0)
-	running := cl.Take().Starts
+	running := cl.TakeOutput().Starts
 	is.Equal(len(running), 4)
 	for _, sr := range running {
 		cl.Started(0, sr)
@@ -71,7 +71,7 @@
 			continue
 		}
 		cl.Plan(now)
-		is.Equal(len(cl.Take().Starts), 0)
+		is.Equal(len(cl.TakeOutput().Starts), 0)
 		now += 100 * time.Millisecond
 		var remaining []cell.Run
 		for _, other := range running {
@@ -82,10 +82,10 @@
 		cl.Report(now, sr.Worker, now, remaining, []cell.End{{Seq: 1, Run: cell.Run{Task: sr.Task, Number: sr.Run}, Result: cell.ResultDone}})
 	}
 	cl.Plan(now)
-	for _, sr := range cl.Take().Starts {
+	for _, sr := range cl.TakeOutput().Starts {
 		is.Equal(sr.Task.Job, "gang")
 	}
-	is.Equal(cl.Waits(now, 0, 9)[0].Step.Job, "patient")
+	is.Equal(cl.LongestWaiting(now, 0, 9)[0].Step.Job, "patient")
 }
 
 // TestRequestSize checks how many workers an advice request for one task names: a small minimum, or as many as take
@@ -108,7 +108,7 @@
 				Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1, AdviceBase: tt.base, AdviceEach: tt.each,
 			})
 			cl.Plan(0)
-			requests := cl.Take().Questions
+			requests := cl.TakeOutput().AdviceRequests
 			is.Equal(len(requests), 1)
 			is.Equal(len(requests[0].Workers), tt.want)
 		})
--- a/policy/cell/cell_test.go
+++ b/policy/cell/cell_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -80,7 +80,7 @@
 						bd.executeOrders()
 					}
 					if tc.disconnect && n%4 == 3 {
-						bd.disconnect(life.Life(fmt.Sprintf("w%02d", n%10)), 700*time.Millisecond)
+						bd.disconnect(incarnation.ID(fmt.Sprintf("w%02d", n%10)), 700*time.Millisecond)
 						bd.executeOrders()
 					}
 					if tc.crash && n == 12 {
@@ -89,7 +89,7 @@
 						bd.cell.PutWorker(bd.now, bd.workers["w13"].Worker)
 					}
 					if tc.resize {
-						bd.resize(life.Life(fmt.Sprintf("w%02d", n*7%10)), []int64{1, 4, 0, 2}[n%4])
+						bd.resize(incarnation.ID(fmt.Sprintf("w%02d", n*7%10)), []int64{1, 4, 0, 2}[n%4])
 					}
 					if tc.cancel && n%6 == 5 {
 						bd.cancel(bd.jobs[n-2].ID)
@@ -97,7 +97,7 @@
 					}
 				}
 				for n := range 10 {
-					bd.resize(life.Life(fmt.Sprintf("w%02d", n)), fullQuarters)
+					bd.resize(incarnation.ID(fmt.Sprintf("w%02d", n)), fullQuarters)
 				}
 				for range 2000 {
 					bd.advance(40 * time.Millisecond)
@@ -125,14 +125,14 @@
 	if phase, _ := bd.cell.Phase("a", ""); phase != cell.Running {
 		t.Errorf("phase is %s before the end is in the journal", phase)
 	}
-	if acked, waits := bd.cell.Noted("w00"); acked != 0 || !waits {
+	if acked, waits := bd.cell.AckedEnd("w00"); acked != 0 || !waits {
 		t.Errorf("end %d is acknowledged before it is in the journal", acked)
 	}
 	bd.executeOrders()
 	if phase, _ := bd.cell.Phase("a", ""); phase != cell.Succeeded {
 		t.Errorf("phase is %s once the end is in the journal", phase)
 	}
-	if acked, _ := bd.cell.Noted("w00"); acked != 1 {
+	if acked, _ := bd.cell.AckedEnd("w00"); acked != 1 {
 		t.Errorf("end %d is acknowledged, want 1", acked)
 	}
 }
@@ -160,7 +160,7 @@
 	bd.now += 2 * time.Second
 	bd.workers["w00"].endDueRuns(bd)
 	bd.report("w00")
-	bd.records = append(bd.records, bd.cell.Take().Records...)
+	bd.records = append(bd.records, bd.cell.TakeOutput().Records...)
 	bd.failRate = 0
 	bd.replacePlanner() // the worker still reports the end, which was not acknowledged
 	for range 100 {
@@ -174,19 +174,19 @@
 // TestInheritedTasksWait checks that a new planner does not start inherited tasks before its recovery is complete,
 // since they may still run on a worker that has not answered.
 func TestInheritedTasksWait(t *testing.T) {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 65})
 	cl.Add(0, batchJob("old", 1), true)
 	cl.Add(0, batchJob("new", 1), false)
 	cl.PutWorker(0, cell.Worker{ID: "w", Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	cl.Report(1, "w", 1, nil, nil)
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	cl.Plan(2)
-	if out := cl.Take(); len(out.Starts) != 1 || out.Starts[0].Task.Job != "new" {
+	if out := cl.TakeOutput(); len(out.Starts) != 1 || out.Starts[0].Task.Job != "new" {
 		t.Errorf("starts before the recovery is complete: %v", out.Starts)
 	}
-	cl.Settle()
+	cl.FinishRecovery()
 	cl.Plan(3)
-	out := cl.Take()
+	out := cl.TakeOutput()
 	if len(out.Starts) != 1 || out.Starts[0].Task.Job != "old" {
 		t.Fatalf("starts after the recovery: %v", out.Starts)
 	}
@@ -228,15 +228,15 @@
 	for n := range 20 {
 		bd.submit(batchJob(fmt.Sprintf("a%d", n), 2))
 	}
-	if got := bd.cell.Pending("q2"); got != 20 {
+	if got := bd.cell.QueuedJobs("q2"); got != 20 {
 		t.Errorf("%d jobs wait, want 20", got)
 	}
 	bd.advance(time.Millisecond)
-	if got := bd.cell.Pending("q2"); got != 12 {
+	if got := bd.cell.QueuedJobs("q2"); got != 12 {
 		t.Errorf("%d jobs wait, want 12: the worker has capacity for 16 tasks", got)
 	}
 	bd.cancel("a19")
-	if got := bd.cell.Pending("q2"); got != 11 {
+	if got := bd.cell.QueuedJobs("q2"); got != 11 {
 		t.Errorf("%d jobs wait after a cancel, want 11", got)
 	}
 }
@@ -252,9 +252,9 @@
 	bd.submit(batchJob("a", 1))
 	moves := 0
 	for bd.now < span {
-		before := bd.cell.Recorded()
+		before := bd.cell.RecordCount()
 		bd.advance(50 * time.Millisecond)
-		for _, rec := range bd.records[max(len(bd.records)-(bd.cell.Recorded()-before), 0):] {
+		for _, rec := range bd.records[max(len(bd.records)-(bd.cell.RecordCount()-before), 0):] {
 			if rec.Stop {
 				moves++
 			}
@@ -264,7 +264,7 @@
 	if moves == 0 || moves > maxMoves {
 		t.Errorf("moved %d times in %v, want 1 to %d", moves, span, maxMoves)
 	}
-	if quarantined := bd.cell.Resting(bd.now); quarantined > maxQuarantined {
+	if quarantined := bd.cell.Quarantined(bd.now); quarantined > maxQuarantined {
 		t.Errorf("%d workers are in quarantine because of one task", quarantined)
 	}
 }
@@ -282,26 +282,26 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+			cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 			cl.Add(0, batchJob("a", 1), false)
-			for _, id := range []life.Life{"w1", "w2"} {
+			for _, id := range []incarnation.ID{"w1", "w2"} {
 				cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 				cl.Report(1, id, 1, nil, nil)
 			}
-			cl.Committed(cl.Recorded())
+			cl.SetCommitted(cl.RecordCount())
 			cl.Plan(2)
-			first := cl.Take().Starts[0]
+			first := cl.TakeOutput().Starts[0]
 			cl.Started(3, first)
 			at := time.Duration(0)
 			for ; at < 4*time.Second; at += 500 * time.Millisecond {
 				cl.Report(at, first.Worker, at, []cell.Run{{Task: first.Task, Number: first.Run, Percent: tc.percent}}, nil)
 				cl.Tick(at, at)
 			}
-			if early := cl.Take(); len(early.Stops) > 0 {
+			if early := cl.TakeOutput(); len(early.Stops) > 0 {
 				t.Fatalf("stops before they are in the journal: %v", early.Stops)
 			}
-			cl.Committed(cl.Recorded())
-			out := cl.Take()
+			cl.SetCommitted(cl.RecordCount())
+			out := cl.TakeOutput()
 			if moves := len(out.Stops) == 1; moves != tc.moves {
 				t.Fatalf("unexpected stops: %v", out.Stops)
 			}
@@ -310,11 +310,11 @@
 			}
 			cl.Stopped(at, out.Stops[0])
 			cl.Report(at+1, first.Worker, at+1, nil, []cell.End{{Seq: 1, Run: cell.Run{Task: first.Task, Number: first.Run}, Result: cell.ResultStopped}})
-			for _, id := range []life.Life{"w1", "w2"} {
+			for _, id := range []incarnation.ID{"w1", "w2"} {
 				cl.Report(at+2, id, at+2, nil, nil)
 			}
 			cl.Plan(at + 3)
-			again := cl.Take().Starts
+			again := cl.TakeOutput().Starts
 			if len(again) != 1 || again[0].Worker == first.Worker || again[0].Run <= first.Run {
 				t.Errorf("the task was restarted as %v", again)
 			}
@@ -324,13 +324,13 @@
 
 // ExampleCell starts a job of one task on the only worker.
 func ExampleCell() {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 	cl.PutWorker(0, cell.Worker{ID: "w1", Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	cl.Report(0, "w1", 0, nil, nil)
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	cl.Add(0, batchJob("job1", 1), false)
 	cl.Plan(0)
-	for _, sr := range cl.Take().Starts {
+	for _, sr := range cl.TakeOutput().Starts {
 		fmt.Println(sr.Worker, sr.Task, sr.Run)
 	}
 	// Output: w1 job1.0.0.0 1
@@ -354,9 +354,9 @@
 		"it is deregistered":   {func(cl *cell.Cell) { cl.Deregister(entry.ID) }, false},
 		"it shrinks":           {func(cl *cell.Cell) { cl.PutWorker(0, small) }, false},
 		"it grows":             {func(cl *cell.Cell) { cl.PutWorker(0, large) }, true},
-		"its incarnation ends": {func(cl *cell.Cell) { cl.Over(0, entry.ID) }, false},
+		"its incarnation ends": {func(cl *cell.Cell) { cl.Replaced(0, entry.ID) }, false},
 		"it registers again":   {func(cl *cell.Cell) { cl.Deregister(entry.ID); cl.PutWorker(0, entry) }, true},
-		"it stops answering":   {func(cl *cell.Cell) { cl.Silent(0, entry.ID) }, true},
+		"it stops answering":   {func(cl *cell.Cell) { cl.Unreachable(0, entry.ID) }, true},
 		"its job is cancelled": {func(cl *cell.Cell) { cl.Cancel(0, "a", "") }, false},
 		"its run is listed": {func(cl *cell.Cell) {
 			cl.Report(0, entry.ID, 0, []cell.Run{{Task: work.Task{Job: "a"}, Number: 1}}, nil)
@@ -371,11 +371,11 @@
 			cl := newTestCell(1)
 			cl.Add(0, batchJob("a", 1), false)
 			cl.Plan(0)
-			starts := cl.Take().Starts
+			starts := cl.TakeOutput().Starts
 			if len(starts) != 1 {
 				t.Fatalf("%d starts, want 1", len(starts))
 			}
-			if tt.change(cl); cl.Stands(starts[0]) != tt.want {
+			if tt.change(cl); cl.StartValid(starts[0]) != tt.want {
 				t.Errorf("start valid: %v, want %v", !tt.want, tt.want)
 			}
 		})
--- a/policy/cell/crash_test.go
+++ b/policy/cell/crash_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -134,20 +134,20 @@
 	// journal holds the records that a new planner reads.
 	journal []cell.Record
 	// lost are the workers that no longer answer.
-	lost map[life.Life]bool
+	lost map[incarnation.ID]bool
 }
 
 func newCrashTestbed(t *testing.T, step work.Step) *crashTestbed {
-	ct := &crashTestbed{I: is.New(t), t: t, cell: newTestCell(40), step: step, lost: map[life.Life]bool{}}
-	ct.cell.Take()
+	ct := &crashTestbed{I: is.New(t), t: t, cell: newTestCell(40), step: step, lost: map[incarnation.ID]bool{}}
+	ct.cell.TakeOutput()
 	submitStep(ct.cell, "j", step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
 	return ct
 }
 
 func (ct *crashTestbed) takeOutput() cell.Output {
-	out := ct.cell.Take()
+	out := ct.cell.TakeOutput()
 	ct.journal = append(ct.journal, out.Records...)
-	ct.cell.Committed(ct.cell.Recorded())
+	ct.cell.SetCommitted(ct.cell.RecordCount())
 	return out
 }
 
@@ -155,7 +155,7 @@
 func (ct *crashTestbed) start() (cell.Start, bool) {
 	ct.now += time.Second
 	for n := range 40 {
-		if id := life.Life(fmt.Sprintf("w%03d", n)); !ct.lost[id] {
+		if id := incarnation.ID(fmt.Sprintf("w%03d", n)); !ct.lost[id] {
 			ct.cell.Report(ct.now, id, ct.now, nil, nil)
 		}
 	}
@@ -174,11 +174,11 @@
 	const unbounded = 12
 	oneTask := work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second}
 	longRunning := oneTask
-	longRunning.Lasting = true
+	longRunning.LongRunning = true
 	crash := func(ct *crashTestbed, sr cell.Start) {
-		ct.cell.Silent(ct.now, sr.Worker)
+		ct.cell.Unreachable(ct.now, sr.Worker)
 		ct.now += 3 * time.Second
-		ct.cell.Over(ct.now, sr.Worker)
+		ct.cell.Replaced(ct.now, sr.Worker)
 	}
 	tests := map[string]struct {
 		step work.Step
@@ -187,25 +187,25 @@
 	}{
 		"crashes": {oneTask, crash, 3},
 		"crashes at once, unnoticed": {oneTask, func(ct *crashTestbed, sr cell.Start) {
-			ct.cell.Over(ct.now, sr.Worker)
+			ct.cell.Replaced(ct.now, sr.Worker)
 		}, 3},
 		"lease expires": {oneTask, func(ct *crashTestbed, sr cell.Start) {
-			ct.cell.Silent(ct.now, sr.Worker)
+			ct.cell.Unreachable(ct.now, sr.Worker)
 			ct.lost[sr.Worker] = true
 			ct.now += 6 * time.Second
-			ct.cell.Lapsed(ct.now, sr.Worker)
+			ct.cell.LeaseExpired(ct.now, sr.Worker)
 		}, 3},
 		"is partitioned and answers again": {oneTask, func(ct *crashTestbed, sr cell.Start) {
-			ct.cell.Silent(ct.now, sr.Worker)
+			ct.cell.Unreachable(ct.now, sr.Worker)
 			ct.now += 6 * time.Second
-			ct.cell.Lapsed(ct.now, sr.Worker)
+			ct.cell.LeaseExpired(ct.now, sr.Worker)
 			ct.now += time.Second
 			ct.cell.Report(ct.now, sr.Worker, ct.now, nil, nil)
 		}, unbounded},
 		"stops answering along with three others": {oneTask, func(ct *crashTestbed, sr cell.Start) {
 			ct.now += time.Second
 			for n := range 3 {
-				ct.cell.Silent(ct.now, life.Life(fmt.Sprintf("w%03d", 39-n)))
+				ct.cell.Unreachable(ct.now, incarnation.ID(fmt.Sprintf("w%03d", 39-n)))
 			}
 			crash(ct, sr)
 		}, 4},
@@ -253,7 +253,7 @@
 // checkRestored checks that a planner restored from the journal has the same crash counts.
 func (ct *crashTestbed) checkRestored() {
 	task := work.Task{Job: "j"}
-	next := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65})
+	next := cell.New(cell.Options{Retention: time.Minute, FirstRun: 65})
 	submitStep(next, "j", ct.step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
 	next.Restore(ct.now, ct.journal)
 	phase, _ := ct.cell.Phase("j", "")
@@ -262,8 +262,8 @@
 	if phase.Ended() {
 		return
 	}
-	all, blamed := ct.cell.Crashes(task)
-	nextAll, nextBlamed := next.Crashes(task)
+	all, blamed := ct.cell.CrashCounts(task)
+	nextAll, nextBlamed := next.CrashCounts(task)
 	ct.Equal(nextAll, all)
 	ct.Equal(nextBlamed, blamed)
 }
@@ -280,22 +280,22 @@
 	place := func() map[string]cell.Start {
 		cl.Plan(0)
 		placed := map[string]cell.Start{}
-		for _, sr := range cl.Take().Starts {
+		for _, sr := range cl.TakeOutput().Starts {
 			cl.Started(0, sr)
 			placed[sr.Task.Job] = sr
 		}
-		cl.Committed(cl.Recorded())
+		cl.SetCommitted(cl.RecordCount())
 		return placed
 	}
 	placed := place()
 	is.Equal(placed["bad"].Worker, placed["good"].Worker)
-	cl.Over(0, placed["bad"].Worker)
+	cl.Replaced(0, placed["bad"].Worker)
 	placed = place()
 	is.Equal(len(placed), 2)
 	is.True(placed["bad"].Worker != placed["good"].Worker)
-	cl.Over(0, placed["bad"].Worker)
-	_, bad := cl.Crashes(placed["bad"].Task)
-	_, good := cl.Crashes(placed["good"].Task)
+	cl.Replaced(0, placed["bad"].Worker)
+	_, bad := cl.CrashCounts(placed["bad"].Task)
+	_, good := cl.CrashCounts(placed["good"].Task)
 	is.Equal(bad, 2)
 	is.Equal(good, 1)
 }
@@ -306,16 +306,16 @@
 	is := is.New(t)
 	ct := newCrashTestbed(t, work.Step{Count: 1, Need: size.New(4000, 100, 0), Estimate: time.Second})
 	sr, _ := ct.start()
-	ct.cell.Silent(ct.now, sr.Worker)
-	ct.cell.Lapsed(ct.now+6*time.Second, sr.Worker)
+	ct.cell.Unreachable(ct.now, sr.Worker)
+	ct.cell.LeaseExpired(ct.now+6*time.Second, sr.Worker)
 	ct.takeOutput()
-	next := cell.New(cell.Options{Keep: time.Minute, FirstRun: 65})
+	next := cell.New(cell.Options{Retention: time.Minute, FirstRun: 65})
 	submitStep(next, "j", ct.step, work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9})
 	next.Restore(0, ct.journal)
-	all, _ := next.Crashes(sr.Task)
+	all, _ := next.CrashCounts(sr.Task)
 	is.Equal(all, 1)
 	next.PutWorker(0, cell.Worker{ID: sr.Worker, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 	next.Report(0, sr.Worker, 0, nil, nil)
-	all, _ = next.Crashes(sr.Task)
+	all, _ = next.CrashCounts(sr.Task)
 	is.Equal(all, 0)
 }
--- a/policy/cell/loadtestbed_test.go
+++ b/policy/cell/loadtestbed_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -47,7 +47,7 @@
 	now     time.Duration
 	cell    *cell.Cell
 	term    int
-	workers []life.Life
+	workers []incarnation.ID
 	// capacity is what each worker has.
 	capacity    size.Size
 	streams     []stream
@@ -55,16 +55,16 @@
 	jobs        map[string]*simJob
 	arrivals    []*simJob
 	runs        map[work.Task]*simRun
-	ends        map[life.Life]int
+	ends        map[incarnation.ID]int
 	// noPlanner is set while there is no planner; pendingEnds are the ends that workers keep until the next one.
 	noPlanner   bool
-	pendingEnds map[life.Life][]cell.End
+	pendingEnds map[incarnation.ID][]cell.End
 	events      events
 	records     []cell.Record
 	// nodeFreeAt is when each node that queries the advisor is free again.
 	nodeFreeAt []time.Duration
 	// usedMillicores is what is in use on each worker.
-	usedMillicores map[life.Life]int64
+	usedMillicores map[incarnation.ID]int64
 	// requests counts the advice requests sent, deferred those for which all nodes were busy.
 	requests, deferred int
 	// advisorTime is the advisor's time that each stream used, requestCounts the number of its requests.
@@ -89,7 +89,7 @@
 
 type simRun struct {
 	number    int
-	worker    life.Life
+	worker    incarnation.ID
 	startedAt time.Duration
 	endsAt    time.Duration
 	// restored is the work done by earlier runs, from which this run continues after the restore.
@@ -154,11 +154,11 @@
 	bd := &loadTestbed{
 		capacity: size.New(workerCores, workerMemory, accelerators),
 		rng:      rand.New(rand.NewPCG(seed, 7)), streams: streams, nextArrival: make([]time.Duration, len(streams)),
-		jobs: map[string]*simJob{}, runs: map[work.Task]*simRun{}, ends: map[life.Life]int{}, pendingEnds: map[life.Life][]cell.End{},
-		nodeFreeAt: make([]time.Duration, nodes), usedMillicores: map[life.Life]int64{},
+		jobs: map[string]*simJob{}, runs: map[work.Task]*simRun{}, ends: map[incarnation.ID]int{}, pendingEnds: map[incarnation.ID][]cell.End{},
+		nodeFreeAt: make([]time.Duration, nodes), usedMillicores: map[incarnation.ID]int64{},
 	}
 	for n := range workers {
-		bd.workers = append(bd.workers, life.Life(fmt.Sprintf("w%03d", n)))
+		bd.workers = append(bd.workers, incarnation.ID(fmt.Sprintf("w%03d", n)))
 	}
 	bd.replacePlanner()
 	return bd
@@ -168,7 +168,7 @@
 func (bd *loadTestbed) replacePlanner() {
 	bd.noPlanner = false
 	bd.term++
-	bd.cell = cell.New(cell.Options{Keep: 2 * time.Minute, FirstRun: (bd.term-1)*64 + 1, StopTime: stopTime})
+	bd.cell = cell.New(cell.Options{Retention: 2 * time.Minute, FirstRun: (bd.term-1)*64 + 1, StopTimeout: stopTime})
 	for _, sj := range bd.arrivals {
 		bd.cell.AddAged(bd.now, bd.now-sj.arrivedAt, sj.spec)
 	}
@@ -178,8 +178,8 @@
 		bd.report(id, bd.pendingEnds[id])
 	}
 	clear(bd.pendingEnds)
-	bd.cell.Committed(bd.cell.Recorded())
-	bd.cell.Settle()
+	bd.cell.SetCommitted(bd.cell.RecordCount())
+	bd.cell.FinishRecovery()
 	bd.executeOrders()
 }
 
@@ -258,7 +258,7 @@
 		for _, sp := range out.Stops {
 			bd.stop(sp)
 		}
-		for _, req := range out.Questions {
+		for _, req := range out.AdviceRequests {
 			bd.requestAdvice(req)
 		}
 	}
@@ -322,7 +322,7 @@
 	bd.report(rn.worker, []cell.End{end})
 }
 
-func (bd *loadTestbed) report(id life.Life, ends []cell.End) {
+func (bd *loadTestbed) report(id incarnation.ID, ends []cell.End) {
 	var runs []cell.Run
 	for name, rn := range bd.runs {
 		if rn.worker == id {
@@ -338,7 +338,7 @@
 }
 
 // requestAdvice queues an advice request at the node that is free soonest, or defers it if the wait would be too long.
-func (bd *loadTestbed) requestAdvice(req cell.Question) {
+func (bd *loadTestbed) requestAdvice(req cell.AdviceRequest) {
 	nodes, maxWait := bd.nodeFreeAt, maxUrgentQueueWait
 	if !req.Urgent {
 		nodes, maxWait = bd.nodeFreeAt[min(reservedNodes, len(bd.nodeFreeAt)/3):], maxQueueWait
@@ -352,7 +352,7 @@
 	wait := max(nodes[best]-bd.now, 0)
 	if wait > maxWait {
 		bd.deferred++
-		bd.cell.PutOff(bd.now, req)
+		bd.cell.AdviceDeferred(bd.now, req)
 		return
 	}
 	bd.requests++
@@ -376,12 +376,12 @@
 			onAdvice(rows)
 			return
 		}
-		bd.cell.Advised(bd.now, req, rows, ticketTTL)
+		bd.cell.AddAdvice(bd.now, req, rows, ticketTTL)
 	})
 }
 
 // advisorAllows reports whether the advisor allows a worker for a step. The result is the same for each call.
-func advisorAllows(step string, worker life.Life, allowedShare float64) bool {
+func advisorAllows(step string, worker incarnation.ID, allowedShare float64) bool {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(step + "/" + string(worker)))
 	return float64(hash.Sum32()%1000) < 1000*allowedShare
--- a/policy/cell/longrunning_test.go
+++ b/policy/cell/longrunning_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -20,9 +20,9 @@
 	cl := newTestCell(1)
 	whole := size.New(64000, 100, 0)
 	longRunning := work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2.2, Target: 2500 * time.Millisecond}
-	submitStep(cl, "lasting", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, longRunning)
+	submitStep(cl, "lasting", work.Step{Count: 1, Need: whole, LongRunning: true, Estimate: time.Second}, longRunning)
 	cl.Plan(0)
-	first := cl.Take().Starts
+	first := cl.TakeOutput().Starts
 	is.Equal(len(first), 1)
 	cl.Started(0, first[0])
 	quick := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2, Target: 2 * time.Second}
@@ -30,11 +30,11 @@
 		cl.Add(time.Minute, &work.Job{ID: fmt.Sprintf("job%d", n), Spec: "s", Queue: quick, Steps: []work.Step{{Count: 1, Need: whole, Estimate: time.Second}}}, false)
 	}
 	cl.Plan(time.Minute)
-	is.Equal(len(cl.Take().Starts), 0)
+	is.Equal(len(cl.TakeOutput().Starts), 0)
 	end := cell.End{Seq: 1, Run: cell.Run{Task: first[0].Task, Number: first[0].Run}, Result: cell.ResultFailed}
 	cl.Report(time.Minute, "w000", time.Minute, nil, []cell.End{end})
 	cl.Plan(time.Minute)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Task.Job, "lasting")
 }
@@ -48,9 +48,9 @@
 	deferrable := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 1, Stretch: 1, Target: time.Second}
 	urgent := work.Queue{Name: "u", Service: "svc", Attempts: 3, Priority: 0, Stretch: 1, Target: time.Minute}
 	submitStep(cl, "patient", work.Step{Count: 1, Need: whole, Estimate: time.Second}, deferrable)
-	submitStep(cl, "urgent", work.Step{Count: 1, Need: whole, Lasting: true, Estimate: time.Second}, urgent)
+	submitStep(cl, "urgent", work.Step{Count: 1, Need: whole, LongRunning: true, Estimate: time.Second}, urgent)
 	cl.Plan(0)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Task.Job, "urgent")
 }
@@ -62,17 +62,17 @@
 	cl := newTestCell(workers)
 	quick := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2, Target: time.Second}
 	submitStep(cl, "odd", oddStep, qu)
-	seen := map[life.Life]int{}
+	seen := map[incarnation.ID]int{}
 	for now := time.Duration(0); now < span; now += step {
 		for n := range workers {
-			cl.Report(now, life.Life(fmt.Sprintf("w%03d", n)), now, nil, nil)
+			cl.Report(now, incarnation.ID(fmt.Sprintf("w%03d", n)), now, nil, nil)
 		}
 		cl.Add(now, &work.Job{ID: now.String(), Spec: "s", Queue: quick, Steps: []work.Step{{Count: 1, Need: oddStep.Need, Estimate: step}}}, false)
-		cl.Committed(cl.Recorded())
+		cl.SetCommitted(cl.RecordCount())
 		cl.Tick(now, now)
 		cl.Plan(now)
 		late++
-		for _, sr := range cl.Take().Starts {
+		for _, sr := range cl.TakeOutput().Starts {
 			end := func(how cell.Result) {
 				cl.Started(now, sr)
 				seen[sr.Worker]++
@@ -94,7 +94,7 @@
 func TestLongRunningFailsAtOnce(t *testing.T) {
 	is := is.New(t)
 	qu := work.Queue{Name: "l", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2.2, Target: 2500 * time.Millisecond}
-	odd := work.Step{Count: 1, Need: size.New(4000, 100, 0), Lasting: true, Estimate: time.Second}
+	odd := work.Step{Count: 1, Need: size.New(4000, 100, 0), LongRunning: true, Estimate: time.Second}
 	starts, last, longest := 0, time.Duration(0), time.Duration(0)
 	late := runBesideShortJobs(odd, qu, func(_ *cell.Cell, now time.Duration, _ cell.Start, end func(cell.Result)) {
 		starts, last, longest = starts+1, now, max(longest, now-last)
@@ -114,7 +114,7 @@
 	tries := 0
 	late := runBesideShortJobs(odd, qu, func(cl *cell.Cell, now time.Duration, sr cell.Start, _ func(cell.Result)) {
 		tries++
-		cl.Refused(now, sr, cell.RefusedBad)
+		cl.Refused(now, sr, cell.RefusedInvalid)
 	})
 	is.True(tries <= 15) // starts of the refused task
 	is.Equal(late, 0)    // other jobs that were not started at once
--- a/policy/cell/placement_test.go
+++ b/policy/cell/placement_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -23,22 +23,22 @@
 	tests := map[string]struct {
 		def  work.Step
 		qu   work.Queue
-		want map[life.Life]int
+		want map[incarnation.ID]int
 	}{
-		"anywhere":                           {work.Step{Count: 8}, plain, map[life.Life]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
-		"required label":                     {work.Step{Count: 8, Label: "gpu"}, plain, map[life.Life]int{"w2": 2, "w4": 2}},
-		"label that no worker has":           {work.Step{Count: 1, Label: "tpu"}, plain, map[life.Life]int{}},
-		"other service":                      {work.Step{Count: 1}, work.Queue{Name: "o", Service: "other", Attempts: 3}, map[life.Life]int{}},
-		"near its data":                      {work.Step{Count: 3, Rack: "r2"}, plain, map[life.Life]int{"w3": 2, "w4": 1}},
-		"near its data, then elsewhere":      {work.Step{Count: 5, Rack: "r2"}, plain, map[life.Life]int{"w1": 1, "w3": 2, "w4": 2}},
-		"at most one per worker":             {work.Step{Count: 8, PerWorker: 1}, plain, map[life.Life]int{"w1": 1, "w2": 1, "w3": 1, "w4": 1}},
-		"gang":                               {work.Step{Count: 8, Gang: true}, plain, map[life.Life]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
-		"gang that is too large":             {work.Step{Count: 9, Gang: true}, plain, map[life.Life]int{}},
-		"gang on one rack":                   {work.Step{Count: 4, Gang: true, SameRack: true}, plain, map[life.Life]int{"w1": 2, "w2": 2}},
-		"gang on one rack, too large for it": {work.Step{Count: 5, Gang: true, SameRack: true}, plain, map[life.Life]int{"w1": 2, "w2": 2, "w3": 1}},
-		"gang with a label":                  {work.Step{Count: 4, Gang: true, Label: "gpu"}, plain, map[life.Life]int{"w2": 2, "w4": 2}},
-		"no permission yet":                  {work.Step{Count: 1}, advised, map[life.Life]int{}},
-		"best-effort needs no processors":    {work.Step{Count: 9, Filler: true, PerWorker: 3}, plain, map[life.Life]int{"w2": 3, "w3": 3, "w4": 3}},
+		"anywhere":                           {work.Step{Count: 8}, plain, map[incarnation.ID]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
+		"required label":                     {work.Step{Count: 8, Label: "gpu"}, plain, map[incarnation.ID]int{"w2": 2, "w4": 2}},
+		"label that no worker has":           {work.Step{Count: 1, Label: "tpu"}, plain, map[incarnation.ID]int{}},
+		"other service":                      {work.Step{Count: 1}, work.Queue{Name: "o", Service: "other", Attempts: 3}, map[incarnation.ID]int{}},
+		"near its data":                      {work.Step{Count: 3, Rack: "r2"}, plain, map[incarnation.ID]int{"w3": 2, "w4": 1}},
+		"near its data, then elsewhere":      {work.Step{Count: 5, Rack: "r2"}, plain, map[incarnation.ID]int{"w1": 1, "w3": 2, "w4": 2}},
+		"at most one per worker":             {work.Step{Count: 8, PerWorker: 1}, plain, map[incarnation.ID]int{"w1": 1, "w2": 1, "w3": 1, "w4": 1}},
+		"gang":                               {work.Step{Count: 8, Gang: true}, plain, map[incarnation.ID]int{"w1": 2, "w2": 2, "w3": 2, "w4": 2}},
+		"gang that is too large":             {work.Step{Count: 9, Gang: true}, plain, map[incarnation.ID]int{}},
+		"gang on one rack":                   {work.Step{Count: 4, Gang: true, SameRack: true}, plain, map[incarnation.ID]int{"w1": 2, "w2": 2}},
+		"gang on one rack, too large for it": {work.Step{Count: 5, Gang: true, SameRack: true}, plain, map[incarnation.ID]int{"w1": 2, "w2": 2, "w3": 1}},
+		"gang with a label":                  {work.Step{Count: 4, Gang: true, Label: "gpu"}, plain, map[incarnation.ID]int{"w2": 2, "w4": 2}},
+		"no permission yet":                  {work.Step{Count: 1}, advised, map[incarnation.ID]int{}},
+		"best-effort needs no processors":    {work.Step{Count: 9, BestEffort: true, PerWorker: 3}, plain, map[incarnation.ID]int{"w2": 3, "w3": 3, "w4": 3}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -46,8 +46,8 @@
 			tt.def.Need = task
 			submitStep(cl, "job", tt.def, tt.qu)
 			cl.Plan(0)
-			got := map[life.Life]int{}
-			for _, sr := range cl.Take().Starts {
+			got := map[incarnation.ID]int{}
+			for _, sr := range cl.TakeOutput().Starts {
 				got[sr.Worker]++
 			}
 			if !maps.Equal(got, tt.want) {
@@ -59,8 +59,8 @@
 
 // newRackCell returns a cell with two racks of two workers each.
 func newRackCell() *cell.Cell {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
-	for id, wk := range map[life.Life]cell.Worker{
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
+	for id, wk := range map[incarnation.ID]cell.Worker{
 		"w1": {Rack: "r1"}, "w2": {Rack: "r1", Labels: []string{"gpu"}},
 		"w3": {Rack: "r2"}, "w4": {Rack: "r2", Labels: []string{"gpu"}},
 	} {
@@ -68,8 +68,8 @@
 		cl.PutWorker(0, wk)
 		cl.Report(0, id, 0, nil, nil)
 	}
-	cl.Committed(cl.Recorded())
-	cl.Settle()
+	cl.SetCommitted(cl.RecordCount())
+	cl.FinishRecovery()
 	return cl
 }
 
@@ -85,14 +85,14 @@
 	order := []string{}
 	for range 3 {
 		cl.Plan(0)
-		starts := cl.Take().Starts
+		starts := cl.TakeOutput().Starts
 		is.Equal(len(starts), 8)
 		order = append(order, starts[0].Task.Job)
 		for _, sr := range starts {
 			is.Equal(sr.Task.Job, order[len(order)-1])
 			cl.Started(0, sr)
 		}
-		seqs := map[life.Life]int{}
+		seqs := map[incarnation.ID]int{}
 		for _, sr := range starts {
 			seqs[sr.Worker]++
 		}
--- a/policy/cell/plan_bench_test.go
+++ b/policy/cell/plan_bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -23,7 +23,7 @@
 	var order []string
 	plan := func() {
 		cl.Plan(now)
-		for _, sr := range cl.Take().Starts {
+		for _, sr := range cl.TakeOutput().Starts {
 			cl.Started(now, sr)
 			runs[sr.Task.String()] = cell.Run{Task: sr.Task, Number: sr.Run}
 			order = append(order, string(sr.Worker)+"/"+sr.Task.String())
@@ -39,7 +39,7 @@
 			name := order[(n*changed+at*97)%len(order)]
 			worker, task, _ := strings.Cut(name, "/")
 			seqs[worker]++
-			cl.Report(now, life.Life(worker), 0, nil, []cell.End{{Seq: seqs[worker], Run: runs[task], Result: cell.ResultStopped}})
+			cl.Report(now, incarnation.ID(worker), 0, nil, []cell.End{{Seq: seqs[worker], Run: runs[task], Result: cell.ResultStopped}})
 		}
 		b.StartTimer()
 		plan()
@@ -56,7 +56,7 @@
 			plain := work.Queue{Name: "f", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
 			submitStep(cl, "full", work.Step{Count: workers * 4, Need: size.New(15000, 100, 0), Estimate: time.Minute}, plain)
 			cl.Plan(0)
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				cl.Started(0, sr)
 			}
 			advised := work.Queue{
@@ -71,8 +71,8 @@
 			for range 2 * gangs / 8 { // a plan sends eight advice requests
 				now += 100 * time.Microsecond
 				cl.Plan(now)
-				for _, req := range cl.Take().Questions {
-					cl.Advised(now, req, allowEveryThird(req), time.Second)
+				for _, req := range cl.TakeOutput().AdviceRequests {
+					cl.AddAdvice(now, req, allowEveryThird(req), time.Second)
 				}
 			}
 			const gap = 5 * time.Millisecond // pause between two plans
@@ -81,18 +81,18 @@
 				now += gap
 				for n := range workers { // workers without a report get no new runs
 					if now%time.Second < gap {
-						cl.Report(now, life.Life(fmt.Sprintf("w%03d", n)), 0, nil, nil)
+						cl.Report(now, incarnation.ID(fmt.Sprintf("w%03d", n)), 0, nil, nil)
 					}
 				}
 				cl.Plan(now)
-				cl.Take()
+				cl.TakeOutput()
 			}
 		})
 	}
 }
 
 // allowEveryThird returns tickets for every third worker of an advice request.
-func allowEveryThird(req cell.Question) []cell.Ticket {
+func allowEveryThird(req cell.AdviceRequest) []cell.Ticket {
 	var list []cell.Ticket
 	for at, id := range req.Workers {
 		if at%3 == 0 {
@@ -111,8 +111,8 @@
 			cl := newTestCell(350)
 			submitStep(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 			cl.Plan(0)
-			by := map[life.Life][]cell.Run{}
-			for _, sr := range cl.Take().Starts {
+			by := map[incarnation.ID][]cell.Run{}
+			for _, sr := range cl.TakeOutput().Starts {
 				cl.Started(0, sr)
 				by[sr.Worker] = append(by[sr.Worker], cell.Run{Task: sr.Task, Number: sr.Run, Percent: 5})
 			}
@@ -131,14 +131,14 @@
 				at := time.Now()
 				cl.Plan(now)
 				worst = time.Since(at)
-				for _, req := range cl.Take().Questions {
+				for _, req := range cl.TakeOutput().AdviceRequests {
 					var rows []cell.Ticket
 					for _, id := range req.Workers {
 						if advisorAllows(req.Step.StepName(), id, 0.25) {
 							rows = append(rows, cell.Ticket{Worker: id, Text: "t"})
 						}
 					}
-					cl.Advised(now, req, rows, ticketTTL)
+					cl.AddAdvice(now, req, rows, ticketTTL)
 				}
 				return worst
 			}
@@ -172,8 +172,8 @@
 				// 350*8 tasks of 8 cores fill the cell
 				submitStep(cl, "full", work.Step{Count: 350 * 8, Need: size.New(8000, 100, 0), Estimate: time.Hour}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 				cl.Plan(0)
-				starts := cl.Take().Starts
-				by := map[life.Life][]cell.Run{}
+				starts := cl.TakeOutput().Starts
+				by := map[incarnation.ID][]cell.Run{}
 				for _, sr := range starts {
 					cl.Started(0, sr)
 					by[sr.Worker] = append(by[sr.Worker], cell.Run{Task: sr.Task, Number: sr.Run, Percent: 5})
@@ -194,7 +194,7 @@
 						}
 					}
 					cl.Plan(now)
-					cl.Take()
+					cl.TakeOutput()
 				}
 			})
 		}
--- a/policy/cell/plancost_test.go
+++ b/policy/cell/plancost_test.go
@@ -8,21 +8,21 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
 
 // newTestCell returns a cell with a number of identical workers whose recovery is complete.
 func newTestCell(workers int) *cell.Cell {
-	cl := cell.New(cell.Options{Keep: time.Minute, FirstRun: 1})
+	cl := cell.New(cell.Options{Retention: time.Minute, FirstRun: 1})
 	for n := range workers {
-		id := life.Life(fmt.Sprintf("w%03d", n))
+		id := incarnation.ID(fmt.Sprintf("w%03d", n))
 		cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0)})
 		cl.Report(0, id, 0, nil, nil)
 	}
-	cl.Committed(cl.Recorded())
-	cl.Settle()
+	cl.SetCommitted(cl.RecordCount())
+	cl.FinishRecovery()
 	return cl
 }
 
@@ -32,14 +32,14 @@
 
 // allowEverySecond answers each advice request with every second of its workers.
 func allowEverySecond(cl *cell.Cell, out cell.Output) {
-	for _, req := range out.Questions {
+	for _, req := range out.AdviceRequests {
 		var rows []cell.Ticket
 		for _, id := range req.Workers {
 			if (int(id[len(id)-1])+len(req.Step.Job))%2 == 0 {
 				rows = append(rows, cell.Ticket{Worker: id, Text: "t"})
 			}
 		}
-		cl.Advised(0, req, rows, time.Minute)
+		cl.AddAdvice(0, req, rows, time.Minute)
 	}
 }
 
@@ -67,17 +67,17 @@
 			if tt.full {
 				submitStep(cl, "full", work.Step{Count: workers, Need: size.New(64000, 100, 0)}, work.Queue{Name: "f", Service: "svc", Attempts: 3})
 				cl.Plan(0)
-				is.Equal(len(cl.Take().Starts), workers)
+				is.Equal(len(cl.TakeOutput().Starts), workers)
 			}
 			for n := range jobs {
 				submitStep(cl, fmt.Sprintf("job%04d", n), tt.def, tt.qu)
 			}
-			before := cl.Looks()
+			before := cl.WorkersExamined()
 			for range rounds {
 				cl.Plan(0)
-				allowEverySecond(cl, cl.Take())
+				allowEverySecond(cl, cl.TakeOutput())
 			}
-			each := (cl.Looks() - before) / rounds / jobs
+			each := (cl.WorkersExamined() - before) / rounds / jobs
 			t.Logf("%d workers examined per step and plan", each)
 			is.True(each <= tt.maxExamined) // a higher count grows with the number of workers
 		})
--- a/policy/cell/progress_test.go
+++ b/policy/cell/progress_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -31,13 +31,13 @@
 			qu := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 9}
 			submitStep(cl, "half", work.Step{Count: 2, Need: half, PerWorker: 1, Estimate: 10 * time.Second, Checkpoints: true}, qu)
 			cl.Plan(0)
-			started := cl.Take().Starts
+			started := cl.TakeOutput().Starts
 			is.Equal(len(started), 2)
 			for _, sr := range started {
 				cl.Started(0, sr)
 			}
 			report := func(now time.Duration, percents ...int) {
-				for at, id := range []life.Life{"w000", "w001"} {
+				for at, id := range []incarnation.ID{"w000", "w001"} {
 					for _, sr := range started {
 						if sr.Worker == id {
 							cl.Report(now, id, now, []cell.Run{{Task: sr.Task, Number: sr.Run, Checkpoint: "c2", Percent: percents[at]}}, nil)
@@ -53,13 +53,13 @@
 			whole := work.Step{Count: 1, Need: size.New(64000, 100, 0), Estimate: time.Second}
 			submitStep(cl, "whole", whole, work.Queue{Name: "w", Service: "svc", Attempts: 3, Priority: 1, Stretch: 8})
 			cl.Plan(3 * time.Second)
-			is.Equal(len(cl.Take().Starts), 0)
+			is.Equal(len(cl.TakeOutput().Starts), 0)
 			submitStep(cl, "small", work.Step{Count: 1, Need: half, Estimate: 9 * time.Second}, qu)
 			cl.Plan(3 * time.Second)
-			starts := cl.Take().Starts
+			starts := cl.TakeOutput().Starts
 			is.Equal(len(starts), 1)
 			is.Equal(starts[0].Task.Job, "small")
-			is.Equal(starts[0].Worker, life.Life("w000"))
+			is.Equal(starts[0].Worker, incarnation.ID("w000"))
 		})
 	}
 }
@@ -71,7 +71,7 @@
 		cl.Report(0, sr.Worker, 0, nil, []cell.End{end})
 	}
 	cl.Plan(0)
-	again := cl.Take().Starts
+	again := cl.TakeOutput().Starts
 	for _, sr := range again {
 		cl.Started(0, sr)
 	}
@@ -91,15 +91,15 @@
 	const now = 3 * time.Second
 	for at, percent := range []int{10, 90} {
 		run := cell.Run{Task: work.Task{Job: "half", Index: at}, Number: 1, Percent: percent}
-		cl.Report(now, []life.Life{"w000", "w001"}[at], now, []cell.Run{run}, nil)
+		cl.Report(now, []incarnation.ID{"w000", "w001"}[at], now, []cell.Run{run}, nil)
 	}
 	whole := work.Step{Count: 1, Need: size.New(64000, 100, 0), Estimate: time.Second}
 	submitStep(cl, "whole", whole, work.Queue{Name: "w", Service: "svc", Attempts: 3, Priority: 1, Stretch: 8})
 	cl.Plan(now)
-	is.Equal(len(cl.Take().Starts), 0)
+	is.Equal(len(cl.TakeOutput().Starts), 0)
 	submitStep(cl, "small", work.Step{Count: 1, Need: half, Estimate: 9 * time.Second}, qu)
 	cl.Plan(now)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1)
-	is.Equal(starts[0].Worker, life.Life("w000"))
+	is.Equal(starts[0].Worker, incarnation.ID("w000"))
 }
--- a/policy/cell/recovery_test.go
+++ b/policy/cell/recovery_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
+	"tackbeam.example/policy/admission"
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/door"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/work"
 )
 
@@ -84,14 +84,14 @@
 func newLoadedPlanner(share float64, workers, nodes int) *loadedPlanner {
 	const seed, firstWindow = 1, 64
 	ld := &loadedPlanner{loadTestbed: newLoadTestbed(seed, workers, nodes, largeStreams(workers)), share: share}
-	ld.cell = cell.New(cell.Options{Keep: time.Minute, FirstRun: 1, StopTime: stopTime, FirstWindow: firstWindow})
+	ld.cell = cell.New(cell.Options{Retention: time.Minute, FirstRun: 1, StopTimeout: stopTime, InitialWindow: firstWindow})
 	for n, id := range ld.workers {
 		ld.cell.PutWorker(0, cell.Worker{ID: id, Service: "svc", Rack: fmt.Sprint(n / 20), Capacity: ld.capacity})
 		ld.cell.Report(0, id, 0, nil, nil)
 		ld.schedule(time.Duration(n)*time.Second/time.Duration(workers), func() { ld.reportEverySecond(id) })
 	}
-	ld.cell.Committed(ld.cell.Recorded())
-	ld.cell.Settle()
+	ld.cell.SetCommitted(ld.cell.RecordCount())
+	ld.cell.FinishRecovery()
 	ld.every(timeStep, func() {
 		if !ld.storeDown && !ld.arrivalsEnded {
 			ld.submitArrivals()
@@ -110,7 +110,7 @@
 }
 
 // reportEverySecond queues a report of a worker every second.
-func (ld *loadedPlanner) reportEverySecond(id life.Life) {
+func (ld *loadedPlanner) reportEverySecond(id incarnation.ID) {
 	ld.enqueue(reportCost, func() { ld.report(id, nil) })
 	ld.schedule(time.Second, func() { ld.reportEverySecond(id) })
 }
@@ -146,12 +146,12 @@
 	}
 	ld.planQueued = true
 	ld.enqueue(planCost, func() {
-		began, looks := ld.now, ld.cell.Looks()
+		began, looks := ld.now, ld.cell.WorkersExamined()
 		ld.cell.Plan(ld.now)
-		_, waiting, _ := ld.cell.Sizes()
-		ld.spend(time.Duration(waiting)*stepCost + time.Duration(ld.cell.Looks()-looks)*examineCost)
+		_, waiting, _ := ld.cell.Counts()
+		ld.spend(time.Duration(waiting)*stepCost + time.Duration(ld.cell.WorkersExamined()-looks)*examineCost)
 		ld.queueOrders()
-		ld.schedule(cell.Rest(ld.now-began, planPause), func() { ld.planQueued = false })
+		ld.schedule(cell.PlanPause(ld.now-began, planPause), func() { ld.planQueued = false })
 	})
 }
 
@@ -167,20 +167,20 @@
 		for _, sp := range out.Stops {
 			ld.enqueue(sendCost, func() { ld.stop(sp) })
 		}
-		for _, req := range out.Questions {
+		for _, req := range out.AdviceRequests {
 			ld.enqueue(requestCost, func() { ld.queryAdvisor(req) })
 		}
 	}
 }
 
 // queryAdvisor sends an advice request. The text of the returned tickets is the time of their expiry.
-func (ld *loadedPlanner) queryAdvisor(req cell.Question) {
+func (ld *loadedPlanner) queryAdvisor(req cell.AdviceRequest) {
 	ld.onAdvice = func(rows []cell.Ticket) {
 		until := strconv.FormatInt(int64(ld.now+ticketTTL), 10)
 		for at := range rows {
 			rows[at].Text = until
 		}
-		ld.enqueue(answerCost, func() { ld.cell.Advised(ld.now, req, rows, ticketTTL) })
+		ld.enqueue(answerCost, func() { ld.cell.AddAdvice(ld.now, req, rows, ticketTTL) })
 	}
 	ld.requestAdvice(req)
 }
@@ -239,7 +239,7 @@
 			for range int(after / time.Second) {
 				before := ld.started
 				ld.advance(time.Second)
-				_, waiting, _ := ld.cell.Sizes()
+				_, waiting, _ := ld.cell.Counts()
 				t.Logf("%s: %d starts, %d refused so far, %d steps open", ld.now, ld.started-before, ld.refused, waiting)
 			}
 			slices.Sort(ld.latencies)
@@ -351,7 +351,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			ld := newLoadedPlanner(tt.share, 1100, 147)
-			var dr door.Door
+			var dr admission.Controller
 			accepted, refused := 0, 0
 			ld.admit = func(qu work.Queue) bool {
 				if _, refuse := dr.Refuse(ld.now, qu.Priority == 0); refuse {
@@ -363,7 +363,7 @@
 			}
 			ld.every(time.Second, func() {
 				urgent, all := ld.cell.Backlog(ld.now)
-				ld.schedule(200*time.Millisecond, func() { dr.Note(ld.now, urgent, all) })
+				ld.schedule(200*time.Millisecond, func() { dr.Update(ld.now, urgent, all) })
 			})
 			ld.advance(loadTime)
 			first, all := ld.cell.Backlog(ld.now)
--- a/policy/cell/reservation_test.go
+++ b/policy/cell/reservation_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -18,7 +18,7 @@
 var fullWorker = size.New(64000, 100, 0)
 
 // allowAll returns tickets for all workers of an advice request.
-func allowAll(req cell.Question) []cell.Ticket {
+func allowAll(req cell.AdviceRequest) []cell.Ticket {
 	var list []cell.Ticket
 	for _, id := range req.Workers {
 		list = append(list, cell.Ticket{Worker: id, Text: "t"})
@@ -44,15 +44,15 @@
 	const interval = 25 * time.Millisecond
 	for now := 100 * time.Millisecond; len(served) < gangs && now < 2*time.Second; now += interval {
 		cl.Plan(now)
-		for at, req := range cl.Take().Questions {
+		for at, req := range cl.TakeOutput().AdviceRequests {
 			if at > 0 {
-				cl.PutOff(now, req)
+				cl.AdviceDeferred(now, req)
 				continue
 			}
 			if !slices.Contains(served, req.Step.Job) {
 				served = append(served, req.Step.Job)
 			}
-			cl.Advised(now, req, nil, time.Second) // no worker is allowed
+			cl.AddAdvice(now, req, nil, time.Second) // no worker is allowed
 		}
 	}
 	is.Equal(len(served), gangs)
@@ -70,7 +70,7 @@
 	const ends = 5 * time.Second
 	submitStep(cl, "busy", work.Step{Count: 1, Need: fullWorker, Estimate: ends}, work.Queue{Name: "b", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2})
 	cl.Plan(0)
-	busy := cl.Take().Starts[0]
+	busy := cl.TakeOutput().Starts[0]
 	cl.Started(0, busy)
 	advised := work.Queue{
 		Name: "q", Service: "svc", Attempts: 3, Advised: true, Priority: 1, Stretch: 2,
@@ -83,18 +83,18 @@
 	for ; now < ends; now += step {
 		cl.Report(now, busy.Worker, now, []cell.Run{{Task: busy.Task, Number: busy.Run, Percent: int(100 * now / ends)}}, nil)
 		cl.Plan(now)
-		for _, req := range cl.Take().Questions {
+		for _, req := range cl.TakeOutput().AdviceRequests {
 			requestedAt = append(requestedAt, now)
-			cl.Advised(now, req, allowAll(req), 1500*time.Millisecond)
+			cl.AddAdvice(now, req, allowAll(req), 1500*time.Millisecond)
 		}
 	}
 	is.True(len(requestedAt) >= 2)               // first for permissions, then for tickets
 	is.True(requestedAt[0] < time.Second)        // at once
 	is.True(requestedAt[1] > ends-2*time.Second) // not so early that the tickets expire before the start
 	cl.Report(now, busy.Worker, now, nil, []cell.End{{Seq: 1, Run: cell.Run{Task: busy.Task, Number: busy.Run}, Result: cell.ResultDone}})
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	cl.Plan(now)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1) // it has its ticket when the capacity is free
 	is.Equal(starts[0].Task.Job, "gang")
 }
@@ -105,7 +105,7 @@
 func TestUrgentSparesReservedCapacity(t *testing.T) {
 	tests := map[string]struct {
 		workers int
-		want    life.Life
+		want    incarnation.ID
 	}{
 		"capacity elsewhere":    {workers: 2, want: "w001"},
 		"no capacity elsewhere": {workers: 1, want: "w000"},
@@ -119,16 +119,16 @@
 			half := size.New(32000, 100, 0)
 			submitStep(cl, "busy", work.Step{Count: 1, Need: half, Label: "big", Estimate: 5 * time.Second}, plain)
 			cl.Plan(0)
-			cl.Started(0, cl.Take().Starts[0])
+			cl.Started(0, cl.TakeOutput().Starts[0])
 			submitStep(cl, "gang", work.Step{Count: 1, Gang: true, Need: fullWorker, Label: "big", Estimate: time.Second}, plain)
 			const later = 400 * time.Millisecond // after which a gang reserves capacity
 			cl.Plan(later)
-			is.Equal(cl.Waits(later, 0, 1)[0].Claimed, 1)
+			is.Equal(cl.LongestWaiting(later, 0, 1)[0].Reserved, 1)
 			urgent := work.Queue{Name: "u", Service: "svc", Attempts: 3, Stretch: 2}
 			step := work.Step{Count: 1, Need: size.New(1000, 1, 0), Estimate: time.Minute}
 			cl.Add(later, &work.Job{ID: "urgent", Spec: "s", Queue: urgent, Steps: []work.Step{step}}, false)
 			cl.Plan(later)
-			starts := cl.Take().Starts
+			starts := cl.TakeOutput().Starts
 			is.Equal(len(starts), 1)
 			is.Equal(starts[0].Worker, tt.want)
 		})
@@ -147,10 +147,10 @@
 	cl.AddAged(0, time.Second, job("a-younger"))
 	cl.AddAged(0, time.Minute, job("b-older"))
 	cl.Plan(0)
-	starts := cl.Take().Starts
+	starts := cl.TakeOutput().Starts
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Task.Job, "b-older")
-	is.True(cl.Waits(time.Second, 0, 1)[0].For >= 2*time.Second)
+	is.True(cl.LongestWaiting(time.Second, 0, 1)[0].Waited >= 2*time.Second)
 }
 
 // TestLateRankDelay has a late task and one that can be on time wait for the same worker: the one that can be on time
@@ -176,7 +176,7 @@
 			cl.AddAged(at, tt.age, job("late"))
 			cl.Add(at, job("in-time"), false)
 			cl.Plan(at)
-			starts := cl.Take().Starts
+			starts := cl.TakeOutput().Starts
 			is.Equal(len(starts), 1)
 			is.Equal(starts[0].Task.Job, tt.want)
 		})
@@ -201,7 +201,7 @@
 			plain := work.Queue{Name: "q", Service: "svc", Attempts: 3, Priority: 1, Stretch: 2}
 			submitStep(cl, "busy", work.Step{Count: workers, PerWorker: 1, Need: size.New(tt.busy, 100, 0), Estimate: 5 * time.Second}, plain)
 			cl.Plan(0)
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				cl.Started(0, sr)
 			}
 			for n := range gangs {
@@ -210,8 +210,8 @@
 			const later = 400 * time.Millisecond // after which gangs reserve capacity
 			cl.Plan(later)
 			reserving := 0
-			for _, wt := range cl.Waits(later, 0, gangs) {
-				if wt.Claimed > 0 {
+			for _, wt := range cl.LongestWaiting(later, 0, gangs) {
+				if wt.Reserved > 0 {
 					reserving++
 				}
 			}
--- a/policy/cell/slack_test.go
+++ b/policy/cell/slack_test.go
@@ -25,7 +25,7 @@
 	}{
 		"much slack":               {stretch: 30, def: work.Step{Count: 1, Need: whole}, starts: 0},
 		"little slack":             {stretch: 3, def: work.Step{Count: 1, Need: whole}, starts: 1},
-		"long-running":             {stretch: 30, def: work.Step{Count: 1, Need: whole, Lasting: true}, starts: 1},
+		"long-running":             {stretch: 30, def: work.Step{Count: 1, Need: whole, LongRunning: true}, starts: 1},
 		"much slack, idle workers": {stretch: 30, def: work.Step{Count: 1, Need: whole}, idle: true, starts: 1},
 	}
 	for name, tt := range tests {
@@ -39,28 +39,28 @@
 			}
 			submitStep(cl, "busy", work.Step{Count: busy, Need: whole, Estimate: time.Minute}, plain)
 			cl.Plan(0)
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				cl.Started(0, sr)
 			}
 			advised := plain
 			advised.Advised = true
 			submitStep(cl, "gang", work.Step{Count: 2, Gang: true, Need: whole, Estimate: 5 * time.Second}, advised)
 			cl.Plan(0)
-			requests := cl.Take().Questions
+			requests := cl.TakeOutput().AdviceRequests
 			is.Equal(len(requests), 1)
-			cl.Advised(0, requests[0], []cell.Ticket{{Worker: "w000", Text: "t"}, {Worker: "w001", Text: "t"}}, time.Minute)
+			cl.AddAdvice(0, requests[0], []cell.Ticket{{Worker: "w000", Text: "t"}, {Worker: "w001", Text: "t"}}, time.Minute)
 			deferrable := work.Queue{Name: "p", Service: "svc", Attempts: 3, Priority: 2, Stretch: tt.stretch}
 			tt.def.Estimate = time.Second
 			const later = time.Second
 			cl.Add(later, &work.Job{ID: "job", Spec: "s", Queue: deferrable, Steps: []work.Step{tt.def}}, false)
 			cl.Plan(later)
 			starts := 0
-			for _, sr := range cl.Take().Starts {
+			for _, sr := range cl.TakeOutput().Starts {
 				is.Equal(sr.Task.Job, "job")
 				starts++
 			}
 			is.Equal(starts, tt.starts)
-			is.Equal(cl.Waits(later, 0, 9)[0].Step, work.Task{Job: "gang"})
+			is.Equal(cl.LongestWaiting(later, 0, 9)[0].Step, work.Task{Job: "gang"})
 		})
 	}
 }
--- a/policy/cell/starvation_test.go
+++ b/policy/cell/starvation_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -18,23 +18,23 @@
 	cl        *cell.Cell
 	now       time.Duration
 	runs      map[work.Task]*fixedLengthRun
-	seq       map[life.Life]int
+	seq       map[incarnation.ID]int
 	runLength func(work.Task) time.Duration
-	ids       []life.Life
+	ids       []incarnation.ID
 	startedAt map[string]time.Duration
-	startedOn map[work.Task]life.Life
-	onRequest func(cell.Question)
+	startedOn map[work.Task]incarnation.ID
+	onRequest func(cell.AdviceRequest)
 }
 type fixedLengthRun struct {
-	worker            life.Life
+	worker            incarnation.ID
 	number            int
 	startedAt, endsAt time.Duration
 }
 
 func newFixedLengthTestbed(workers int, length func(work.Task) time.Duration) *fixedLengthTestbed {
-	fl := &fixedLengthTestbed{cl: newTestCell(workers), runs: map[work.Task]*fixedLengthRun{}, seq: map[life.Life]int{}, runLength: length, startedAt: map[string]time.Duration{}, startedOn: map[work.Task]life.Life{}}
+	fl := &fixedLengthTestbed{cl: newTestCell(workers), runs: map[work.Task]*fixedLengthRun{}, seq: map[incarnation.ID]int{}, runLength: length, startedAt: map[string]time.Duration{}, startedOn: map[work.Task]incarnation.ID{}}
 	for n := range workers {
-		fl.ids = append(fl.ids, life.Life(fmt.Sprintf("w%03d", n)))
+		fl.ids = append(fl.ids, incarnation.ID(fmt.Sprintf("w%03d", n)))
 	}
 	return fl
 }
@@ -66,13 +66,13 @@
 			}
 			fl.cl.Report(fl.now, id, fl.now, runs, ends)
 		}
-		fl.cl.Committed(fl.cl.Recorded())
+		fl.cl.SetCommitted(fl.cl.RecordCount())
 		if fl.now%(50*time.Millisecond) == 0 {
 			fl.cl.Tick(fl.now, fl.now)
 		}
 		fl.cl.Plan(fl.now)
-		out := fl.cl.Take()
-		for _, req := range out.Questions {
+		out := fl.cl.TakeOutput()
+		for _, req := range out.AdviceRequests {
 			if fl.onRequest != nil {
 				fl.onRequest(req)
 			}
@@ -134,7 +134,7 @@
 		t.Run(fmt.Sprint("gang ", gang), func(t *testing.T) {
 			is := is.New(t)
 			fl := newFixedLengthTestbed(6, nil)
-			for _, id := range []life.Life{"w002", "w003", "w004", "w005"} {
+			for _, id := range []incarnation.ID{"w002", "w003", "w004", "w005"} {
 				fl.cl.PutWorker(0, cell.Worker{ID: id, Service: "svc", Labels: []string{"s"}, Capacity: size.New(64000, 128000, 0)})
 			}
 			fl.runLength = func(tk work.Task) time.Duration {
@@ -179,7 +179,7 @@
 		}
 		return 2 * time.Second
 	}
-	fl.cl.Add(0, &work.Job{ID: "serve", Spec: "s", Queue: plainQueue("serve", 0, 2), Steps: []work.Step{{Count: 1, Need: size.New(10000, 1, 0), Estimate: time.Second, Lasting: true}}}, false)
+	fl.cl.Add(0, &work.Job{ID: "serve", Spec: "s", Queue: plainQueue("serve", 0, 2), Steps: []work.Step{{Count: 1, Need: size.New(10000, 1, 0), Estimate: time.Second, LongRunning: true}}}, false)
 	fl.advance(50*time.Millisecond, nil)
 	n := 0
 	each := func() {
@@ -245,7 +245,7 @@
 	fl.advance(900*time.Millisecond, nil)
 	fl.cl.Add(fl.now, &work.Job{ID: "gang", Spec: "s", Queue: plainQueue("g", 1, 5), Steps: []work.Step{{Count: 1, Gang: true, Label: "big", Need: fullWorker, Estimate: 4 * time.Second}}}, false)
 	fl.advance(9*time.Second, nil)
-	for _, wt := range fl.cl.Waits(fl.now, 0, 9) {
+	for _, wt := range fl.cl.LongestWaiting(fl.now, 0, 9) {
 		t.Logf("%+v", wt)
 	}
 	t.Logf("gang began at %v, late job at %v", fl.startedAt["gang"], fl.startedAt["late"])
@@ -293,9 +293,9 @@
 	count := 0
 	for now := time.Duration(0); now < time.Second; now += 5 * time.Millisecond {
 		cl.Plan(now)
-		for _, req := range cl.Take().Questions {
+		for _, req := range cl.TakeOutput().AdviceRequests {
 			count++
-			cl.PutOff(now, req)
+			cl.AdviceDeferred(now, req)
 		}
 	}
 	t.Logf("%d urgent advice requests deferred in 1 s by 50 steps", count)
@@ -319,10 +319,10 @@
 	fl.cl.Add(fl.now, &work.Job{ID: "wide", Spec: "s", Queue: advised, Steps: []work.Step{{Count: 9, Gang: true, Need: fullWorker, Estimate: 3 * time.Second}}}, false)
 	// allowed on all workers, but the tickets are never renewed
 	fl.cl.Plan(fl.now)
-	out := fl.cl.Take()
-	is.True(len(out.Questions) > 0)
-	for _, req := range out.Questions {
-		fl.cl.Advised(fl.now, req, allowAll(req), 0)
+	out := fl.cl.TakeOutput()
+	is.True(len(out.AdviceRequests) > 0)
+	for _, req := range out.AdviceRequests {
+		fl.cl.AddAdvice(fl.now, req, allowAll(req), 0)
 	}
 	fl.advance(20*time.Second, each) // the testbed answers no advice requests
 	busy := 0
@@ -345,7 +345,7 @@
 	cl.AddAged(0, 3*time.Minute, &work.Job{ID: "other", Spec: "s", Queue: plain, Steps: []work.Step{{Count: 1, Need: fullWorker, Estimate: time.Minute}}})
 	cl.Tick(0, wall)
 	cl.Plan(0)
-	is.Equal(cl.Take().Starts[0].Task.Job, "timed") // due 5 min ago, while the other arrived 3 min ago
+	is.Equal(cl.TakeOutput().Starts[0].Task.Job, "timed") // due 5 min ago, while the other arrived 3 min ago
 }
 
 // TestWideTickets has a gang need tickets for more workers than one advice request names. When each request named the
@@ -375,17 +375,17 @@
 			fl.cl.Add(fl.now, &work.Job{ID: "wide", Spec: "s", Queue: qu, Steps: []work.Step{{Count: tt.count, Gang: true, Need: fullWorker, Estimate: 5 * time.Second}}}, false)
 			type open struct {
 				at  time.Duration
-				req cell.Question
+				req cell.AdviceRequest
 			}
 			var pending []open
 			count := 0
-			fl.onRequest = func(req cell.Question) {
+			fl.onRequest = func(req cell.AdviceRequest) {
 				count++
 				pending = append(pending, open{fl.now + req.Takes, req})
 			}
 			fl.advance(40*time.Second, func() {
 				for len(pending) > 0 && pending[0].at <= fl.now {
-					fl.cl.Advised(fl.now, pending[0].req, allowAll(pending[0].req), ticketTTL)
+					fl.cl.AddAdvice(fl.now, pending[0].req, allowAll(pending[0].req), ticketTTL)
 					pending = pending[1:]
 				}
 			})
@@ -403,22 +403,22 @@
 	submitStep(cl, "base", work.Step{Count: 2, Need: fullWorker, Estimate: time.Minute}, plainQueue("base", 0, 2))
 	cl.Plan(0)
 	var starts []cell.Start
-	for _, sr := range cl.Take().Starts {
+	for _, sr := range cl.TakeOutput().Starts {
 		cl.Started(0, sr)
 		starts = append(starts, sr)
 	}
 	cl.AddAged(0, time.Minute, &work.Job{ID: "late", Spec: "s", Queue: plainQueue("p", 1, 2), Steps: []work.Step{{Count: 1, Need: fullWorker, Estimate: time.Second}}})
 	now := time.Second
 	cl.Plan(now)
-	_, kept := cl.Oldest(now)
+	_, kept := cl.OldestWait(now)
 	is.Equal(kept, 1)
 	// the other worker reports a run of it, whose start was given up
 	other := starts[1]
 	name := work.Task{Job: "late"}
 	cl.Report(now, other.Worker, now, []cell.Run{{Task: other.Task, Number: other.Run}, {Task: name, Number: 1}}, nil)
-	cl.Committed(cl.Recorded())
+	cl.SetCommitted(cl.RecordCount())
 	cl.Plan(now + 500*time.Millisecond)
-	_, kept = cl.Oldest(now)
+	_, kept = cl.OldestWait(now)
 	is.Equal(kept, 0)
 }
 
--- a/policy/cell/testbed_test.go
+++ b/policy/cell/testbed_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tackbeam.example/policy/cell"
-	"tackbeam.example/policy/life"
+	"tackbeam.example/policy/incarnation"
 	"tackbeam.example/policy/size"
 	"tackbeam.example/policy/work"
 )
@@ -22,7 +22,7 @@
 	now     time.Duration
 	cell    *cell.Cell
 	term    int
-	workers map[life.Life]*fakeWorker
+	workers map[incarnation.ID]*fakeWorker
 	jobs    []*work.Job
 	cancels []string
 	records []cell.Record
@@ -50,7 +50,7 @@
 	// maxReportDelay is the longest time for which a worker does not answer a new planner; 0 for none.
 	maxReportDelay time.Duration
 	// unreported are the workers that have to report before the planner's recovery is complete.
-	unreported map[life.Life]bool
+	unreported map[incarnation.ID]bool
 	// workspaces are the current settings; maxLimits are the highest limits that orders in flight may have used.
 	workspaces map[string]work.Workspace
 	maxLimits  map[string]size.Size
@@ -90,19 +90,19 @@
 
 func newTestbed(t *testing.T, seed uint64, workers int) *testbed {
 	bd := &testbed{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), workers: map[life.Life]*fakeWorker{},
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), workers: map[incarnation.ID]*fakeWorker{},
 		done: map[work.Task]bool{}, failed: map[work.Task]int{}, crashingJobs: map[string]bool{}, crashes: map[work.Task]int{}, restartDelay: defaultRestartDelay,
-		unreported: map[life.Life]bool{}, workspaces: map[string]work.Workspace{}, maxLimits: map[string]size.Size{},
+		unreported: map[incarnation.ID]bool{}, workspaces: map[string]work.Workspace{}, maxLimits: map[string]size.Size{},
 	}
 	for n := range workers {
-		bd.addWorker(life.Life(fmt.Sprintf("w%02d", n)))
+		bd.addWorker(incarnation.ID(fmt.Sprintf("w%02d", n)))
 	}
 	bd.replacePlanner()
 	bd.executeOrders()
 	return bd
 }
 
-func (bd *testbed) addWorker(id life.Life) {
+func (bd *testbed) addWorker(id incarnation.ID) {
 	bd.workers[id] = &fakeWorker{
 		Worker: cell.Worker{ID: id, Service: "svc", Capacity: size.New(64000, 128000, 0), Rack: "r" + string(id[len(id)-1:])},
 		runs:   map[work.Task]*fakeRun{}, stopping: map[work.Task]*fakeRun{}, fenced: map[work.Task]int{},
@@ -116,18 +116,18 @@
 func (bd *testbed) replacePlanner() {
 	bd.term++
 	bd.cell = cell.New(cell.Options{
-		Keep: 2 * time.Minute, FirstRun: (bd.term-1)*64 + 1, StopTime: stopTime,
+		Retention: 2 * time.Minute, FirstRun: (bd.term-1)*64 + 1, StopTimeout: stopTime,
 	})
 	for _, jb := range bd.jobs {
 		bd.cell.Add(bd.now, jb, true)
 	}
-	bd.cell.SetWorkspaces(bd.workspace)
+	bd.cell.UpdateWorkspaces(bd.workspace)
 	for _, id := range bd.cancels {
 		bd.cell.Cancel(bd.now, id, "")
 	}
 	bd.cell.Restore(bd.now, bd.records)
-	lastRecord := map[life.Life]cell.Record{}
-	stops := map[life.Life][]cell.Run{}
+	lastRecord := map[incarnation.ID]cell.Record{}
+	stops := map[incarnation.ID][]cell.Run{}
 	for at, rec := range bd.records {
 		switch {
 		case rec.Stop && at > len(bd.records)-100:
@@ -143,7 +143,7 @@
 		}
 		bd.cell.PutWorker(bd.now, wk.Worker)
 		if rec.Closed {
-			bd.cell.Inherit(bd.now, id, rec.Held)
+			bd.cell.InheritRuns(bd.now, id, rec.Held)
 		} else {
 			wk.downUntil = 0 // the runtime waits for a worker that may hold any task
 			if bd.maxReportDelay > 0 && bd.rng.IntN(2) == 0 {
@@ -168,8 +168,8 @@
 			delete(bd.unreported, id)
 		}
 	}
-	if len(bd.unreported) == 0 && !bd.cell.Settled() {
-		bd.cell.Settle()
+	if len(bd.unreported) == 0 && !bd.cell.Recovered() {
+		bd.cell.FinishRecovery()
 	}
 }
 
@@ -183,7 +183,7 @@
 	ws := bd.workspaces[name]
 	bd.maxLimits[name] = limit.Max(ws.Limit)
 	bd.workspaces[name] = work.Workspace{Name: name, Weight: 1, Limit: limit, Version: ws.Version + 1}
-	bd.cell.SetWorkspaces(bd.workspace)
+	bd.cell.UpdateWorkspaces(bd.workspace)
 	bd.scheduled = append(bd.scheduled, scheduledCall{bd.now + maxOrderDelay, func() { bd.maxLimits[name] = bd.workspaces[name].Limit }})
 }
 
@@ -193,7 +193,7 @@
 	if name == "" {
 		return
 	}
-	sum := step.Room()
+	sum := step.Allocation()
 	for _, wk := range bd.workers {
 		if wk.dead {
 			continue
@@ -215,13 +215,13 @@
 func (bd *testbed) isDown(wk *fakeWorker) bool { return wk.dead || wk.crashed || wk.downUntil > bd.now }
 
 // disconnect makes a worker unreachable for a time while it keeps its runs.
-func (bd *testbed) disconnect(id life.Life, span time.Duration) {
+func (bd *testbed) disconnect(id incarnation.ID, span time.Duration) {
 	bd.workers[id].downUntil = bd.now + span
-	bd.cell.Silent(bd.now, id)
+	bd.cell.Unreachable(bd.now, id)
 }
 
-func (bd *testbed) workerIDs() []life.Life {
-	var ids []life.Life
+func (bd *testbed) workerIDs() []incarnation.ID {
+	var ids []incarnation.ID
 	for id := range bd.workers {
 		ids = append(ids, id)
 	}
@@ -250,10 +250,10 @@
 }
 
 // report sends a worker's report to the cell, as its long poll does.
-func (bd *testbed) report(id life.Life) {
+func (bd *testbed) report(id incarnation.ID) {
 	wk := bd.workers[id]
 	wk.token = bd.term
-	acked, _ := bd.cell.Noted(id)
+	acked, _ := bd.cell.AckedEnd(id)
 	wk.ends = slices.DeleteFunc(wk.ends, func(en cell.End) bool { return en.Seq <= acked })
 	var runs []cell.Run
 	for name, rn := range wk.runs {
@@ -303,7 +303,7 @@
 		for _, sp := range out.Stops {
 			bd.stop(sp)
 		}
-		for _, req := range out.Questions {
+		for _, req := range out.AdviceRequests {
 			bd.answer(req)
 		}
 	}
@@ -312,9 +312,9 @@
 // drainOutput yields the cell's output until it is empty, and appends its records to the journal.
 func drainOutput(cl *cell.Cell, journal *[]cell.Record) iter.Seq[cell.Output] {
 	return func(yield func(cell.Output) bool) {
-		for out := cl.Take(); !out.Empty(); out = cl.Take() {
+		for out := cl.TakeOutput(); !out.Empty(); out = cl.TakeOutput() {
 			*journal = append(*journal, out.Records...)
-			cl.Committed(cl.Recorded())
+			cl.SetCommitted(cl.RecordCount())
 			if !yield(out) {
 				return
 			}
@@ -323,20 +323,20 @@
 }
 
 // answer allows every second worker of an advice request.
-func (bd *testbed) answer(req cell.Question) {
+func (bd *testbed) answer(req cell.AdviceRequest) {
 	var rows []cell.Ticket
 	for _, id := range req.Workers {
-		if name := id.ID(); int(name[len(name)-1])%2 == 0 {
+		if name := id.WorkerID(); int(name[len(name)-1])%2 == 0 {
 			rows = append(rows, cell.Ticket{Worker: id, Text: req.Step.StepName() + "/" + string(id)})
 		}
 	}
-	bd.cell.Advised(bd.now, req, rows, 1500*time.Millisecond)
+	bd.cell.AddAdvice(bd.now, req, rows, 1500*time.Millisecond)
 }
 
 func (bd *testbed) start(sr cell.Start) {
 	term := bd.term
 	if bd.rng.Float64() < bd.unansweredRate {
-		bd.cell.StartLost(bd.now, sr)
+		bd.cell.StartUnconfirmed(bd.now, sr)
 		if bd.rng.IntN(2) == 0 {
 			bd.delayed = append(bd.delayed, func() { bd.executeStart(sr, term) })
 		}
@@ -348,13 +348,13 @@
 		return
 	}
 	if bd.isDown(wk) {
-		bd.cell.StartLost(bd.now, sr)
+		bd.cell.StartUnconfirmed(bd.now, sr)
 		return
 	}
 	if bd.crashingJobs[sr.Task.Job] {
 		bd.checkStart(wk, sr, bd.job(sr.Task.Job), bd.job(sr.Task.Job).Steps[sr.Task.Step])
 		bd.crashes[sr.Task]++
-		bd.cell.StartLost(bd.now, sr)
+		bd.cell.StartUnconfirmed(bd.now, sr)
 		bd.crashAndReplace(sr.Worker)
 		return
 	}
@@ -375,7 +375,7 @@
 		return ""
 	}
 	if sr.Run <= wk.fenced[sr.Task] {
-		return cell.RefusedOld
+		return cell.RefusedStale
 	}
 	jb := bd.job(sr.Task.Job)
 	step := jb.Steps[sr.Task.Step]
@@ -439,7 +439,7 @@
 		term := bd.term
 		bd.delayed = append(bd.delayed, func() {
 			if term == bd.term {
-				bd.cell.StopLost(sp)
+				bd.cell.StopUnconfirmed(sp)
 			}
 		})
 		return
@@ -530,7 +530,7 @@
 const fullQuarters = 4
 
 // resize sets a worker's processor capacity to a number of quarters.
-func (bd *testbed) resize(id life.Life, quarters int64) {
+func (bd *testbed) resize(id incarnation.ID, quarters int64) {
 	wk := bd.workers[id]
 	wk.prevCapacity, wk.resizedAt = wk.Capacity, bd.now
 	wk.Capacity = size.New(64000*quarters/fullQuarters, 128000, 0)
@@ -540,13 +540,13 @@
 }
 
 // loseWorker removes a worker with all its runs.
-func (bd *testbed) loseWorker(id life.Life) {
+func (bd *testbed) loseWorker(id incarnation.ID) {
 	wk := bd.workers[id]
 	wk.dead = true
 	wk.runs, wk.stopping = map[work.Task]*fakeRun{}, map[work.Task]*fakeRun{}
-	bd.cell.Silent(bd.now, id)
+	bd.cell.Unreachable(bd.now, id)
 	bd.cell.Deregister(id)
-	bd.cell.Lapsed(bd.now, id)
+	bd.cell.LeaseExpired(bd.now, id)
 }
 
 // defaultRestartDelay is the default time until a crashed worker is replaced.
@@ -556,7 +556,7 @@
 const maxCrashStarts = 5
 
 // crashAndReplace crashes a worker and later replaces it by a new worker, or restarts it under the same ID.
-func (bd *testbed) crashAndReplace(id life.Life) {
+func (bd *testbed) crashAndReplace(id incarnation.ID) {
 	wk := bd.workers[id]
 	if wk.dead || wk.crashed {
 		return
@@ -564,16 +564,16 @@
 	wk.crashed = true
 	wk.runs, wk.stopping = map[work.Task]*fakeRun{}, map[work.Task]*fakeRun{}
 	if !bd.restartSameID || bd.restartDelay > 0 {
-		bd.cell.Silent(bd.now, id) // an immediate restart is not noticed
+		bd.cell.Unreachable(bd.now, id) // an immediate restart is not noticed
 	}
 	bd.scheduled = append(bd.scheduled, scheduledCall{bd.now + bd.restartDelay, func() {
 		wk.dead = true
-		next := life.Life(fmt.Sprintf("%s.%d%c", id[:3], len(bd.workers), id[len(id)-1]))
+		next := incarnation.ID(fmt.Sprintf("%s.%d%c", id[:3], len(bd.workers), id[len(id)-1]))
 		if bd.restartSameID {
-			next = life.Of(id.ID(), id.Born()+1)
-			bd.cell.Follow(bd.now, id, next)
+			next = incarnation.New(id.WorkerID(), id.StartedAt()+1)
+			bd.cell.Restarted(bd.now, id, next)
 		} else {
-			bd.cell.Over(bd.now, id)
+			bd.cell.Replaced(bd.now, id)
 		}
 		bd.addWorker(next)
 		bd.workers[next].Rack = wk.Rack
