--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -74,13 +74,13 @@
 		names = append(names, fmt.Sprint("n", i+1))
 	}
 	cl := newCluster(t, options{
-		nodes: names, workers: workers, lease: 20 * time.Second, ordinary: true, lookup: time.Millisecond,
+		nodes: names, workers: workers, lease: 20 * time.Second, defaultSettings: true, lookup: time.Millisecond,
 	})
-	cl.ordinaryTable()
+	cl.configureWorkloads()
 	time.Sleep(3 * time.Second) // the join is over
-	before, calls := cl.control(), cl.counts()
+	before, calls := cl.control(), cl.storeCounts()
 	time.Sleep(idle)
-	after, callsAfter := cl.control(), cl.counts()
+	after, callsAfter := cl.control(), cl.storeCounts()
 	sm := sample{Nodes: nodes, Workers: workers}
 	for name, ct := range after {
 		was := before[name]
@@ -123,10 +123,10 @@
 			defer wg.Done()
 			api := cl.api()
 			for n := range each {
-				began := time.Now()
+				startedAt := time.Now()
 				_, err := api.Do(lookupRequest(fmt.Sprint("part ", i, n)))
 				if err == nil {
-					through[i] = append(through[i], time.Since(began))
+					through[i] = append(through[i], time.Since(startedAt))
 				}
 			}
 		}()
@@ -145,7 +145,7 @@
 	}
 	sm.LookupCPU = float64(spent.Microseconds()) / float64(len(all))
 	sm.ThroughP50, sm.ThroughP99 = percentiles(all)
-	sm.DirectP50, sm.DirectP99 = percentiles(cl.direct(clients, each))
+	sm.DirectP50, sm.DirectP99 = percentiles(cl.measureDirect(clients, each))
 }
 
 func lookupRequest(body string) client.Request {
@@ -156,14 +156,14 @@
 }
 
 // direct sends lookups straight to one more worker, which no node knows.
-func (cl *cluster) direct(clients, each int) []time.Duration {
+func (cl *cluster) measureDirect(clients, each int) []time.Duration {
 	answers := make([]chan workermsg.Answer, clients)
 	for i := range answers {
 		answers[i] = make(chan workermsg.Answer, 1)
 	}
-	solo := cl.soloWorker()
-	link, err := worker.New(context.Background(), clockwork.NewRealClock(), worker.Options{
-		Name: "w0001", Addr: solo, Owner: "test", Epoch: 1, Dial: worker.Dial,
+	addr := cl.unlistedWorker()
+	conn, err := worker.New(context.Background(), clockwork.NewRealClock(), worker.Options{
+		Name: "w0001", Addr: addr, Owner: "test", Epoch: 1, Dial: worker.Dial,
 	}, worker.Events{
 		Answered:  func(an workermsg.Answer) { answers[an.ID%uint64(clients)] <- an },
 		Heartbeat: func(workermsg.Heartbeat) {}, Ended: func(workermsg.Ended) {}, Leaving: func() {}, Lost: func(error) {},
@@ -171,7 +171,7 @@
 	if err != nil {
 		cl.t.Fatal(err)
 	}
-	defer link.Close()
+	defer conn.Close()
 	var mu sync.Mutex
 	var all []time.Duration
 	var wg sync.WaitGroup
@@ -180,14 +180,14 @@
 		go func() {
 			defer wg.Done()
 			for n := range each {
-				began := time.Now()
+				startedAt := time.Now()
 				id := uint64(n*clients + i)
-				if link.Lookup(workermsg.Lookup{ID: id, Body: []byte("part"), Budget: time.Second}) != nil {
+				if conn.Lookup(workermsg.Lookup{ID: id, Body: []byte("part"), Budget: time.Second}) != nil {
 					return
 				}
 				<-answers[i]
 				mu.Lock()
-				all = append(all, time.Since(began))
+				all = append(all, time.Since(startedAt))
 				mu.Unlock()
 			}
 		}()
--- a/test/checker_test.go
+++ b/test/checker_test.go
@@ -14,10 +14,10 @@
 )
 
 // claim is what the system told a client about one piece of work, known by its mark.
-type claim struct {
+type outcome struct {
 	mark string
 	// ran is "ran", "not-run" or "unknown"; "" where nothing was said.
-	ran string
+	result string
 	// repeatable work may run more than once.
 	repeatable bool
 }
@@ -32,15 +32,15 @@
 
 // The kinds of violations.
 const (
-	overcommit = "overcommit"
-	atOnce     = "two at once"
-	twice      = "run twice"
-	falseNot   = "false not-run"
-	falseRan   = "false ran"
-	wrongReply = "wrong or cut lookup"
-	reverted   = "reverted cell"
-	noAnswer   = "job without answer"
-	toLeaving  = "work to a leaving worker"
+	overcommit      = "overcommit"
+	overlappingRuns = "two at once"
+	duplicateRun    = "run twice"
+	falseNotRun     = "false not-run"
+	falseRan        = "false ran"
+	wrongReply      = "wrong or cut lookup"
+	revertedCell    = "reverted cell"
+	noOutcome       = "job without answer"
+	startOnLeaving  = "work to a leaving worker"
 )
 
 // span is one run of a task or lookup on a worker.
@@ -50,34 +50,34 @@
 }
 
 // check compares records with claims.
-func check(records []standinworker.Record, claims []claim) violations {
+func check(records []standinworker.Record, outcomes []outcome) violations {
 	vi := violations{}
 	spans := spansOf(records, vi)
 	for work, list := range spans {
 		sort.Slice(list, func(i, j int) bool { return list[i].begin.Before(list[j].begin) })
 		for i := 1; i < len(list); i++ {
 			if list[i].begin.Before(list[i-1].end) {
-				vi.add(atOnce, "%s on %s and %s", work, list[i-1].worker, list[i].worker)
+				vi.add(overlappingRuns, "%s on %s and %s", work, list[i-1].worker, list[i].worker)
 			}
 		}
 	}
-	begun := map[string]int{}
+	started := map[string]int{}
 	for work, list := range spans {
 		mark, _, _ := strings.Cut(work, "#")
-		begun[mark] = max(begun[mark], len(list))
+		started[mark] = max(started[mark], len(list))
 	}
-	for _, cm := range claims {
-		n := begun[cm.mark]
+	for _, oc := range outcomes {
+		n := started[oc.mark]
 		switch {
-		case cm.ran == "":
-			vi.add(noAnswer, "%s", cm.mark)
-		case cm.ran == "not-run" && n > 0 && (!cm.repeatable || !strings.HasPrefix(cm.mark, "lookup")):
-			vi.add(falseNot, "%s began %d times", cm.mark, n)
-		case cm.ran == "ran" && n == 0:
-			vi.add(falseRan, "%s never began", cm.mark)
+		case oc.result == "":
+			vi.add(noOutcome, "%s", oc.mark)
+		case oc.result == "not-run" && n > 0 && (!oc.repeatable || !strings.HasPrefix(oc.mark, "lookup")):
+			vi.add(falseNotRun, "%s began %d times", oc.mark, n)
+		case oc.result == "ran" && n == 0:
+			vi.add(falseRan, "%s never began", oc.mark)
 		}
-		if n > 1 && !cm.repeatable {
-			vi.add(twice, "%s began %d times", cm.mark, n)
+		if n > 1 && !oc.repeatable {
+			vi.add(duplicateRun, "%s began %d times", oc.mark, n)
 		}
 	}
 	return vi
@@ -111,7 +111,7 @@
 }
 
 // none fails the test where a promise was broken.
-func (vi violations) none(t *testing.T) {
+func (vi violations) assertNone(t *testing.T) {
 	t.Helper()
 	for kind, list := range vi {
 		t.Errorf("%s: %d, for example %s", kind, len(list), list[0])
@@ -129,37 +129,37 @@
 	const begin, end = standinworker.EventBegin, standinworker.EventEnd
 	cases := map[string]struct {
 		records []standinworker.Record
-		claims  []claim
+		claims  []outcome
 		want    string
 	}{
 		"nothing wrong": {
 			[]standinworker.Record{rec(0, "a", "j.1.0", "m", begin), rec(1, "a", "j.1.0", "m", end)},
-			[]claim{{mark: "m", ran: "ran"}}, "",
+			[]outcome{{mark: "m", result: "ran"}}, "",
 		},
 		"a repeat after the end is no overlap": {
 			[]standinworker.Record{
 				rec(0, "a", "j.1.0", "m", begin), rec(1, "a", "j.1.0", "m", end),
 				rec(2, "b", "j.2.0", "m", begin), rec(3, "b", "j.2.0", "m", end),
-			}, []claim{{mark: "m", ran: "ran", repeatable: true}}, "",
+			}, []outcome{{mark: "m", result: "ran", repeatable: true}}, "",
 		},
 		"over capacity": {[]standinworker.Record{rec(0, "a", "j.1.0", "m", standinworker.EventOver)}, nil, overcommit},
 		"overlap": {
 			[]standinworker.Record{
 				rec(0, "a", "j.1.0", "m", begin), rec(1, "b", "j.2.0", "m", begin),
 				rec(2, "a", "j.1.0", "m", end), rec(3, "b", "j.2.0", "m", end),
-			}, []claim{{mark: "m", ran: "ran", repeatable: true}}, atOnce,
+			}, []outcome{{mark: "m", result: "ran", repeatable: true}}, overlappingRuns,
 		},
 		"second run": {
 			[]standinworker.Record{
 				rec(0, "a", "j.1.0", "m", begin), rec(1, "a", "j.1.0", "m", end),
 				rec(2, "b", "j.2.0", "m", begin), rec(3, "b", "j.2.0", "m", end),
-			}, []claim{{mark: "m", ran: "ran"}}, twice,
+			}, []outcome{{mark: "m", result: "ran"}}, duplicateRun,
 		},
 		"not run but ran": {
-			[]standinworker.Record{rec(0, "a", "j.1.0", "m", begin)}, []claim{{mark: "m", ran: "not-run"}}, falseNot,
+			[]standinworker.Record{rec(0, "a", "j.1.0", "m", begin)}, []outcome{{mark: "m", result: "not-run"}}, falseNotRun,
 		},
-		"nothing said":    {nil, []claim{{mark: "m"}}, noAnswer},
-		"ran but did not": {nil, []claim{{mark: "m", ran: "ran"}}, falseRan},
+		"nothing said":    {nil, []outcome{{mark: "m"}}, noOutcome},
+		"ran but did not": {nil, []outcome{{mark: "m", result: "ran"}}, falseRan},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -14,10 +14,10 @@
 )
 
 // three is the cluster that the faults are tried on.
-func three(t *testing.T) *cluster {
+func newThreeNodeCluster(t *testing.T) *cluster {
 	t.Helper()
 	cl := newCluster(t, options{nodes: []string{"n1", "n2", "n3"}, workers: 24})
-	cl.ordinaryTable()
+	cl.configureWorkloads()
 	return cl
 }
 
@@ -25,14 +25,14 @@
 // jobs are seen through by their new homes.
 func TestKillNode(t *testing.T) {
 	is := is.New(t)
-	cl := three(t)
+	cl := newThreeNodeCluster(t)
 	ld := startLoad(cl, 6, 2, func() *client.Client { return cl.api("n1", "n2") })
 	time.Sleep(time.Second)
 	cl.nodes["n3"].kill()
 	delete(cl.nodes, "n3")
 	cl.waitWorkers(24)
 	time.Sleep(time.Second)
-	ld.end().none(t)
+	ld.end().assertNone(t)
 	is.True(ld.jobs.Load() > 5)
 	ld.log(t)
 }
@@ -40,7 +40,7 @@
 // TestPauseNode stops a node for longer than its leases and lets it go on. It
 // wakes up fenced, and joins again.
 func TestPauseNode(t *testing.T) {
-	cl := three(t)
+	cl := newThreeNodeCluster(t)
 	ld := startLoad(cl, 6, 2, func() *client.Client { return cl.api("n1", "n2") })
 	time.Sleep(time.Second)
 	paused := cl.nodes["n3"]
@@ -49,7 +49,7 @@
 	paused.signal(syscall.SIGCONT)
 	time.Sleep(2 * time.Second)
 	cl.waitWorkers(24)
-	ld.end().none(t)
+	ld.end().assertNone(t)
 	ld.log(t)
 }
 
@@ -57,7 +57,7 @@
 // Lookups need no store, and nothing is doubled or lost.
 func TestStoreOutage(t *testing.T) {
 	is := is.New(t)
-	cl := three(t)
+	cl := newThreeNodeCluster(t)
 	ld := startLoad(cl, 6, 2, func() *client.Client { return cl.api() })
 	for _, ft := range []standinstore.Faults{
 		{LoseEvery: 3}, {Down: true}, {}, {Slow: 300 * time.Millisecond}, {Hang: false, LoseEvery: 2}, {},
@@ -65,8 +65,8 @@
 		cl.failStore(ft)
 		time.Sleep(2 * time.Second)
 	}
-	ld.end().none(t)
-	is.Equal(ld.lost.Load(), int64(0)) // no lookup needs the store
+	ld.end().assertNone(t)
+	is.Equal(ld.failedLookups.Load(), int64(0)) // no lookup needs the store
 	ld.log(t)
 }
 
@@ -74,7 +74,7 @@
 // lookup is lost.
 func TestRollingReplacement(t *testing.T) {
 	is := is.New(t)
-	cl := three(t)
+	cl := newThreeNodeCluster(t)
 	inService := newBalancer(cl, "n1", "n2", "n3")
 	ld := startLoad(cl, 8, 2, inService.client)
 	time.Sleep(500 * time.Millisecond)
@@ -91,8 +91,8 @@
 		delete(cl.nodes, name)
 	}
 	cl.waitWorkers(24)
-	ld.end().none(t)
-	is.Equal(ld.lost.Load(), int64(0)) // a planned stop cuts nothing
+	ld.end().assertNone(t)
+	is.Equal(ld.failedLookups.Load(), int64(0)) // a planned stop cuts nothing
 	ld.log(t)
 }
 
@@ -100,7 +100,7 @@
 // away. Every job gets its answer, and nothing that is left is broken.
 func TestKillWorkers(t *testing.T) {
 	is := is.New(t)
-	cl := three(t)
+	cl := newThreeNodeCluster(t)
 	cl.addWorkers(options{}, 101, 8)
 	cl.waitWorkers(32)
 	ld := startLoad(cl, 6, 2, func() *client.Client { return cl.api() })
@@ -111,7 +111,7 @@
 	}
 	cl.waitWorkers(24)
 	time.Sleep(time.Second)
-	ld.end().none(t)
+	ld.end().assertNone(t)
 	is.True(ld.jobs.Load() > 10)
 	ld.log(t)
 }
@@ -122,7 +122,7 @@
 func TestSplitInTwo(t *testing.T) {
 	is := is.New(t)
 	cl := newCluster(t, options{nodes: []string{"n1", "n2", "n3", "n4"}, workers: 32, relays: true})
-	cl.ordinaryTable()
+	cl.configureWorkloads()
 	ld := startLoad(cl, 12, 3, func() *client.Client { return cl.api() })
 	time.Sleep(time.Second)
 	cl.split([]string{"n1", "n2"}, []string{"n3", "n4"})
@@ -130,8 +130,8 @@
 	list, err := client.JSON[api.Nodes](cl.api("n1"), client.Request{Method: "GET", Path: api.PathNodes})
 	is.NoErr(err)
 	is.Equal(len(list.Nodes)+len(list.Unreached), 4) // all are members still
-	cl.mend()
+	cl.restoreLinks()
 	cl.waitWorkers(32)
-	ld.end().none(t)
+	ld.end().assertNone(t)
 	ld.log(t)
 }
--- a/test/halls_test.go
+++ b/test/halls_test.go
@@ -10,17 +10,17 @@
 // hallSample is what a failure at the target's size costs, against the same time
 // at rest before it.
 type hallSample struct {
-	What    string `json:"what"`
-	Nodes   int    `json:"nodes"`
-	Workers int    `json:"workers"`
-	Lost    int    `json:"workers_lost"`
+	What        string `json:"what"`
+	Nodes       int    `json:"nodes"`
+	Workers     int    `json:"workers"`
+	WorkersLost int    `json:"workers_lost"`
 	// Settled is when no node showed a lost worker as ready any more, or, after a
 	// split, when all nodes saw all workers ready again.
-	Settled  float64 `json:"settled_s"`
-	Reads    int64   `json:"store_reads_more_than_at_rest"`
-	Writes   int64   `json:"store_writes_more_than_at_rest"`
-	CPU      float64 `json:"cpu_percent_of_core_a_node"`
-	PeerSent float64 `json:"peer_sent_bytes_a_node"`
+	RecoveryTime float64 `json:"settled_s"`
+	Reads        int64   `json:"store_reads_more_than_at_rest"`
+	Writes       int64   `json:"store_writes_more_than_at_rest"`
+	CPU          float64 `json:"cpu_percent_of_core_a_node"`
+	PeerSent     float64 `json:"peer_sent_bytes_a_node"`
 }
 
 // TestHalls measures the loss of a hall of six, and a minute in which two halves of
@@ -32,32 +32,32 @@
 	}
 	const halls, each = 6, 162
 	names := []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}
-	op := options{nodes: names, ordinary: true, relays: true, lease: 20 * time.Second}
+	op := options{nodes: names, defaultSettings: true, relays: true, lease: 20 * time.Second}
 	cl := newCluster(t, op)
 	for hall := range halls {
 		op.hall = fmt.Sprint("hall-", hall+1)
 		cl.addWorkers(op, 1000*hall+1, each)
 	}
 	cl.waitWorkers(halls * each)
-	cl.ordinaryTable()
+	cl.configureWorkloads()
 	time.Sleep(5 * time.Second)
-	rest := cl.spend(20*time.Second, func() {})
-	split := cl.measureSplit(rest, names)
-	lost := cl.measureHall(rest, halls*each, each)
+	idle := cl.measureUsage(20*time.Second, func() {})
+	split := cl.measureSplit(idle, names)
+	lost := cl.measureHall(idle, halls*each, each)
 	writeData(t, "halls.json", []hallSample{lost, split})
 	t.Logf("%+v %+v", lost, split)
 }
 
 // spend returns what all nodes and the store spend in a time, in which act begins,
 // each second on average.
-func (cl *cluster) spend(span time.Duration, act func()) hallSample {
-	before, calls := cl.control(), cl.counts()
-	began := time.Now()
-	act()
+func (cl *cluster) measureUsage(span time.Duration, action func()) hallSample {
+	before, calls := cl.control(), cl.storeCounts()
+	startedAt := time.Now()
+	action()
 	var sm hallSample
-	time.Sleep(time.Until(began.Add(span)))
-	took := time.Since(began).Seconds()
-	after := cl.counts()
+	time.Sleep(time.Until(startedAt.Add(span)))
+	took := time.Since(startedAt).Seconds()
+	after := cl.storeCounts()
 	sm.Reads, sm.Writes = after.Reads-calls.Reads, after.Writes-calls.Writes
 	for name, ct := range cl.control() {
 		sm.CPU += 100 * (ct.CPU - before[name].CPU).Seconds() / took / float64(len(before))
@@ -67,40 +67,40 @@
 }
 
 // moreThan takes off what the same time at rest would have spent.
-func (sm *hallSample) moreThan(rest hallSample, part float64) {
-	sm.Reads -= int64(float64(rest.Reads) * part)
-	sm.Writes -= int64(float64(rest.Writes) * part)
+func (sm *hallSample) subtractIdle(idle hallSample, ratio float64) {
+	sm.Reads -= int64(float64(idle.Reads) * ratio)
+	sm.Writes -= int64(float64(idle.Writes) * ratio)
 }
 
 // measureHall kills all workers of a hall.
-func (cl *cluster) measureHall(rest hallSample, workers, lost int) hallSample {
-	began := time.Now()
-	var settled time.Duration
-	sm := cl.spend(150*time.Second, func() {
+func (cl *cluster) measureHall(idle hallSample, workers, lost int) hallSample {
+	startedAt := time.Now()
+	var recovery time.Duration
+	sm := cl.measureUsage(150*time.Second, func() {
 		cl.fleets[len(cl.fleets)-1].kill()
 		cl.waitWorkers(workers - lost)
-		settled = time.Since(began)
+		recovery = time.Since(startedAt)
 	})
-	sm.moreThan(rest, time.Since(began).Seconds()/20)
-	sm.What, sm.Nodes, sm.Workers, sm.Lost = "a hall of six lost", len(cl.nodes), workers, lost
-	sm.Settled = settled.Seconds()
+	sm.subtractIdle(idle, time.Since(startedAt).Seconds()/20)
+	sm.What, sm.Nodes, sm.Workers, sm.WorkersLost = "a hall of six lost", len(cl.nodes), workers, lost
+	sm.RecoveryTime = recovery.Seconds()
 	return sm
 }
 
 // measureSplit cuts half of the nodes off from the others for a minute; all reach
 // the store.
-func (cl *cluster) measureSplit(rest hallSample, names []string) hallSample {
-	var settled time.Duration
-	began := time.Now()
-	sm := cl.spend(90*time.Second, func() {
+func (cl *cluster) measureSplit(idle hallSample, names []string) hallSample {
+	var recovery time.Duration
+	startedAt := time.Now()
+	sm := cl.measureUsage(90*time.Second, func() {
 		cl.split(names[:3], names[3:])
 		time.Sleep(time.Minute)
-		cl.mend()
-		mended := time.Now()
+		cl.restoreLinks()
+		restoredAt := time.Now()
 		cl.waitWorkers(len(cl.workers))
-		settled = time.Since(mended)
+		recovery = time.Since(restoredAt)
 	})
-	sm.moreThan(rest, time.Since(began).Seconds()/20)
-	sm.What, sm.Nodes, sm.Workers, sm.Settled = "two halves of the nodes apart for a minute", len(names), len(cl.workers), settled.Seconds()
+	sm.subtractIdle(idle, time.Since(startedAt).Seconds()/20)
+	sm.What, sm.Nodes, sm.Workers, sm.RecoveryTime = "two halves of the nodes apart for a minute", len(names), len(cl.workers), recovery.Seconds()
 	return sm
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -29,7 +29,7 @@
 
 // patience bounds every wait for the system to get somewhere. It is no measure:
 // a slow machine only takes longer.
-const patience = 90 * time.Second
+const waitTimeout = 90 * time.Second
 
 var binaries string
 
@@ -61,28 +61,28 @@
 	addr  string
 	peer  string
 	// killed is when the process was surely gone.
-	killed time.Time
+	killedAt time.Time
 	// records is the file of a process of workers.
 	records string
 }
 
 // cluster is everything that a scenario runs.
 type cluster struct {
-	t         *testing.T
-	dir       string
-	store     *process
-	storeAddr string
-	vmsAddr   string
-	fleets    []*process
-	workers   map[string]string
-	nodes     map[string]*process
-	relays    map[string]*relay
-	race      *race
-	wave      *wave
-	restarted *process
-	truth     []vmsmsg.VM
-	clients   clients
-	ordinary  bool
+	t               *testing.T
+	dir             string
+	store           *process
+	storeAddr       string
+	vmsAddr         string
+	fleets          []*process
+	workers         map[string]string
+	nodes           map[string]*process
+	relays          map[string]*relay
+	race            *editRace
+	wave            *cancelWave
+	restarted       *process
+	originalVMs     []vmsmsg.VM
+	clients         clients
+	defaultSettings bool
 }
 
 // options of a cluster.
@@ -92,7 +92,7 @@
 	lease   time.Duration
 	lookup  time.Duration
 	// ordinary keeps the default times, as a real site has them.
-	ordinary bool
+	defaultSettings bool
 	// hall is the hall of the workers; empty spreads them.
 	hall string
 	// relays puts a relay before each node, so that links can be cut.
@@ -103,7 +103,7 @@
 func newCluster(t *testing.T, op options) *cluster {
 	t.Helper()
 	cl := &cluster{
-		t: t, dir: t.TempDir(), workers: map[string]string{}, nodes: map[string]*process{}, ordinary: op.ordinary,
+		t: t, dir: t.TempDir(), workers: map[string]string{}, nodes: map[string]*process{}, defaultSettings: op.defaultSettings,
 	}
 	if op.relays {
 		cl.relays = map[string]*relay{}
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	cl.store = cl.start("store", "tackbeam", "standin", "store")
-	words := strings.Fields(cl.line(cl.store))
+	words := strings.Fields(cl.nextLine(cl.store))
 	cl.storeAddr, cl.vmsAddr = words[1], words[3]
 	cl.addWorkers(op, 1, op.workers)
 	for _, name := range op.nodes {
@@ -140,20 +140,20 @@
 		cl.t.Fatal(err)
 	}
 	pr := &process{name: name, cmd: cmd, lines: make(chan string, 4096), done: make(chan struct{})}
-	go pr.read(out)
+	go pr.readLines(out)
 	cl.t.Cleanup(func() {
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 		_ = cmd.Process.Kill()
 		<-pr.done
 		_ = logFile.Close()
-		readLog(cl.t, name, logPath)
+		checkLog(cl.t, name, logPath)
 	})
 	return pr
 }
 
 // readLog fails the test where a process met a race or a panic, and prints the
 // end of the log of a failed test.
-func readLog(t *testing.T, name, path string) {
+func checkLog(t *testing.T, name, path string) {
 	const tail = 6000
 	raw, err := os.ReadFile(path)
 	if err != nil || len(raw) == 0 {
@@ -169,7 +169,7 @@
 	}
 }
 
-func (pr *process) read(out io.Reader) {
+func (pr *process) readLines(out io.Reader) {
 	sc := bufio.NewScanner(out)
 	for sc.Scan() {
 		select {
@@ -182,14 +182,14 @@
 }
 
 // line returns the next line that a process printed.
-func (cl *cluster) line(pr *process) string {
+func (cl *cluster) nextLine(pr *process) string {
 	cl.t.Helper()
 	select {
 	case line := <-pr.lines:
 		return line
 	case <-pr.done:
 		cl.t.Fatalf("%s ended before it was ready", pr.name)
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		cl.t.Fatalf("%s is not ready", pr.name)
 	}
 	return ""
@@ -207,7 +207,7 @@
 		lookup = 2 * time.Millisecond
 	}
 	beat := lease / 8
-	if op.ordinary {
+	if op.defaultSettings {
 		beat = lease / 4
 	}
 	records := filepath.Join(cl.dir, fmt.Sprintf("workers-%d.records", first))
@@ -217,24 +217,24 @@
 	pr.records = records
 	cl.fleets = append(cl.fleets, pr)
 	for range count {
-		words := strings.Fields(cl.line(pr))
+		words := strings.Fields(cl.nextLine(pr))
 		cl.workers[words[1]] = words[2]
 	}
 }
 
 // soloWorker starts a worker that is on no list the nodes read.
-func (cl *cluster) soloWorker() string {
+func (cl *cluster) unlistedWorker() string {
 	cl.t.Helper()
-	list := strings.Fields(cl.line(cl.start("solo-store", "tackbeam", "standin", "store")))[3]
+	list := strings.Fields(cl.nextLine(cl.start("solo-store", "tackbeam", "standin", "store")))[3]
 	pr := cl.start("solo", "tackbeam", "standin", "workers", "--vms", list, "--count", "1", "--lookup-time", "1ms")
-	return strings.Fields(cl.line(pr))[2]
+	return strings.Fields(cl.nextLine(pr))[2]
 }
 
 // startNode starts one node and waits until it is up.
 func (cl *cluster) startNode(name string) *process {
 	cl.t.Helper()
 	pr := cl.launchNode(name)
-	cl.awaitNode(pr)
+	cl.waitNode(pr)
 	return pr
 }
 
@@ -260,7 +260,7 @@
 		cl.relays[name] = newRelay(cl.t)
 		settings["peer"].(map[string]any)["advertise"] = cl.relays[name].addr()
 	}
-	if cl.ordinary {
+	if cl.defaultSettings {
 		for _, section := range []string{"owner", "member", "limits", "log"} {
 			delete(settings, section)
 		}
@@ -280,9 +280,9 @@
 }
 
 // awaitNode waits until a node is up, and takes it into the cluster.
-func (cl *cluster) awaitNode(pr *process) {
+func (cl *cluster) waitNode(pr *process) {
 	cl.t.Helper()
-	words := strings.Fields(cl.line(pr))
+	words := strings.Fields(cl.nextLine(pr))
 	pr.addr, pr.peer = strings.TrimSuffix(words[4], ","), words[8]
 	if cl.relays != nil {
 		cl.relays[pr.name].serve(cl.t, pr.peer)
@@ -291,32 +291,32 @@
 }
 
 // cutOff cuts all links between one node and the others.
-func (cl *cluster) cutOff(name string) {
-	lone := cl.nodes[name].peer
+func (cl *cluster) isolate(name string) {
+	isolated := cl.nodes[name].peer
 	for other, re := range cl.relays {
-		re.setCut(func(from string) bool { return other == name || from == lone })
+		re.setBlocked(func(from string) bool { return other == name || from == isolated })
 	}
 }
 
 // split cuts all links between two groups of nodes.
 func (cl *cluster) split(one, other []string) {
-	cut := func(names, from []string) {
+	block := func(names, from []string) {
 		peers := map[string]bool{}
 		for _, name := range from {
 			peers[cl.nodes[name].peer] = true
 		}
 		for _, name := range names {
-			cl.relays[name].setCut(func(addr string) bool { return peers[addr] })
+			cl.relays[name].setBlocked(func(addr string) bool { return peers[addr] })
 		}
 	}
-	cut(one, other)
-	cut(other, one)
+	block(one, other)
+	block(other, one)
 }
 
 // mend lets all links work again.
-func (cl *cluster) mend() {
+func (cl *cluster) restoreLinks() {
 	for _, re := range cl.relays {
-		re.setCut(nil)
+		re.setBlocked(nil)
 	}
 }
 
@@ -324,7 +324,7 @@
 func (pr *process) kill() {
 	_ = pr.cmd.Process.Kill()
 	<-pr.done
-	pr.killed = time.Now()
+	pr.killedAt = time.Now()
 }
 
 // signal sends a signal to a process.
@@ -337,7 +337,7 @@
 	byAddr map[string]*client.Client
 }
 
-func (cs *clients) of(addrs []string) *client.Client {
+func (cs *clients) get(addrs []string) *client.Client {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	key := strings.Join(addrs, " ")
@@ -361,13 +361,13 @@
 	for _, name := range names {
 		addrs = append(addrs, cl.nodes[name].addr)
 	}
-	return cl.clients.of(addrs)
+	return cl.clients.get(addrs)
 }
 
 // eventually waits until the condition holds.
 func (cl *cluster) eventually(what string, holds func() bool) {
 	cl.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		if holds() {
 			return
 		}
@@ -408,7 +408,7 @@
 func workspaceOf(n int) string { return workspaces[n%len(workspaces)] }
 
 // ordinaryTable has workspaces and a workload of each shape.
-func (cl *cluster) ordinaryTable() {
+func (cl *cluster) configureWorkloads() {
 	cl.t.Helper()
 	for _, name := range workspaces {
 		cl.set("workspace/"+name, "weight", "1")
@@ -456,7 +456,7 @@
 func (cl *cluster) failStore(ft standinstore.Faults) { post(cl.t, cl.storeAddr, "/standin/faults", ft) }
 
 // counts returns the calls that the store has taken.
-func (cl *cluster) counts() standinstore.Counts {
+func (cl *cluster) storeCounts() standinstore.Counts {
 	var ct standinstore.Counts
 	getJSON(cl.t, cl.storeAddr, "/standin/counts", &ct)
 	return ct
@@ -469,8 +469,8 @@
 	var all []standinworker.Record
 	for _, fleet := range cl.fleets {
 		list := readRecords(cl.t, fleet.records)
-		if !fleet.killed.IsZero() {
-			list = append(list, cutShort(list, fleet.killed)...)
+		if !fleet.killedAt.IsZero() {
+			list = append(list, endsAtKill(list, fleet.killedAt)...)
 		}
 		all = append(all, list...)
 	}
@@ -499,7 +499,7 @@
 }
 
 // cutShort returns the ends of what had begun and not ended at the moment.
-func cutShort(list []standinworker.Record, at time.Time) []standinworker.Record {
+func endsAtKill(list []standinworker.Record, at time.Time) []standinworker.Record {
 	open := map[string]standinworker.Record{}
 	for _, rc := range list {
 		switch rc.Event {
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -16,36 +16,36 @@
 // load is a client load of lookups, pushes and gangs that checks every answer
 // and remembers what it was told.
 type load struct {
-	cl      *cluster
-	targets func() *client.Client
-	stop    chan struct{}
-	wg      sync.WaitGroup
-
-	mu      sync.Mutex
-	claims  []claim
-	wrong   []string
-	errors  map[fault.Kind]int
-	samples []string
-	lookups atomic.Int64
-	lost    atomic.Int64
-	jobs    atomic.Int64
+	cl         *cluster
+	pickClient func() *client.Client
+	stop       chan struct{}
+	wg         sync.WaitGroup
+
+	mu            sync.Mutex
+	outcomes      []outcome
+	wrongReplies  []string
+	errors        map[fault.Kind]int
+	errorSamples  []string
+	lookups       atomic.Int64
+	failedLookups atomic.Int64
+	jobs          atomic.Int64
 }
 
 // startLoad begins a load; targets names the nodes that the balancer sends to.
-func startLoad(cl *cluster, lookups, jobs int, targets func() *client.Client) *load {
-	ld := &load{cl: cl, targets: targets, stop: make(chan struct{}), errors: map[fault.Kind]int{}}
+func startLoad(cl *cluster, lookups, jobs int, pickClient func() *client.Client) *load {
+	ld := &load{cl: cl, pickClient: pickClient, stop: make(chan struct{}), errors: map[fault.Kind]int{}}
 	for i := range lookups {
-		ld.run(func(n int) { ld.lookup(fmt.Sprintf("lookup %d of client %d", n, i), workspaceOf(n)) }, 5*time.Millisecond)
+		ld.repeat(func(n int) { ld.lookup(fmt.Sprintf("lookup %d of client %d", n, i), workspaceOf(n)) }, 5*time.Millisecond)
 	}
 	for i := range jobs {
-		ld.run(func(n int) { ld.job(fmt.Sprintf("push-%d-%d", i, n), "push", workspaceOf(n), 1) }, 20*time.Millisecond)
-		ld.run(func(n int) { ld.job(fmt.Sprintf("gang-%d-%d", i, n), "rebuild", workspaceOf(n), 6) }, 60*time.Millisecond)
-		ld.run(func(n int) { ld.job(fmt.Sprintf("again-%d-%d", i, n), "refresh", workspaceOf(n), 1) }, 40*time.Millisecond)
+		ld.repeat(func(n int) { ld.job(fmt.Sprintf("push-%d-%d", i, n), "push", workspaceOf(n), 1) }, 20*time.Millisecond)
+		ld.repeat(func(n int) { ld.job(fmt.Sprintf("gang-%d-%d", i, n), "rebuild", workspaceOf(n), 6) }, 60*time.Millisecond)
+		ld.repeat(func(n int) { ld.job(fmt.Sprintf("again-%d-%d", i, n), "refresh", workspaceOf(n), 1) }, 40*time.Millisecond)
 	}
 	return ld
 }
 
-func (ld *load) run(act func(n int), pause time.Duration) {
+func (ld *load) repeat(act func(n int), pause time.Duration) {
 	ld.wg.Add(1)
 	go func() {
 		defer ld.wg.Done()
@@ -64,57 +64,57 @@
 func (ld *load) log(t *testing.T) {
 	t.Helper()
 	t.Logf("%d lookups, %d lost; %d jobs; errors %v, for example %q",
-		ld.lookups.Load(), ld.lost.Load(), ld.jobs.Load(), ld.errors, ld.samples)
+		ld.lookups.Load(), ld.failedLookups.Load(), ld.jobs.Load(), ld.errors, ld.errorSamples)
 }
 
 // end stops the load, waits for what is under way, and checks everything.
 func (ld *load) end() violations {
 	close(ld.stop)
 	ld.wg.Wait()
-	ld.settle()
-	vi := check(ld.cl.records(), ld.claims)
-	for _, text := range ld.wrong {
+	ld.waitIdle()
+	vi := check(ld.cl.records(), ld.outcomes)
+	for _, text := range ld.wrongReplies {
 		vi.add(wrongReply, "%s", text)
 	}
 	return vi
 }
 
-func (ld *load) note(cm claim) {
+func (ld *load) addOutcome(oc outcome) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	ld.claims = append(ld.claims, cm)
+	ld.outcomes = append(ld.outcomes, oc)
 }
 
-func (ld *load) fail(err error) {
+func (ld *load) addError(err error) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.errors[fault.From(err).Kind]++
-	if len(ld.samples) < 10 {
-		ld.samples = append(ld.samples, err.Error())
+	if len(ld.errorSamples) < 10 {
+		ld.errorSamples = append(ld.errorSamples, err.Error())
 	}
 }
 
 // lookup sends one lookup and checks that the answer is whole and its own.
 func (ld *load) lookup(body, workspace string) {
-	rsp, err := ld.targets().Do(client.Request{
+	rsp, err := ld.pickClient().Do(client.Request{
 		Method: "POST", Path: "/v1/lookups/lookup", Body: []byte(body),
 		Headers: map[string]string{api.HeaderWorkspace: workspace},
 	})
 	ld.lookups.Add(1)
 	if err != nil {
-		ld.lost.Add(1)
-		ld.fail(err)
+		ld.failedLookups.Add(1)
+		ld.addError(err)
 		if !fault.From(err).Begun {
-			ld.note(claim{mark: body, ran: "not-run", repeatable: true})
+			ld.addOutcome(outcome{mark: body, result: "not-run", repeatable: true})
 		}
 		return
 	}
 	if string(rsp.Body) != string(standinworker.Reply([]byte(body))) {
 		ld.mu.Lock()
-		ld.wrong = append(ld.wrong, fmt.Sprintf("asked %q, got %q", body, rsp.Body))
+		ld.wrongReplies = append(ld.wrongReplies, fmt.Sprintf("asked %q, got %q", body, rsp.Body))
 		ld.mu.Unlock()
 	}
-	ld.note(claim{mark: body, ran: "ran", repeatable: true})
+	ld.addOutcome(outcome{mark: body, result: "ran", repeatable: true})
 }
 
 // job submits a job under a key, until it is accepted or refused for good, and
@@ -125,25 +125,25 @@
 		Workload: workload, Workspace: workspace, Tasks: tasks,
 		Payload: map[string]any{"run": 0.05, "mark": mark},
 	}
-	for end := time.Now().Add(patience); time.Now().Before(end); {
-		vw, err := client.Send[api.Job](ld.targets(), client.Request{
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
+		vw, err := client.Send[api.Job](ld.pickClient(), client.Request{
 			Method: "POST", Path: api.PathJobs, Query: map[string]string{"wait": "5"}, Wait: 5 * time.Second,
 			Headers: map[string]string{api.HeaderKey: mark},
 		}, req)
 		if err == nil && vw.Answer != "" {
-			ld.note(claim{mark: mark, ran: vw.Answer, repeatable: workload == "refresh"})
+			ld.addOutcome(outcome{mark: mark, result: vw.Answer, repeatable: workload == "refresh"})
 			return
 		}
 		if err != nil {
-			ld.fail(err)
+			ld.addError(err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	ld.note(claim{mark: mark})
+	ld.addOutcome(outcome{mark: mark})
 }
 
 // settle waits until no worker runs anything any more.
-func (ld *load) settle() {
+func (ld *load) waitIdle() {
 	ld.cl.eventually("all work has ended", func() bool {
 		running := 0
 		for _, rc := range ld.cl.records() {
@@ -193,5 +193,5 @@
 	for _, addr := range ba.addrs {
 		addrs = append(addrs, addr)
 	}
-	return ba.cl.clients.of(addrs)
+	return ba.cl.clients.get(addrs)
 }
--- a/test/matrix_test.go
+++ b/test/matrix_test.go
@@ -19,7 +19,7 @@
 )
 
 // injection is a fault on a running cluster: begin brings it about, end lifts it.
-type injection struct {
+type faultInjection struct {
 	begin func(cl *cluster)
 	end   func(cl *cluster)
 }
@@ -31,16 +31,16 @@
 	"node restarted", "cancel wave", "workers killed", "list lies",
 }
 
-func nothing(*cluster) {}
+func noFault(*cluster) {}
 
 // faults are the single faults. The load goes to n1 and n2; n3 suffers.
-var faults = map[string]injection{
-	"node killed": {func(cl *cluster) { cl.nodes["n3"].kill() }, nothing},
+var faults = map[string]faultInjection{
+	"node killed": {func(cl *cluster) { cl.nodes["n3"].kill() }, noFault},
 	"node paused": {
 		func(cl *cluster) { cl.nodes["n3"].signal(syscall.SIGSTOP) },
 		func(cl *cluster) { cl.nodes["n3"].signal(syscall.SIGCONT) },
 	},
-	"node cut off": {func(cl *cluster) { cl.cutOff("n3") }, func(cl *cluster) { cl.mend() }},
+	"node cut off": {func(cl *cluster) { cl.isolate("n3") }, func(cl *cluster) { cl.restoreLinks() }},
 	"workers paused": {
 		func(cl *cluster) { cl.fleets[1].signal(syscall.SIGSTOP) },
 		func(cl *cluster) { cl.fleets[1].signal(syscall.SIGCONT) },
@@ -49,16 +49,16 @@
 		func(cl *cluster) { cl.failWorkers(standinworker.Faults{FailAll: true}) },
 		func(cl *cluster) { cl.failWorkers(standinworker.Faults{}) },
 	},
-	"store down":   {store(standinstore.Faults{Down: true}), store(standinstore.Faults{})},
-	"store hangs":  {store(standinstore.Faults{Hang: true}), store(standinstore.Faults{})},
-	"answers lost": {store(standinstore.Faults{LoseEvery: 2}), store(standinstore.Faults{})},
-	"store slow":   {store(standinstore.Faults{Slow: 300 * time.Millisecond}), store(standinstore.Faults{})},
+	"store down":   {storeFaults(standinstore.Faults{Down: true}), storeFaults(standinstore.Faults{})},
+	"store hangs":  {storeFaults(standinstore.Faults{Hang: true}), storeFaults(standinstore.Faults{})},
+	"answers lost": {storeFaults(standinstore.Faults{LoseEvery: 2}), storeFaults(standinstore.Faults{})},
+	"store slow":   {storeFaults(standinstore.Faults{Slow: 300 * time.Millisecond}), storeFaults(standinstore.Faults{})},
 	"node restarted": {
 		func(cl *cluster) {
 			cl.nodes["n3"].kill()
 			cl.restarted = cl.launchNode("n3") // the same name, a new process
 		},
-		func(cl *cluster) { cl.awaitNode(cl.restarted) }, // it waits for the store, too
+		func(cl *cluster) { cl.waitNode(cl.restarted) }, // it waits for the store, too
 	},
 	"workers killed": {
 		func(cl *cluster) { cl.fleets[1].kill() }, // a whole rack and hall
@@ -68,15 +68,15 @@
 			}
 		},
 	},
-	"list lies":   {func(cl *cluster) { cl.lie() }, func(cl *cluster) { put(cl.t, cl.vmsAddr, vmsmsg.Path, cl.truth) }},
-	"cancel wave": {func(cl *cluster) { cl.wave = startWave(cl) }, nothing},
+	"list lies":   {func(cl *cluster) { cl.falsifyVMList() }, func(cl *cluster) { put(cl.t, cl.vmsAddr, vmsmsg.Path, cl.originalVMs) }},
+	"cancel wave": {func(cl *cluster) { cl.wave = startWave(cl) }, noFault},
 	"operators race": {
 		func(cl *cluster) { cl.startRace() },
 		func(cl *cluster) { cl.stopRace() },
 	},
 }
 
-func store(ft standinstore.Faults) func(*cluster) {
+func storeFaults(ft standinstore.Faults) func(*cluster) {
 	return func(cl *cluster) { cl.failStore(ft) }
 }
 
@@ -89,14 +89,14 @@
 
 // lie has the list of VMs give a worker the address of another, leave one out,
 // call one leaving and put one into another rack, none of which is true.
-func (cl *cluster) lie() {
-	getJSON(cl.t, cl.vmsAddr, vmsmsg.Path, &cl.truth)
-	false1, false2, false3 := cl.truth[0], cl.truth[3], cl.truth[4]
-	false1.Addr = cl.truth[1].Addr
-	false2.Leaving = true
-	false3.Rack = "r999"
-	put(cl.t, cl.vmsAddr, vmsmsg.Path, []vmsmsg.VM{false1, false2, false3})
-	cl.deregister(cl.truth[2].Name)
+func (cl *cluster) falsifyVMList() {
+	getJSON(cl.t, cl.vmsAddr, vmsmsg.Path, &cl.originalVMs)
+	wrongAddr, wrongLeaving, wrongRack := cl.originalVMs[0], cl.originalVMs[3], cl.originalVMs[4]
+	wrongAddr.Addr = cl.originalVMs[1].Addr
+	wrongLeaving.Leaving = true
+	wrongRack.Rack = "r999"
+	put(cl.t, cl.vmsAddr, vmsmsg.Path, []vmsmsg.VM{wrongAddr, wrongLeaving, wrongRack})
+	cl.deregister(cl.originalVMs[2].Name)
 }
 
 // deregister takes a worker off the list of VMs.
@@ -113,25 +113,25 @@
 	cells map[string]map[string]cell
 }
 
-var found = &matrix{cells: map[string]map[string]cell{}}
+var results = &matrix{cells: map[string]map[string]cell{}}
 
 // promises is the order of the rows.
-var promises = []string{
-	overcommit, atOnce, twice, falseNot, falseRan, wrongReply, reverted, noAnswer, toLeaving,
+var violationKinds = []string{
+	overcommit, overlappingRuns, duplicateRun, falseNotRun, falseRan, wrongReply, revertedCell, noOutcome, startOnLeaving,
 }
 
 func (mx *matrix) add(names []string, vi violations) {
 	mx.mu.Lock()
 	defer mx.mu.Unlock()
-	for _, promise := range promises {
-		if mx.cells[promise] == nil {
-			mx.cells[promise] = map[string]cell{}
+	for _, kind := range violationKinds {
+		if mx.cells[kind] == nil {
+			mx.cells[kind] = map[string]cell{}
 		}
 		for _, name := range names {
-			ce := mx.cells[promise][name]
+			ce := mx.cells[kind][name]
 			ce.cases++
-			ce.violations += len(vi[promise])
-			mx.cells[promise][name] = ce
+			ce.violations += len(vi[kind])
+			mx.cells[kind][name] = ce
 		}
 	}
 }
@@ -140,10 +140,10 @@
 func (mx *matrix) print() {
 	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(tw, "promise\t"+strings.Join(faultNames, "\t"))
-	for _, promise := range promises {
-		line := []string{promise}
+	for _, kind := range violationKinds {
+		line := []string{kind}
 		for _, name := range faultNames {
-			ce := mx.cells[promise][name]
+			ce := mx.cells[kind][name]
 			line = append(line, fmt.Sprintf("%d/%d", ce.cases, ce.violations))
 		}
 		_, _ = fmt.Fprintln(tw, strings.Join(line, "\t"))
@@ -168,23 +168,23 @@
 		for _, names := range cases {
 			t.Run(strings.Join(names, " and "), func(t *testing.T) {
 				t.Parallel()
-				vi := underFaults(t, names)
-				found.add(names, vi)
-				vi.none(t)
+				vi := runWithFaults(t, names)
+				results.add(names, vi)
+				vi.assertNone(t)
 			})
 		}
 	})
-	found.print()
+	results.print()
 }
 
 // underFaults runs one case: load, the faults a moment apart, their end, and
 // the time to recover.
-func underFaults(t *testing.T, names []string) violations {
+func runWithFaults(t *testing.T, names []string) violations {
 	op := options{nodes: []string{"n1", "n2", "n3"}, workers: 8, relays: true, lookup: 100 * time.Millisecond}
 	cl := newCluster(t, op)
 	cl.addWorkers(op, 101, 8)
 	cl.waitWorkers(16)
-	cl.ordinaryTable()
+	cl.configureWorkloads()
 	// More lookups than the slots of n1 and n2, so that many are forwarded to n3.
 	ld := startLoad(cl, 110, 4, func() *client.Client { return cl.api("n1", "n2") })
 	watch := startWatch(cl, "n1", "n2")
@@ -197,16 +197,16 @@
 	for _, name := range names {
 		faults[name].end(cl)
 	}
-	left := cl.leave("w0008")
+	leftAt := cl.markLeaving("w0008")
 	time.Sleep(4 * time.Second)
 	if cl.wave != nil {
-		ld.claims = append(ld.claims, cl.wave.end()...)
+		ld.outcomes = append(ld.outcomes, cl.wave.end()...)
 	}
 	vi := ld.end()
 	watch.end(vi)
 	for _, rc := range cl.records() {
-		if rc.Worker == "w0008" && rc.Event == standinworker.EventBegin && rc.At.After(left.Add(leaveTime)) {
-			vi.add(toLeaving, "%s began %v after", rc.Task, rc.At.Sub(left))
+		if rc.Worker == "w0008" && rc.Event == standinworker.EventBegin && rc.At.After(leftAt.Add(leaveTimeout)) {
+			vi.add(startOnLeaving, "%s began %v after", rc.Task, rc.At.Sub(leftAt))
 		}
 	}
 	ld.log(t)
@@ -214,10 +214,10 @@
 }
 
 // leaveTime is within what a leaving endpoint gets no new work any more.
-const leaveTime = 3 * time.Second
+const leaveTimeout = 3 * time.Second
 
 // leave has the list of VMs say that a worker leaves; the worker is not told.
-func (cl *cluster) leave(name string) time.Time {
+func (cl *cluster) markLeaving(name string) time.Time {
 	var vms []vmsmsg.VM
 	getJSON(cl.t, cl.vmsAddr, vmsmsg.Path, &vms)
 	for _, vm := range vms {
@@ -230,15 +230,15 @@
 }
 
 // watcher follows the versions of the table on nodes; none may go down.
-type watcher struct {
-	stop chan struct{}
-	wg   sync.WaitGroup
-	mu   sync.Mutex
-	bad  []string
+type versionWatcher struct {
+	stop        chan struct{}
+	wg          sync.WaitGroup
+	mu          sync.Mutex
+	regressions []string
 }
 
-func startWatch(cl *cluster, names ...string) *watcher {
-	wa := &watcher{stop: make(chan struct{})}
+func startWatch(cl *cluster, names ...string) *versionWatcher {
+	wa := &versionWatcher{stop: make(chan struct{})}
 	for _, name := range names {
 		api := cl.api(name)
 		wa.wg.Add(1)
@@ -250,7 +250,7 @@
 				case <-wa.stop:
 					return
 				case <-time.After(50 * time.Millisecond):
-					wa.look(name, api, seen)
+					wa.poll(name, api, seen)
 				}
 			}
 		}()
@@ -258,7 +258,7 @@
 	return wa
 }
 
-func (wa *watcher) look(name string, api *client.Client, seen map[string]uint64) {
+func (wa *versionWatcher) poll(name string, api *client.Client, seen map[string]uint64) {
 	tb, err := client.JSON[struct {
 		Rows []table.Row `json:"rows"`
 	}](api, client.Request{Method: "GET", Path: "/v1/table"})
@@ -269,18 +269,18 @@
 		key := string(row.Kind) + "/" + row.Name
 		if row.Version < seen[key] {
 			wa.mu.Lock()
-			wa.bad = append(wa.bad, fmt.Sprintf("%s on %s went from %d to %d", key, name, seen[key], row.Version))
+			wa.regressions = append(wa.regressions, fmt.Sprintf("%s on %s went from %d to %d", key, name, seen[key], row.Version))
 			wa.mu.Unlock()
 		}
 		seen[key] = max(seen[key], row.Version)
 	}
 }
 
-func (wa *watcher) end(vi violations) {
+func (wa *versionWatcher) end(vi violations) {
 	close(wa.stop)
 	wa.wg.Wait()
-	sort.Strings(wa.bad)
-	for _, text := range wa.bad {
-		vi.add(reverted, "%s", text)
+	sort.Strings(wa.regressions)
+	for _, text := range wa.regressions {
+		vi.add(revertedCell, "%s", text)
 	}
 }
--- a/test/outage_test.go
+++ b/test/outage_test.go
@@ -16,21 +16,21 @@
 func (cl *cluster) measureOutage(tm *times) {
 	const down, after = 30 * time.Second, 15
 	cl.failStore(standinstore.Faults{Down: true})
-	began := time.Now()
+	startedAt := time.Now()
 	var wg sync.WaitGroup
-	var lost atomic.Int64
+	var failed atomic.Int64
 	var mu sync.Mutex
 	var last time.Time
-	for n := 0; time.Since(began) < down; n++ {
+	for n := 0; time.Since(startedAt) < down; n++ {
 		if _, err := cl.api().Do(lookupRequest("during the outage")); err != nil {
-			lost.Add(1)
+			failed.Add(1)
 		}
 		if n%10 == 0 {
 			tm.OutageJobs++
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				cl.submitUntilKept(n)
+				cl.submitUntilAccepted(n)
 				mu.Lock()
 				defer mu.Unlock()
 				last = time.Now()
@@ -39,23 +39,23 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	cl.failStore(standinstore.Faults{})
-	back := time.Now()
-	before := cl.counts()
+	recoveredAt := time.Now()
+	before := cl.storeCounts()
 	for range after {
-		was := cl.counts()
+		was := cl.storeCounts()
 		time.Sleep(time.Second)
-		is := cl.counts()
+		is := cl.storeCounts()
 		tm.OutageWrites = append(tm.OutageWrites, is.Writes-was.Writes)
 		tm.OutageReads = append(tm.OutageReads, is.Reads-was.Reads)
 	}
 	wg.Wait()
-	tm.OutageRefused = cl.counts().Refused - before.Refused
-	tm.OutageKept = last.Sub(back).Seconds()
-	tm.OutageLost = lost.Load()
+	tm.OutageRefused = cl.storeCounts().Refused - before.Refused
+	tm.OutageAccepted = last.Sub(recoveredAt).Seconds()
+	tm.OutageFailedLookups = failed.Load()
 }
 
 // submitUntilKept submits a job, again and again under its key, until it is accepted.
-func (cl *cluster) submitUntilKept(n int) {
+func (cl *cluster) submitUntilAccepted(n int) {
 	cl.eventually("job is accepted", func() bool {
 		_, err := client.Send[api.Job](cl.api(), client.Request{
 			Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderKey: fmt.Sprint("outage-", n)},
--- a/test/page_test.go
+++ b/test/page_test.go
@@ -52,7 +52,7 @@
 	var rates []startSample
 	readData(t, "samples.json", &samples)
 	readData(t, "starts.json", &rates)
-	var tenants []tenantSample
+	var tenants []workspaceSample
 	var tm times
 	readData(t, "tenants.json", &tenants)
 	readData(t, "times.json", &tm)
@@ -60,7 +60,7 @@
 	readData(t, "halls.json", &halls)
 	return map[string]string{
 		"rest": restTable(samples), "lookups": lookupTable(samples), "starts": startTable(rates),
-		"slopes": slopeTable(samples), "tenants": tenantTable(tenants), "times": timeTable(tm),
+		"slopes": slopeTable(samples), "tenants": workspaceTable(tenants), "times": timeTable(tm),
 		"halls": hallTable(halls),
 	}
 }
@@ -111,7 +111,7 @@
 	return out.String()
 }
 
-func tenantTable(list []tenantSample) string {
+func workspaceTable(list []workspaceSample) string {
 	out := markdown("workspaces | nodes | CPU, % of a core | resident MiB | to nodes B/s | new row in force everywhere p50, p99 ms", 6)
 	for _, sm := range list {
 		fmt.Fprintf(out, "| %d | %d | %.2f | %.1f | %.0f | %.1f, %.1f |\n", sm.Workspaces, sm.Nodes, sm.CPU, sm.Memory,
@@ -124,7 +124,7 @@
 	out := markdown("what | nodes | workers | lost | settled s | store reads, writes more than at rest | CPU a node, % of a core | to nodes B/s a node", 8)
 	for _, sm := range list {
 		fmt.Fprintf(out, "| %s | %d | %d | %d | %.2f | %d, %d | %.2f | %.0f |\n", sm.What, sm.Nodes,
-			sm.Workers, sm.Lost, sm.Settled, sm.Reads, sm.Writes, sm.CPU, sm.PeerSent)
+			sm.Workers, sm.WorkersLost, sm.RecoveryTime, sm.Reads, sm.Writes, sm.CPU, sm.PeerSent)
 	}
 	return out.String()
 }
@@ -135,16 +135,16 @@
 		fmt.Fprintf(out, "| %s | %s |\n", what, fmt.Sprintf(format, args...))
 	}
 	row("an edit in force on all nodes, p50, p99", "%.1f, %.1f ms", tm.EditP50, tm.EditP99)
-	row("workers of a killed node taken over", "%.1f s", tm.Takeover)
-	row("homes of a killed node taken over", "%.1f s", tm.Homes)
+	row("workers of a killed node taken over", "%.1f s", tm.WorkerTakeover)
+	row("homes of a killed node taken over", "%.1f s", tm.JobTakeover)
 	row("store reads, writes of that", "%d, %d", tm.StoreCalls[0], tm.StoreCalls[1])
 	row("lookups answered in each second around the kill", "%v", tm.Goodput)
-	row("lookups lost by the other nodes' callers", "%d", tm.Lost)
-	row("workers of a drained node moved", "%.2f s", tm.PlannedSlots)
+	row("lookups lost by the other nodes' callers", "%d", tm.FailedLookups)
+	row("workers of a drained node moved", "%.2f s", tm.DrainTime)
 	row("store reads, writes of a replacement", "%d, %d", tm.JoinCalls[0], tm.JoinCalls[1])
-	row("store down for 30 s: lookups lost", "%d", tm.OutageLost)
+	row("store down for 30 s: lookups lost", "%d", tm.OutageFailedLookups)
 	row("jobs submitted meanwhile", "%d", tm.OutageJobs)
-	row("the last of them accepted after its return", "%.1f s", tm.OutageKept)
+	row("the last of them accepted after its return", "%.1f s", tm.OutageAccepted)
 	row("store writes in each second after its return", "%v", tm.OutageWrites)
 	row("store reads in each second after its return", "%v", tm.OutageReads)
 	row("calls that the store refused for their rate", "%d", tm.OutageRefused)
@@ -153,8 +153,8 @@
 
 // quantity is one quantity of a sample.
 type quantity struct {
-	name string
-	of   func(sample) float64
+	name  string
+	value func(sample) float64
 }
 
 // slopeTable fits each quantity against the workers a node owns, over the samples
@@ -170,21 +170,21 @@
 	}
 	out := markdown("quantity | for each owned worker | at none | largest residual | for each node | at none | largest residual", 7)
 	for _, qu := range quantities {
-		owned := fit(list, qu.of, func(sm sample) (float64, bool) {
+		owned := fit(list, qu.value, func(sm sample) (float64, bool) {
 			return float64(sm.Workers) / float64(sm.Nodes), sm.Nodes == 7
 		})
-		nodes := fit(list, qu.of, func(sm sample) (float64, bool) { return float64(sm.Nodes), sm.Workers == 50 })
+		nodes := fit(list, qu.value, func(sm sample) (float64, bool) { return float64(sm.Nodes), sm.Workers == 50 })
 		fmt.Fprintf(out, "| %s | %s | %s |\n", qu.name, owned, nodes)
 	}
 	return out.String()
 }
 
 // fit returns slope, intercept and largest residual of a quantity.
-func fit(list []sample, of func(sample) float64, at func(sample) (float64, bool)) string {
+func fit(list []sample, value func(sample) float64, at func(sample) (float64, bool)) string {
 	var xs, ys []float64
 	for _, sm := range list {
 		if x, ok := at(sm); ok {
-			xs, ys = append(xs, x), append(ys, of(sm))
+			xs, ys = append(xs, x), append(ys, value(sm))
 		}
 	}
 	intercept, slope := stat.LinearRegression(xs, ys, nil, false)
--- a/test/race_test.go
+++ b/test/race_test.go
@@ -13,7 +13,7 @@
 
 // race is two operators who set the same cell by turns at two nodes. Each edit
 // names the value it expects, so the accepted edits must form one chain.
-type race struct {
+type editRace struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 	mu   sync.Mutex
@@ -23,7 +23,7 @@
 }
 
 func (cl *cluster) startRace() {
-	rc := &race{stop: make(chan struct{}), accepted: map[string]string{}}
+	rc := &editRace{stop: make(chan struct{}), accepted: map[string]string{}}
 	cl.race = rc
 	for i, name := range []string{"n1", "n2"} {
 		api := cl.api(name)
@@ -42,7 +42,7 @@
 	}
 }
 
-func (rc *race) edit(cl *client.Client, value string) {
+func (rc *editRace) edit(cl *client.Client, value string) {
 	row, err := client.JSON[table.Row](cl, client.Request{Method: "GET", Path: "/v1/table/workspace/brno"})
 	if err != nil {
 		return
@@ -53,7 +53,7 @@
 	}, api.CellRequest{Value: value, Expect: &expect})
 	if err != nil {
 		if fault.From(err).Begun {
-			rc.doubt(expect, value)
+			rc.addIndeterminate(expect, value)
 		}
 		return
 	}
@@ -66,7 +66,7 @@
 }
 
 // doubt notes an edit that may have been kept.
-func (rc *race) doubt(expect, _ string) {
+func (rc *editRace) addIndeterminate(expect, _ string) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if _, ok := rc.accepted[expect]; !ok {
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -15,9 +15,9 @@
 	socket *net.UDPConn
 	target *net.UDPAddr
 
-	mu    sync.Mutex
-	flows map[string]*net.UDPConn
-	cut   func(from string) bool
+	mu      sync.Mutex
+	flows   map[string]*net.UDPConn
+	blocked func(from string) bool
 }
 
 func newRelay(t *testing.T) *relay {
@@ -41,31 +41,31 @@
 		t.Fatal(err)
 	}
 	re.target = addr
-	go re.inward()
+	go re.forwardInbound()
 }
 
 // setCut drops the packets from and to the addresses that cut reports.
-func (re *relay) setCut(cut func(from string) bool) {
+func (re *relay) setBlocked(blocked func(from string) bool) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	re.cut = cut
+	re.blocked = blocked
 }
 
-func (re *relay) isCut(from string) bool {
+func (re *relay) isBlocked(from string) bool {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	return re.cut != nil && re.cut(from)
+	return re.blocked != nil && re.blocked(from)
 }
 
 // inward carries packets to the node, over a socket for each sender.
-func (re *relay) inward() {
+func (re *relay) forwardInbound() {
 	buf := make([]byte, maxPacket)
 	for {
 		n, from, err := re.socket.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		if re.isCut(from.String()) {
+		if re.isBlocked(from.String()) {
 			continue
 		}
 		if flow := re.flow(from); flow != nil {
@@ -85,12 +85,12 @@
 		return nil
 	}
 	re.flows[from.String()] = flow
-	go re.outward(flow, from)
+	go re.forwardOutbound(flow, from)
 	return flow
 }
 
 // outward carries the node's packets back to one sender.
-func (re *relay) outward(flow *net.UDPConn, to *net.UDPAddr) {
+func (re *relay) forwardOutbound(flow *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, maxPacket)
 	for {
 		n, err := flow.Read(buf)
@@ -106,7 +106,7 @@
 			}
 			continue // the node's socket may be gone for a while
 		}
-		if !re.isCut(to.String()) {
+		if !re.isBlocked(to.String()) {
 			_, _ = re.socket.WriteToUDP(buf[:n], to)
 		}
 	}
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -45,7 +45,7 @@
 }
 
 // starts gathers what became of the jobs.
-type starts struct {
+type startResults struct {
 	mu     sync.Mutex
 	accept []time.Duration
 	placed []time.Duration
@@ -59,23 +59,23 @@
 	for i := range nodes {
 		names = append(names, fmt.Sprint("n", i+1))
 	}
-	cl := newCluster(t, options{nodes: names, workers: workers, lease: 20 * time.Second, ordinary: true})
-	cl.ordinaryTable()
-	st := &starts{}
-	before, calls := cl.control(), cl.counts()
-	began := time.Now()
+	cl := newCluster(t, options{nodes: names, workers: workers, lease: 20 * time.Second, defaultSettings: true})
+	cl.configureWorkloads()
+	st := &startResults{}
+	before, calls := cl.control(), cl.storeCounts()
+	startedAt := time.Now()
 	var wg sync.WaitGroup
 	total := rate * int(span/time.Second)
 	for n := range total {
-		time.Sleep(time.Until(began.Add(time.Duration(n) * time.Second / time.Duration(rate))))
+		time.Sleep(time.Until(startedAt.Add(time.Duration(n) * time.Second / time.Duration(rate))))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			st.job(cl.api(names[n%nodes]), n)
 		}()
 	}
-	after, callsAfter := cl.control(), cl.counts()
-	took := time.Since(began).Seconds()
+	after, callsAfter := cl.control(), cl.storeCounts()
+	took := time.Since(startedAt).Seconds()
 	wg.Wait()
 	sm := startSample{Rate: rate, Nodes: nodes, Jobs: total, Failed: st.failed}
 	for name, ct := range after {
@@ -96,7 +96,7 @@
 }
 
 // job submits one job and waits for its end.
-func (st *starts) job(cl *client.Client, n int) {
+func (st *startResults) job(cl *client.Client, n int) {
 	sent := time.Now()
 	vw, err := client.Send[api.Job](cl, client.Request{
 		Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderKey: fmt.Sprint("key-", n)},
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -11,7 +11,7 @@
 )
 
 // tenantSample is what a number of workspaces costs, a node and second on average.
-type tenantSample struct {
+type workspaceSample struct {
 	Workspaces int     `json:"workspaces"`
 	Nodes      int     `json:"nodes"`
 	CPU        float64 `json:"cpu_percent_of_core"`
@@ -29,16 +29,16 @@
 		t.Skip("a measurement, not a check; run make capacity")
 	}
 	cl := newCluster(t, options{
-		nodes: []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}, workers: 50, lease: 20 * time.Second, ordinary: true,
+		nodes: []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}, workers: 50, lease: 20 * time.Second, defaultSettings: true,
 	})
-	cl.ordinaryTable()
-	var samples []tenantSample
+	cl.configureWorkloads()
+	var samples []workspaceSample
 	made := 0
 	for _, count := range []int{10, 100, 380} {
-		sm := tenantSample{Workspaces: count, Nodes: len(cl.nodes)}
-		sm.EditP50, sm.EditP99 = percentiles(cl.addTenants(made, count))
+		sm := workspaceSample{Workspaces: count, Nodes: len(cl.nodes)}
+		sm.EditP50, sm.EditP99 = percentiles(cl.addWorkspaces(made, count))
 		made = count
-		cl.useTenants(count)
+		cl.useWorkspaces(count)
 		time.Sleep(2 * time.Second)
 		before := cl.control()
 		time.Sleep(10 * time.Second)
@@ -56,24 +56,24 @@
 }
 
 // addTenants adds rows of workspaces and returns how long each took to be in force.
-func (cl *cluster) addTenants(from, to int) []time.Duration {
+func (cl *cluster) addWorkspaces(from, to int) []time.Duration {
 	var all []time.Duration
 	for n := from; n < to; n++ {
-		began := time.Now()
+		startedAt := time.Now()
 		_, err := client.Send[map[string]any](cl.api("n1"), client.Request{
 			Method: "PUT", Path: fmt.Sprintf("/v1/table/workspace/tenant-%d/weight", n),
 		}, api.CellRequest{Value: "1", Wait: true})
 		if err != nil {
 			cl.t.Fatal(err)
 		}
-		all = append(all, time.Since(began))
+		all = append(all, time.Since(startedAt))
 		time.Sleep(100 * time.Millisecond) // within the table's part of the store's rate
 	}
 	return all
 }
 
 // useTenants has every workspace send lookups through each node, and a job.
-func (cl *cluster) useTenants(count int) {
+func (cl *cluster) useWorkspaces(count int) {
 	for n := range count {
 		workspace := fmt.Sprint("tenant-", n)
 		for name := range cl.nodes {
--- a/test/times_test.go
+++ b/test/times_test.go
@@ -15,24 +15,24 @@
 
 // times is how long the system takes to follow a change, with default settings.
 type times struct {
-	Nodes        int      `json:"nodes"`
-	Workers      int      `json:"workers"`
-	EditP50      float64  `json:"edit_in_force_everywhere_p50_ms"`
-	EditP99      float64  `json:"edit_in_force_everywhere_p99_ms"`
-	Takeover     float64  `json:"workers_of_a_killed_node_taken_over_s"`
-	Homes        float64  `json:"jobs_of_a_killed_node_taken_over_s"`
-	StoreCalls   [2]int64 `json:"store_reads_and_writes_of_the_takeover"`
-	Goodput      []int64  `json:"lookups_each_second_around_the_kill"`
-	Lost         int64    `json:"lookups_lost_to_other_nodes_callers"`
-	JoinCalls    [2]int64 `json:"store_reads_and_writes_of_a_replacement"`
-	PlannedSlots float64  `json:"workers_of_a_drained_node_moved_s"`
+	Nodes          int      `json:"nodes"`
+	Workers        int      `json:"workers"`
+	EditP50        float64  `json:"edit_in_force_everywhere_p50_ms"`
+	EditP99        float64  `json:"edit_in_force_everywhere_p99_ms"`
+	WorkerTakeover float64  `json:"workers_of_a_killed_node_taken_over_s"`
+	JobTakeover    float64  `json:"jobs_of_a_killed_node_taken_over_s"`
+	StoreCalls     [2]int64 `json:"store_reads_and_writes_of_the_takeover"`
+	Goodput        []int64  `json:"lookups_each_second_around_the_kill"`
+	FailedLookups  int64    `json:"lookups_lost_to_other_nodes_callers"`
+	JoinCalls      [2]int64 `json:"store_reads_and_writes_of_a_replacement"`
+	DrainTime      float64  `json:"workers_of_a_drained_node_moved_s"`
 	// Outage is the store's calls in each second after it was down.
-	OutageWrites  []int64 `json:"store_writes_each_second_after_an_outage"`
-	OutageReads   []int64 `json:"store_reads_each_second_after_an_outage"`
-	OutageRefused int64   `json:"store_calls_refused_after_an_outage"`
-	OutageJobs    int     `json:"jobs_submitted_during_the_outage"`
-	OutageKept    float64 `json:"last_of_them_accepted_after_s"`
-	OutageLost    int64   `json:"lookups_lost_during_the_outage"`
+	OutageWrites        []int64 `json:"store_writes_each_second_after_an_outage"`
+	OutageReads         []int64 `json:"store_reads_each_second_after_an_outage"`
+	OutageRefused       int64   `json:"store_calls_refused_after_an_outage"`
+	OutageJobs          int     `json:"jobs_submitted_during_the_outage"`
+	OutageAccepted      float64 `json:"last_of_them_accepted_after_s"`
+	OutageFailedLookups int64   `json:"lookups_lost_during_the_outage"`
 }
 
 // TestTimes measures the times and writes docs/capacity/times.json.
@@ -41,8 +41,8 @@
 		t.Skip("a measurement, not a check; run make capacity")
 	}
 	names := []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}
-	cl := newCluster(t, options{nodes: names, workers: 50, lease: 20 * time.Second, ordinary: true})
-	cl.ordinaryTable()
+	cl := newCluster(t, options{nodes: names, workers: 50, lease: 20 * time.Second, defaultSettings: true})
+	cl.configureWorkloads()
 	tm := times{Nodes: len(names), Workers: 50}
 	tm.EditP50, tm.EditP99 = cl.measureEdits(200)
 	cl.measureReplacement(&tm)
@@ -57,14 +57,14 @@
 func (cl *cluster) measureEdits(count int) (p50, p99 float64) {
 	var all []time.Duration
 	for n := range count {
-		began := time.Now()
-		kept, err := client.Send[table.Kept](cl.api("n1"), client.Request{
+		startedAt := time.Now()
+		result, err := client.Send[table.Kept](cl.api("n1"), client.Request{
 			Method: "PUT", Path: "/v1/table/workspace/brno/weight",
 		}, api.CellRequest{Value: fmt.Sprint(n + 2)})
-		if err != nil || len(kept.Unconfirmed) > 0 {
-			cl.t.Fatalf("edit %d: %v, not confirmed by %v", n, err, kept.Unconfirmed)
+		if err != nil || len(result.Unconfirmed) > 0 {
+			cl.t.Fatalf("edit %d: %v, not confirmed by %v", n, err, result.Unconfirmed)
 		}
-		all = append(all, time.Since(began))
+		all = append(all, time.Since(startedAt))
 		time.Sleep(200 * time.Millisecond) // within the table's part of the store's rate
 	}
 	return percentiles(all)
@@ -72,27 +72,27 @@
 
 // measureReplacement drains a node that a new one has joined for.
 func (cl *cluster) measureReplacement(tm *times) {
-	before := cl.counts()
+	before := cl.storeCounts()
 	cl.startNode("spare-1")
 	time.Sleep(2 * time.Second)
-	began := time.Now()
+	startedAt := time.Now()
 	old := cl.nodes["n6"]
 	old.signal(15)
 	delete(cl.nodes, "n6")
 	cl.waitOwned(50, "n6")
-	tm.PlannedSlots = time.Since(began).Seconds()
+	tm.DrainTime = time.Since(startedAt).Seconds()
 	<-old.done
-	after := cl.counts()
+	after := cl.storeCounts()
 	tm.JoinCalls = [2]int64{after.Reads - before.Reads, after.Writes - before.Writes}
 }
 
 // waitOwned waits until so many workers are ready with owners other than one.
-func (cl *cluster) waitOwned(count int, not string) {
+func (cl *cluster) waitOwned(count int, except string) {
 	cl.eventually("workers moved", func() bool {
 		list, err := client.JSON[api.Workers](cl.api("n1"), client.Request{Method: "GET", Path: api.PathWorkers})
 		ready := 0
 		for _, wk := range list.Workers {
-			if wk.State == "ready" && wk.Owner != not {
+			if wk.State == "ready" && wk.Owner != except {
 				ready++
 			}
 		}
@@ -103,7 +103,7 @@
 // measureKill kills a node under load on the others.
 func (cl *cluster) measureKill(tm *times) {
 	stop := make(chan struct{})
-	var good, lost atomic.Int64
+	var answered, failed atomic.Int64
 	var wg sync.WaitGroup
 	for i := range 20 {
 		wg.Add(1)
@@ -116,9 +116,9 @@
 				case <-time.After(5 * time.Millisecond):
 				}
 				if _, err := cl.api("n1", "n2").Do(lookupRequest(fmt.Sprint("part ", i))); err != nil {
-					lost.Add(1)
+					failed.Add(1)
 				} else {
-					good.Add(1)
+					answered.Add(1)
 				}
 			}
 		}()
@@ -129,17 +129,17 @@
 			case <-stop:
 				return
 			case <-time.After(time.Second):
-				tm.Goodput = append(tm.Goodput, good.Swap(0))
+				tm.Goodput = append(tm.Goodput, answered.Swap(0))
 			}
 		}
 	}()
 	time.Sleep(3 * time.Second)
-	before := cl.counts()
+	before := cl.storeCounts()
 	cl.nodes["n7"].kill()
 	delete(cl.nodes, "n7")
-	began := time.Now()
+	startedAt := time.Now()
 	cl.waitOwned(50, "n7")
-	tm.Takeover = time.Since(began).Seconds()
+	tm.WorkerTakeover = time.Since(startedAt).Seconds()
 	for n := range workspaces { // every workspace has a home that takes jobs
 		cl.eventually("a home takes jobs", func() bool {
 			_, err := client.Send[api.Job](cl.api("n1"), client.Request{Method: "POST", Path: api.PathJobs},
@@ -147,11 +147,11 @@
 			return err == nil
 		})
 	}
-	tm.Homes = time.Since(began).Seconds()
-	after := cl.counts()
+	tm.JobTakeover = time.Since(startedAt).Seconds()
+	after := cl.storeCounts()
 	tm.StoreCalls = [2]int64{after.Reads - before.Reads, after.Writes - before.Writes}
 	time.Sleep(2 * time.Second)
 	close(stop)
 	wg.Wait()
-	tm.Lost = lost.Load()
+	tm.FailedLookups = failed.Load()
 }
--- a/test/wave_test.go
+++ b/test/wave_test.go
@@ -13,23 +13,23 @@
 const waveSize = 120
 
 // wave is many jobs that are cancelled as soon as they are accepted.
-type wave struct {
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	claims []claim
+type cancelWave struct {
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	outcomes []outcome
 }
 
-func startWave(cl *cluster) *wave {
-	wa := &wave{}
+func startWave(cl *cluster) *cancelWave {
+	wa := &cancelWave{}
 	for n := range waveSize {
 		wa.wg.Add(1)
 		go func() {
 			defer wa.wg.Done()
-			cm := claim{mark: fmt.Sprint("wave-", n)}
-			cm.ran = submitAndCancel(cl.api("n1", "n2"), cm.mark, n)
+			oc := outcome{mark: fmt.Sprint("wave-", n)}
+			oc.result = submitAndCancel(cl.api("n1", "n2"), oc.mark, n)
 			wa.mu.Lock()
 			defer wa.mu.Unlock()
-			wa.claims = append(wa.claims, cm)
+			wa.outcomes = append(wa.outcomes, oc)
 		}()
 	}
 	return wa
@@ -39,7 +39,7 @@
 // is cancelled at once.
 func submitAndCancel(cl *client.Client, mark string, n int) string {
 	id := ""
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if id == "" {
 			vw, err := client.Send[api.Job](cl, client.Request{
 				Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderKey: mark},
@@ -59,7 +59,7 @@
 	return ""
 }
 
-func (wa *wave) end() []claim {
+func (wa *cancelWave) end() []outcome {
 	wa.wg.Wait()
-	return wa.claims
+	return wa.outcomes
 }
--- a/test/whole_test.go
+++ b/test/whole_test.go
@@ -16,11 +16,11 @@
 func TestWholePath(t *testing.T) {
 	is := is.New(t)
 	cl := newCluster(t, options{nodes: []string{"n1", "n2", "n3"}, workers: 50})
-	cl.ordinaryTable()
+	cl.configureWorkloads()
 	ld := startLoad(cl, 12, 3, func() *client.Client { return cl.api() })
 	time.Sleep(3 * time.Second)
-	ld.end().none(t)
-	calls := cl.counts()
+	ld.end().assertNone(t)
+	calls := cl.storeCounts()
 	is.Equal(len(ld.errors), 0)      // nothing failed
 	is.True(ld.lookups.Load() > 100) // the load was real
 	is.True(ld.jobs.Load() > 20)
