--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -20,7 +20,8 @@
 	"tackbeam.example/tackbeam/internal/workermsg"
 )
 
-// sample is what one size of cluster spends, a node and second on average.
+// sample is the usage of a cluster of one size, as the mean per node and second, except
+// for the store's calls, which are the sum over all nodes.
 type sample struct {
 	Nodes      int     `json:"nodes"`
 	Workers    int     `json:"workers"`
@@ -34,15 +35,15 @@
 	LookupCPU  float64 `json:"cpu_microseconds_a_lookup"`
 	DirectP50  float64 `json:"direct_p50_ms"`
 	DirectP99  float64 `json:"direct_p99_ms"`
-	ThroughP50 float64 `json:"through_p50_ms"`
-	ThroughP99 float64 `json:"through_p99_ms"`
+	RoutedP50  float64 `json:"through_p50_ms"`
+	RoutedP99  float64 `json:"through_p99_ms"`
 }
 
-// TestCapacity measures what control costs at several sizes and writes
-// docs/capacity/samples.json. It takes minutes and runs by make capacity.
+// TestCapacity measures the overhead of the control plane for several cluster sizes and
+// writes docs/capacity/samples.json. It takes minutes; make capacity runs it.
 func TestCapacity(t *testing.T) {
 	if os.Getenv("TACKBEAM_CAPACITY") == "" {
-		t.Skip("a measurement, not a check; run make capacity")
+		t.Skip("measurement only; run make capacity")
 	}
 	var samples []sample
 	sizes := [][2]int{{1, 50}, {2, 50}, {4, 50}, {7, 50}, {7, 200}, {7, 500}, {7, 970}, {11, 50}}
@@ -55,7 +56,7 @@
 	writeData(t, "samples.json", samples)
 }
 
-// writeData writes measured data to docs/capacity.
+// writeData writes measurements to docs/capacity.
 func writeData(t *testing.T, name string, data any) {
 	t.Helper()
 	raw, err := json.MarshalIndent(data, "", "  ")
@@ -77,7 +78,7 @@
 		nodes: names, workers: workers, lease: 20 * time.Second, defaultSettings: true, lookup: time.Millisecond,
 	})
 	cl.configureWorkloads()
-	time.Sleep(3 * time.Second) // the join is over
+	time.Sleep(3 * time.Second) // until the nodes have joined
 	before, calls := cl.control(), cl.storeCounts()
 	time.Sleep(idle)
 	after, callsAfter := cl.control(), cl.storeCounts()
@@ -97,7 +98,7 @@
 	return sm
 }
 
-// control returns what each node has spent on control so far.
+// control returns the resources that each node has used for control since its start.
 func (cl *cluster) control() map[string]nodemsg.ControlUsage {
 	all := map[string]nodemsg.ControlUsage{}
 	list, err := client.JSON[api.Nodes](cl.api(), client.Request{Method: "GET", Path: api.PathNodes})
@@ -110,23 +111,23 @@
 	return all
 }
 
-// measureLookups sends lookups through the nodes and, in turn, straight to a
-// worker, and compares their latencies.
+// measureLookups sends lookups through the nodes and then directly to a worker, and
+// records the latencies of both.
 func (cl *cluster) measureLookups(sm *sample) {
-	const clients, each = 4, 2000
+	const clients, perClient = 4, 2000
 	before := cl.control()
-	through := make([][]time.Duration, clients)
+	routed := make([][]time.Duration, clients)
 	var wg sync.WaitGroup
 	for i := range clients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			api := cl.api()
-			for n := range each {
+			for n := range perClient {
 				startedAt := time.Now()
 				_, err := api.Do(lookupRequest(fmt.Sprint("part ", i, n)))
 				if err == nil {
-					through[i] = append(through[i], time.Since(startedAt))
+					routed[i] = append(routed[i], time.Since(startedAt))
 				}
 			}
 		}()
@@ -137,15 +138,15 @@
 		spent += ct.CPU - before[name].CPU
 	}
 	var all []time.Duration
-	for _, list := range through {
+	for _, list := range routed {
 		all = append(all, list...)
 	}
-	if len(all) != clients*each {
-		cl.t.Fatalf("%d of %d lookups were answered", len(all), clients*each)
+	if len(all) != clients*perClient {
+		cl.t.Fatalf("%d of %d lookups were answered", len(all), clients*perClient)
 	}
 	sm.LookupCPU = float64(spent.Microseconds()) / float64(len(all))
-	sm.ThroughP50, sm.ThroughP99 = percentiles(all)
-	sm.DirectP50, sm.DirectP99 = percentiles(cl.measureDirect(clients, each))
+	sm.RoutedP50, sm.RoutedP99 = percentiles(all)
+	sm.DirectP50, sm.DirectP99 = percentiles(cl.measureDirect(clients, perClient))
 }
 
 func lookupRequest(body string) client.Request {
@@ -155,8 +156,8 @@
 	}
 }
 
-// direct sends lookups straight to one more worker, which no node knows.
-func (cl *cluster) measureDirect(clients, each int) []time.Duration {
+// measureDirect sends lookups directly to another worker, which is unknown to the nodes.
+func (cl *cluster) measureDirect(clients, perClient int) []time.Duration {
 	answers := make([]chan workermsg.Answer, clients)
 	for i := range answers {
 		answers[i] = make(chan workermsg.Answer, 1)
@@ -179,7 +180,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for n := range each {
+			for n := range perClient {
 				startedAt := time.Now()
 				id := uint64(n*clients + i)
 				if conn.Lookup(workermsg.Lookup{ID: id, Body: []byte("part"), Budget: time.Second}) != nil {
--- a/test/checker_test.go
+++ b/test/checker_test.go
@@ -13,24 +13,25 @@
 	"tackbeam.example/tackbeam/internal/standin/standinworker"
 )
 
-// claim is what the system told a client about one piece of work, known by its mark.
+// outcome is what the system reported to a client about a job or lookup, which its
+// mark identifies.
 type outcome struct {
 	mark string
-	// ran is "ran", "not-run" or "unknown"; "" where nothing was said.
+	// result is "ran", "not-run" or "unknown", or "" if no outcome was reported.
 	result string
-	// repeatable work may run more than once.
+	// repeatable is whether the job or lookup may run more than once.
 	repeatable bool
 }
 
-// violations counts the promises that were broken, by name. It believes only the
-// workers' records and the clients' own.
+// violations lists the violated guarantees by kind. They are derived only from the
+// records of the workers and of the clients, never from the state of the nodes.
 type violations map[string][]string
 
 func (vi violations) add(kind, format string, args ...any) {
 	vi[kind] = append(vi[kind], fmt.Sprintf(format, args...))
 }
 
-// The kinds of violations.
+// Kinds of violations.
 const (
 	overcommit      = "overcommit"
 	overlappingRuns = "two at once"
@@ -43,13 +44,13 @@
 	startOnLeaving  = "work to a leaving worker"
 )
 
-// span is one run of a task or lookup on a worker.
+// span is the time during which a worker ran a task or lookup.
 type span struct {
 	worker     string
 	begin, end time.Time
 }
 
-// check compares records with claims.
+// check compares the workers' records with the outcomes that clients were given.
 func check(records []standinworker.Record, outcomes []outcome) violations {
 	vi := violations{}
 	spans := spansOf(records, vi)
@@ -72,19 +73,19 @@
 		case oc.result == "":
 			vi.add(noOutcome, "%s", oc.mark)
 		case oc.result == "not-run" && n > 0 && (!oc.repeatable || !strings.HasPrefix(oc.mark, "lookup")):
-			vi.add(falseNotRun, "%s began %d times", oc.mark, n)
+			vi.add(falseNotRun, "%s started %d times", oc.mark, n)
 		case oc.result == "ran" && n == 0:
-			vi.add(falseRan, "%s never began", oc.mark)
+			vi.add(falseRan, "%s never started", oc.mark)
 		}
 		if n > 1 && !oc.repeatable {
-			vi.add(duplicateRun, "%s began %d times", oc.mark, n)
+			vi.add(duplicateRun, "%s started %d times", oc.mark, n)
 		}
 	}
 	return vi
 }
 
-// spansOf pairs begins and ends by the piece of work: the mark and the task's
-// index, over all attempts.
+// spansOf pairs start and end records. The result is grouped by the mark and, for the
+// tasks of a job, their index, over all attempts.
 func spansOf(records []standinworker.Record, vi violations) map[string][]span {
 	sort.SliceStable(records, func(i, j int) bool { return records[i].At.Before(records[j].At) })
 	spans := map[string][]span{}
@@ -110,7 +111,7 @@
 	return spans
 }
 
-// none fails the test where a promise was broken.
+// assertNone fails the test if there is a violation.
 func (vi violations) assertNone(t *testing.T) {
 	t.Helper()
 	for kind, list := range vi {
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestCheckerCatches shows that the checker sees each violation when there is one.
+// TestCheckerCatches checks that the checker finds violations in records and outcomes
+// that contain one, and none in correct ones.
 func TestCheckerCatches(t *testing.T) {
 	at := time.Unix(1000, 0)
 	rec := func(after int, worker, task, mark, event string) standinworker.Record {
@@ -132,18 +134,18 @@
 		claims  []outcome
 		want    string
 	}{
-		"nothing wrong": {
+		"no violation": {
 			[]standinworker.Record{rec(0, "a", "j.1.0", "m", begin), rec(1, "a", "j.1.0", "m", end)},
 			[]outcome{{mark: "m", result: "ran"}}, "",
 		},
-		"a repeat after the end is no overlap": {
+		"rerun after the end": {
 			[]standinworker.Record{
 				rec(0, "a", "j.1.0", "m", begin), rec(1, "a", "j.1.0", "m", end),
 				rec(2, "b", "j.2.0", "m", begin), rec(3, "b", "j.2.0", "m", end),
 			}, []outcome{{mark: "m", result: "ran", repeatable: true}}, "",
 		},
-		"over capacity": {[]standinworker.Record{rec(0, "a", "j.1.0", "m", standinworker.EventOver)}, nil, overcommit},
-		"overlap": {
+		"overcommit": {[]standinworker.Record{rec(0, "a", "j.1.0", "m", standinworker.EventOver)}, nil, overcommit},
+		"overlapping runs": {
 			[]standinworker.Record{
 				rec(0, "a", "j.1.0", "m", begin), rec(1, "b", "j.2.0", "m", begin),
 				rec(2, "a", "j.1.0", "m", end), rec(3, "b", "j.2.0", "m", end),
@@ -155,11 +157,11 @@
 				rec(2, "b", "j.2.0", "m", begin), rec(3, "b", "j.2.0", "m", end),
 			}, []outcome{{mark: "m", result: "ran"}}, duplicateRun,
 		},
-		"not run but ran": {
+		"reported not-run but ran": {
 			[]standinworker.Record{rec(0, "a", "j.1.0", "m", begin)}, []outcome{{mark: "m", result: "not-run"}}, falseNotRun,
 		},
-		"nothing said":    {nil, []outcome{{mark: "m"}}, noOutcome},
-		"ran but did not": {nil, []outcome{{mark: "m", result: "ran"}}, falseRan},
+		"no outcome reported":          {nil, []outcome{{mark: "m"}}, noOutcome},
+		"reported ran but did not run": {nil, []outcome{{mark: "m", result: "ran"}}, falseRan},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -169,7 +171,7 @@
 				is.Equal(len(vi), 0)
 				return
 			}
-			is.Equal(len(vi[tc.want]), 1) // the planted violation is found
+			is.Equal(len(vi[tc.want]), 1) // the violation is found
 		})
 	}
 }
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -13,7 +13,7 @@
 	"tackbeam.example/tackbeam/internal/standin/standinstore"
 )
 
-// three is the cluster that the faults are tried on.
+// newThreeNodeCluster starts three nodes and 24 workers.
 func newThreeNodeCluster(t *testing.T) *cluster {
 	t.Helper()
 	cl := newCluster(t, options{nodes: []string{"n1", "n2", "n3"}, workers: 24})
@@ -21,8 +21,8 @@
 	return cl
 }
 
-// TestKillNode kills a node under load. Requests to the other nodes go on; its
-// jobs are seen through by their new homes.
+// TestKillNode kills a node under load. The other nodes keep serving requests, and the
+// new homes of its jobs run these to their end.
 func TestKillNode(t *testing.T) {
 	is := is.New(t)
 	cl := newThreeNodeCluster(t)
@@ -34,11 +34,11 @@
 	time.Sleep(time.Second)
 	ld.end().assertNone(t)
 	is.True(ld.jobs.Load() > 5)
-	ld.log(t)
+	ld.logSummary(t)
 }
 
-// TestPauseNode stops a node for longer than its leases and lets it go on. It
-// wakes up fenced, and joins again.
+// TestPauseNode stops a node for longer than its leases last. When it resumes, it is
+// fenced and joins again.
 func TestPauseNode(t *testing.T) {
 	cl := newThreeNodeCluster(t)
 	ld := startLoad(cl, 6, 2, func() *client.Client { return cl.api("n1", "n2") })
@@ -50,11 +50,11 @@
 	time.Sleep(2 * time.Second)
 	cl.waitWorkers(24)
 	ld.end().assertNone(t)
-	ld.log(t)
+	ld.logSummary(t)
 }
 
-// TestStoreOutage takes the store away, loses its answers, and slows it down.
-// Lookups need no store, and nothing is doubled or lost.
+// TestStoreOutage makes the store unavailable, drops its responses and slows it down.
+// Lookups do not need the store, and no job is lost or run twice.
 func TestStoreOutage(t *testing.T) {
 	is := is.New(t)
 	cl := newThreeNodeCluster(t)
@@ -66,12 +66,12 @@
 		time.Sleep(2 * time.Second)
 	}
 	ld.end().assertNone(t)
-	is.Equal(ld.failedLookups.Load(), int64(0)) // no lookup needs the store
-	ld.log(t)
+	is.Equal(ld.failedLookups.Load(), int64(0)) // lookups do not need the store
+	ld.logSummary(t)
 }
 
-// TestRollingReplacement replaces every node under load, each by a new one. No
-// lookup is lost.
+// TestRollingReplacement replaces each node in turn by a new one, under load. No lookup
+// fails.
 func TestRollingReplacement(t *testing.T) {
 	is := is.New(t)
 	cl := newThreeNodeCluster(t)
@@ -84,20 +84,20 @@
 		inService.add(spare)
 		old := cl.nodes[name]
 		old.signal(syscall.SIGTERM)
-		time.Sleep(200 * time.Millisecond) // the balancer notices that the node is not ready
+		time.Sleep(200 * time.Millisecond) // time in which a load balancer sees that the node is not ready
 		inService.remove(name)
-		<-old.done
-		is.True(old.cmd.ProcessState.Success()) // the node ended cleanly
+		<-old.exited
+		is.True(old.cmd.ProcessState.Success()) // the node exited cleanly
 		delete(cl.nodes, name)
 	}
 	cl.waitWorkers(24)
 	ld.end().assertNone(t)
-	is.Equal(ld.failedLookups.Load(), int64(0)) // a planned stop cuts nothing
-	ld.log(t)
+	is.Equal(ld.failedLookups.Load(), int64(0)) // a planned stop interrupts no lookup
+	ld.logSummary(t)
 }
 
-// TestKillWorkers kills all workers of one process, which takes a whole rack
-// away. Every job gets its answer, and nothing that is left is broken.
+// TestKillWorkers kills all workers of one process, which is the loss of a whole rack.
+// Every job still gets an outcome, and no guarantee is violated.
 func TestKillWorkers(t *testing.T) {
 	is := is.New(t)
 	cl := newThreeNodeCluster(t)
@@ -113,12 +113,13 @@
 	time.Sleep(time.Second)
 	ld.end().assertNone(t)
 	is.True(ld.jobs.Load() > 10)
-	ld.log(t)
+	ld.logSummary(t)
 }
 
-// TestSplitInTwo cuts two nodes off from the other two while all reach the store
-// and the workers. Nobody takes anybody out; each side serves lookups with its own
-// workers; what needs the other side waits or is refused, and is not doubled.
+// TestSplitInTwo blocks the traffic between two pairs of nodes, while all nodes reach
+// the store and the workers. No node is removed from the cluster map. Each side serves
+// lookups with its own workers; requests that need the other side wait or are refused,
+// and nothing runs twice.
 func TestSplitInTwo(t *testing.T) {
 	is := is.New(t)
 	cl := newCluster(t, options{nodes: []string{"n1", "n2", "n3", "n4"}, workers: 32, relays: true})
@@ -129,9 +130,9 @@
 	time.Sleep(6 * time.Second)
 	list, err := client.JSON[api.Nodes](cl.api("n1"), client.Request{Method: "GET", Path: api.PathNodes})
 	is.NoErr(err)
-	is.Equal(len(list.Nodes)+len(list.Unreached), 4) // all are members still
+	is.Equal(len(list.Nodes)+len(list.Unreached), 4) // all are still members
 	cl.restoreLinks()
 	cl.waitWorkers(32)
 	ld.end().assertNone(t)
-	ld.log(t)
+	ld.logSummary(t)
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -1,5 +1,5 @@
-// Package test has scenarios of the whole system on real processes: nodes, a
-// store stand-in and stand-in workers, over TCP and UDP on loopback.
+// Package test contains end-to-end tests that run real processes on the loopback
+// interface: nodes, a stand-in for the store and stand-in workers.
 package test
 
 import (
@@ -27,8 +27,8 @@
 	"tackbeam.example/tackbeam/internal/vmsmsg"
 )
 
-// patience bounds every wait for the system to get somewhere. It is no measure:
-// a slow machine only takes longer.
+// waitTimeout bounds every wait for a condition. It is long, so that a slow machine
+// only takes longer and does not fail a test.
 const waitTimeout = 90 * time.Second
 
 var binaries string
@@ -52,21 +52,22 @@
 	os.Exit(code)
 }
 
-// process is one process that the scenario started.
+// process is a process that a test started.
 type process struct {
-	name  string
-	cmd   *exec.Cmd
-	lines chan string
-	done  chan struct{}
-	addr  string
-	peer  string
-	// killed is when the process was surely gone.
+	name   string
+	cmd    *exec.Cmd
+	lines  chan string
+	exited chan struct{}
+	addr   string
+	peer   string
+	// killedAt is a time at which the killed process had certainly exited.
 	killedAt time.Time
-	// records is the file of a process of workers.
+	// records is the path of the file in which a process of stand-in workers records
+	// what they run.
 	records string
 }
 
-// cluster is everything that a scenario runs.
+// cluster is the set of processes of a test.
 type cluster struct {
 	t               *testing.T
 	dir             string
@@ -85,21 +86,23 @@
 	defaultSettings bool
 }
 
-// options of a cluster.
+// options configures a cluster.
 type options struct {
 	nodes   []string
 	workers int
 	lease   time.Duration
 	lookup  time.Duration
-	// ordinary keeps the default times, as a real site has them.
+	// defaultSettings keeps the default intervals and timeouts, as in production,
+	// instead of the short ones of the tests.
 	defaultSettings bool
-	// hall is the hall of the workers; empty spreads them.
+	// hall is the hall of all workers; if empty, they are spread over the halls.
 	hall string
-	// relays puts a relay before each node, so that links can be cut.
+	// relays puts a UDP relay in front of each node, so that a test can block the
+	// traffic between nodes.
 	relays bool
 }
 
-// newCluster starts a store, workers and nodes, and waits until they are ready.
+// newCluster starts a store, workers and nodes, and waits until all workers are ready.
 func newCluster(t *testing.T, op options) *cluster {
 	t.Helper()
 	cl := &cluster{
@@ -122,7 +125,7 @@
 	return cl
 }
 
-// start runs a program; its log goes to a file that a failed test prints.
+// start runs a program. Its log goes to a file, which is printed if the test fails.
 func (cl *cluster) start(name, program string, args ...string) *process {
 	cl.t.Helper()
 	cmd := exec.Command(filepath.Join(binaries, program), args...)
@@ -139,20 +142,20 @@
 	if err := cmd.Start(); err != nil {
 		cl.t.Fatal(err)
 	}
-	pr := &process{name: name, cmd: cmd, lines: make(chan string, 4096), done: make(chan struct{})}
+	pr := &process{name: name, cmd: cmd, lines: make(chan string, 4096), exited: make(chan struct{})}
 	go pr.readLines(out)
 	cl.t.Cleanup(func() {
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 		_ = cmd.Process.Kill()
-		<-pr.done
+		<-pr.exited
 		_ = logFile.Close()
 		checkLog(cl.t, name, logPath)
 	})
 	return pr
 }
 
-// readLog fails the test where a process met a race or a panic, and prints the
-// end of the log of a failed test.
+// checkLog fails the test if the log of a process reports a data race, a panic or a
+// fatal error. If the test failed, it prints the end of the log.
 func checkLog(t *testing.T, name, path string) {
 	const tail = 6000
 	raw, err := os.ReadFile(path)
@@ -178,24 +181,24 @@
 		}
 	}
 	_ = pr.cmd.Wait()
-	close(pr.done)
+	close(pr.exited)
 }
 
-// line returns the next line that a process printed.
+// nextLine returns the next line that a process prints on standard output.
 func (cl *cluster) nextLine(pr *process) string {
 	cl.t.Helper()
 	select {
 	case line := <-pr.lines:
 		return line
-	case <-pr.done:
-		cl.t.Fatalf("%s ended before it was ready", pr.name)
+	case <-pr.exited:
+		cl.t.Fatalf("%s exited before it was ready", pr.name)
 	case <-time.After(waitTimeout):
-		cl.t.Fatalf("%s is not ready", pr.name)
+		cl.t.Fatalf("timed out waiting for %s to become ready", pr.name)
 	}
 	return ""
 }
 
-// addWorkers starts one process with count workers.
+// addWorkers starts one process that runs count workers.
 func (cl *cluster) addWorkers(op options, first, count int) {
 	cl.t.Helper()
 	lease := op.lease
@@ -206,14 +209,14 @@
 	if lookup == 0 {
 		lookup = 2 * time.Millisecond
 	}
-	beat := lease / 8
+	heartbeat := lease / 8
 	if op.defaultSettings {
-		beat = lease / 4
+		heartbeat = lease / 4
 	}
 	records := filepath.Join(cl.dir, fmt.Sprintf("workers-%d.records", first))
 	pr := cl.start("workers", "tackbeam", "standin", "workers", "--vms", cl.vmsAddr, "--records", records,
 		"--first", fmt.Sprint(first), "--count", fmt.Sprint(count),
-		"--hall", op.hall, "--lease", lease.String(), "--beat", beat.String(), "--lookup-time", lookup.String())
+		"--hall", op.hall, "--lease", lease.String(), "--beat", heartbeat.String(), "--lookup-time", lookup.String())
 	pr.records = records
 	cl.fleets = append(cl.fleets, pr)
 	for range count {
@@ -222,15 +225,16 @@
 	}
 }
 
-// soloWorker starts a worker that is on no list the nodes read.
+// unlistedWorker starts a worker that is not in the list of VMs that the nodes read,
+// and returns its address.
 func (cl *cluster) unlistedWorker() string {
 	cl.t.Helper()
-	list := strings.Fields(cl.nextLine(cl.start("solo-store", "tackbeam", "standin", "store")))[3]
-	pr := cl.start("solo", "tackbeam", "standin", "workers", "--vms", list, "--count", "1", "--lookup-time", "1ms")
+	vmsAddr := strings.Fields(cl.nextLine(cl.start("unlisted-store", "tackbeam", "standin", "store")))[3]
+	pr := cl.start("unlisted", "tackbeam", "standin", "workers", "--vms", vmsAddr, "--count", "1", "--lookup-time", "1ms")
 	return strings.Fields(cl.nextLine(pr))[2]
 }
 
-// startNode starts one node and waits until it is up.
+// startNode starts a node and waits until it is listening.
 func (cl *cluster) startNode(name string) *process {
 	cl.t.Helper()
 	pr := cl.launchNode(name)
@@ -238,7 +242,7 @@
 	return pr
 }
 
-// launchNode starts one node.
+// launchNode starts a node without waiting for it.
 func (cl *cluster) launchNode(name string) *process {
 	cl.t.Helper()
 	settings := map[string]any{
@@ -279,7 +283,7 @@
 	return cl.start(name, "tackbeamd", "--config", path)
 }
 
-// awaitNode waits until a node is up, and takes it into the cluster.
+// waitNode waits until a node is listening, and adds it to the cluster.
 func (cl *cluster) waitNode(pr *process) {
 	cl.t.Helper()
 	words := strings.Fields(cl.nextLine(pr))
@@ -290,7 +294,7 @@
 	cl.nodes[pr.name] = pr
 }
 
-// cutOff cuts all links between one node and the others.
+// isolate blocks the traffic between a node and all others.
 func (cl *cluster) isolate(name string) {
 	isolated := cl.nodes[name].peer
 	for other, re := range cl.relays {
@@ -298,7 +302,7 @@
 	}
 }
 
-// split cuts all links between two groups of nodes.
+// split blocks the traffic between two groups of nodes.
 func (cl *cluster) split(one, other []string) {
 	block := func(names, from []string) {
 		peers := map[string]bool{}
@@ -313,25 +317,24 @@
 	block(other, one)
 }
 
-// mend lets all links work again.
+// restoreLinks unblocks the traffic between all nodes.
 func (cl *cluster) restoreLinks() {
 	for _, re := range cl.relays {
 		re.setBlocked(nil)
 	}
 }
 
-// kill ends a process at once.
+// kill sends SIGKILL to a process and waits until it has exited.
 func (pr *process) kill() {
 	_ = pr.cmd.Process.Kill()
-	<-pr.done
+	<-pr.exited
 	pr.killedAt = time.Now()
 }
 
-// signal sends a signal to a process.
 func (pr *process) signal(sig syscall.Signal) { _ = pr.cmd.Process.Signal(sig) }
 
-// clients keeps a client for each list of addresses, so that connections are
-// used again.
+// clients caches a client for each list of addresses, so that connections are
+// reused.
 type clients struct {
 	mu     sync.Mutex
 	byAddr map[string]*client.Client
@@ -350,7 +353,7 @@
 	return cs.byAddr[key]
 }
 
-// api returns a client of one node, or of all where none is named.
+// api returns a client of the named nodes, or of all nodes if none is named.
 func (cl *cluster) api(names ...string) *client.Client {
 	if len(names) == 0 {
 		for name := range cl.nodes {
@@ -364,18 +367,18 @@
 	return cl.clients.get(addrs)
 }
 
-// eventually waits until the condition holds.
-func (cl *cluster) eventually(what string, holds func() bool) {
+// eventually polls until the condition holds, and fails the test after waitTimeout.
+func (cl *cluster) eventually(condition string, holds func() bool) {
 	cl.t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	cl.t.Fatalf("not reached: %s", what)
+	cl.t.Fatalf("timed out waiting for: %s", condition)
 }
 
-// waitWorkers waits until so many workers are ready, as every node sees it.
+// waitWorkers waits until the list of workers has exactly count ready workers.
 func (cl *cluster) waitWorkers(count int) {
 	cl.t.Helper()
 	cl.eventually(fmt.Sprint(count, " workers ready"), func() bool {
@@ -390,8 +393,8 @@
 	})
 }
 
-// set sets a cell and waits until every node has it in force.
-func (cl *cluster) set(row, column, value string) {
+// setCell sets a cell of the table and waits until it is active on every node.
+func (cl *cluster) setCell(row, column, value string) {
 	cl.t.Helper()
 	cl.eventually("set "+row, func() bool {
 		_, err := client.Send[map[string]any](cl.api(), client.Request{
@@ -401,34 +404,35 @@
 	})
 }
 
-// workspaces are spread over the partitions, so that every node is home of some.
+// workspaces hash to different partitions, so that every node is the home of some.
 var workspaces = []string{"brno", "olomouc", "zlin", "ostrava", "plzen", "opava", "cheb", "tabor"}
 
-// workspaceOf gives each piece of work, by its number, one of the workspaces.
+// workspaceOf returns the workspace of the n-th job or lookup.
 func workspaceOf(n int) string { return workspaces[n%len(workspaces)] }
 
-// ordinaryTable has workspaces and a workload of each shape.
+// configureWorkloads adds the workspaces and one workload of each kind to the table:
+// lookups, batch jobs that may and may not be repeated, and gangs.
 func (cl *cluster) configureWorkloads() {
 	cl.t.Helper()
 	for _, name := range workspaces {
-		cl.set("workspace/"+name, "weight", "1")
+		cl.setCell("workspace/"+name, "weight", "1")
 	}
-	cl.set("workload/lookup", "class", "service")
-	cl.set("workload/lookup", "repeatable", "yes")
-	cl.set("workload/push", "class", "batch")
-	cl.set("workload/refresh", "class", "batch")
-	cl.set("workload/refresh", "repeatable", "yes")
-	cl.set("workload/rebuild", "class", "gang")
-	cl.set("workload/rebuild", "processors", "8")
+	cl.setCell("workload/lookup", "class", "service")
+	cl.setCell("workload/lookup", "repeatable", "yes")
+	cl.setCell("workload/push", "class", "batch")
+	cl.setCell("workload/refresh", "class", "batch")
+	cl.setCell("workload/refresh", "repeatable", "yes")
+	cl.setCell("workload/rebuild", "class", "gang")
+	cl.setCell("workload/rebuild", "processors", "8")
 }
 
-// post sends a control message to a stand-in.
+// post sends a control request to a stand-in.
 func post(t *testing.T, addr, path string, body any) {
 	t.Helper()
 	send(t, "POST", addr, path, body)
 }
 
-// put changes an entry of a stand-in.
+// put replaces entries of a stand-in.
 func put(t *testing.T, addr, path string, body any) {
 	t.Helper()
 	send(t, "PUT", addr, path, body)
@@ -452,18 +456,18 @@
 	}
 }
 
-// failStore makes the store fail in a way, or not at all.
+// failStore sets the faults that the store injects; the zero value injects none.
 func (cl *cluster) failStore(ft standinstore.Faults) { post(cl.t, cl.storeAddr, "/standin/faults", ft) }
 
-// counts returns the calls that the store has taken.
+// storeCounts returns the numbers of calls that the store has received.
 func (cl *cluster) storeCounts() standinstore.Counts {
 	var ct standinstore.Counts
 	getJSON(cl.t, cl.storeAddr, "/standin/counts", &ct)
 	return ct
 }
 
-// records returns what really happened on all workers, also on those whose
-// process was killed: what ran there ended with it.
+// records returns the records of all workers. Tasks and lookups that were running in
+// a killed process get an end record with the time of its exit.
 func (cl *cluster) records() []standinworker.Record {
 	cl.t.Helper()
 	var all []standinworker.Record
@@ -477,7 +481,7 @@
 	return all
 }
 
-// readRecords reads the whole lines of a file of records.
+// readRecords reads a file of records up to its last complete line.
 func readRecords(t *testing.T, path string) []standinworker.Record {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -487,7 +491,7 @@
 	var list []standinworker.Record
 	for line := range bytes.Lines(raw) {
 		if !bytes.HasSuffix(line, []byte("\n")) {
-			break // still being written
+			break // the line is still being written
 		}
 		var rc standinworker.Record
 		if err := json.Unmarshal(line, &rc); err != nil {
@@ -498,7 +502,8 @@
 	return list
 }
 
-// cutShort returns the ends of what had begun and not ended at the moment.
+// endsAtKill returns end records, with the given time, for the tasks and lookups that
+// had started but not ended.
 func endsAtKill(list []standinworker.Record, at time.Time) []standinworker.Record {
 	open := map[string]standinworker.Record{}
 	for _, rc := range list {
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -13,8 +13,8 @@
 	"tackbeam.example/tackbeam/internal/standin/standinworker"
 )
 
-// load is a client load of lookups, pushes and gangs that checks every answer
-// and remembers what it was told.
+// load sends lookups, batch jobs and gangs, checks every response and records the
+// reported outcomes.
 type load struct {
 	cl         *cluster
 	pickClient func() *client.Client
@@ -31,7 +31,8 @@
 	jobs          atomic.Int64
 }
 
-// startLoad begins a load; targets names the nodes that the balancer sends to.
+// startLoad starts a load. pickClient returns the client for the next request, as a
+// load balancer picks a node.
 func startLoad(cl *cluster, lookups, jobs int, pickClient func() *client.Client) *load {
 	ld := &load{cl: cl, pickClient: pickClient, stop: make(chan struct{}), errors: map[fault.Kind]int{}}
 	for i := range lookups {
@@ -45,7 +46,7 @@
 	return ld
 }
 
-func (ld *load) repeat(act func(n int), pause time.Duration) {
+func (ld *load) repeat(action func(n int), pause time.Duration) {
 	ld.wg.Add(1)
 	go func() {
 		defer ld.wg.Done()
@@ -54,20 +55,21 @@
 			case <-ld.stop:
 				return
 			case <-time.After(pause):
-				act(n)
+				action(n)
 			}
 		}
 	}()
 }
 
-// log prints what the load met.
-func (ld *load) log(t *testing.T) {
+// logSummary logs the numbers of requests and errors, with samples of the errors.
+func (ld *load) logSummary(t *testing.T) {
 	t.Helper()
-	t.Logf("%d lookups, %d lost; %d jobs; errors %v, for example %q",
+	t.Logf("%d lookups, %d failed; %d jobs; errors %v, for example %q",
 		ld.lookups.Load(), ld.failedLookups.Load(), ld.jobs.Load(), ld.errors, ld.errorSamples)
 }
 
-// end stops the load, waits for what is under way, and checks everything.
+// end stops the load, waits for requests in progress, and checks all records and
+// outcomes.
 func (ld *load) end() violations {
 	close(ld.stop)
 	ld.wg.Wait()
@@ -94,7 +96,7 @@
 	}
 }
 
-// lookup sends one lookup and checks that the answer is whole and its own.
+// lookup sends a lookup and checks that the response is complete and belongs to it.
 func (ld *load) lookup(body, workspace string) {
 	rsp, err := ld.pickClient().Do(client.Request{
 		Method: "POST", Path: "/v1/lookups/lookup", Body: []byte(body),
@@ -111,14 +113,14 @@
 	}
 	if string(rsp.Body) != string(standinworker.Reply([]byte(body))) {
 		ld.mu.Lock()
-		ld.wrongReplies = append(ld.wrongReplies, fmt.Sprintf("asked %q, got %q", body, rsp.Body))
+		ld.wrongReplies = append(ld.wrongReplies, fmt.Sprintf("sent %q, got %q", body, rsp.Body))
 		ld.mu.Unlock()
 	}
 	ld.addOutcome(outcome{mark: body, result: "ran", repeatable: true})
 }
 
-// job submits a job under a key, until it is accepted or refused for good, and
-// notes the final answer.
+// job submits a job with an idempotency key, repeats the request until the response
+// has the outcome, and records it. After waitTimeout it records that there was none.
 func (ld *load) job(mark, workload, workspace string, tasks int) {
 	ld.jobs.Add(1)
 	req := api.JobRequest{
@@ -142,7 +144,7 @@
 	ld.addOutcome(outcome{mark: mark})
 }
 
-// settle waits until no worker runs anything any more.
+// waitIdle waits until no worker runs a task or lookup.
 func (ld *load) waitIdle() {
 	ld.cl.eventually("all work has ended", func() bool {
 		running := 0
@@ -158,7 +160,8 @@
 	})
 }
 
-// balancer stands for the platform's balancer: it sends to the nodes in service.
+// balancer stands in for the platform's load balancer. It sends requests to the nodes
+// in service.
 type balancer struct {
 	cl    *cluster
 	mu    sync.Mutex
@@ -185,7 +188,8 @@
 	delete(ba.addrs, name)
 }
 
-// client returns a client of the nodes in service, in random order.
+// client returns a client of the nodes in service. Their order is random, as that of
+// map iteration.
 func (ba *balancer) client() *client.Client {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
--- a/test/matrix_test.go
+++ b/test/matrix_test.go
@@ -18,13 +18,13 @@
 	"tackbeam.example/tackbeam/internal/vmsmsg"
 )
 
-// injection is a fault on a running cluster: begin brings it about, end lifts it.
+// faultInjection is a fault of a running cluster: begin injects it, end clears it.
 type faultInjection struct {
 	begin func(cl *cluster)
 	end   func(cl *cluster)
 }
 
-// faultNames is the order of the columns.
+// faultNames has the faults in the order of the columns.
 var faultNames = []string{
 	"node killed", "node paused", "node cut off", "workers paused", "workers fail all",
 	"store down", "store hangs", "answers lost", "store slow", "operators race",
@@ -33,7 +33,8 @@
 
 func noFault(*cluster) {}
 
-// faults are the single faults. The load goes to n1 and n2; n3 suffers.
+// faults has the injections by name. The load goes to n1 and n2; faults of a node
+// are injected into n3.
 var faults = map[string]faultInjection{
 	"node killed": {func(cl *cluster) { cl.nodes["n3"].kill() }, noFault},
 	"node paused": {
@@ -56,12 +57,12 @@
 	"node restarted": {
 		func(cl *cluster) {
 			cl.nodes["n3"].kill()
-			cl.restarted = cl.launchNode("n3") // the same name, a new process
+			cl.restarted = cl.launchNode("n3") // a new process under the same name
 		},
-		func(cl *cluster) { cl.waitNode(cl.restarted) }, // it waits for the store, too
+		func(cl *cluster) { cl.waitNode(cl.restarted) }, // a node that starts also waits for the store
 	},
 	"workers killed": {
-		func(cl *cluster) { cl.fleets[1].kill() }, // a whole rack and hall
+		func(cl *cluster) { cl.fleets[1].kill() }, // the process runs a whole rack and hall
 		func(cl *cluster) {
 			for number := 101; number <= 108; number++ {
 				cl.deregister(fmt.Sprintf("w%04d", number))
@@ -80,15 +81,15 @@
 	return func(cl *cluster) { cl.failStore(ft) }
 }
 
-// failWorkers makes the first workers misbehave.
+// failWorkers sets the faults that the first three workers inject.
 func (cl *cluster) failWorkers(ft standinworker.Faults) {
 	for _, name := range []string{"w0001", "w0002", "w0003"} {
 		post(cl.t, cl.workers[name], "/standin/faults", ft)
 	}
 }
 
-// lie has the list of VMs give a worker the address of another, leave one out,
-// call one leaving and put one into another rack, none of which is true.
+// falsifyVMList makes the list of VMs wrong: one worker has the address of another, one
+// is missing, one is reported as leaving and one is in another rack.
 func (cl *cluster) falsifyVMList() {
 	getJSON(cl.t, cl.vmsAddr, vmsmsg.Path, &cl.originalVMs)
 	wrongAddr, wrongLeaving, wrongRack := cl.originalVMs[0], cl.originalVMs[3], cl.originalVMs[4]
@@ -99,23 +100,24 @@
 	cl.deregister(cl.originalVMs[2].Name)
 }
 
-// deregister takes a worker off the list of VMs.
+// deregister removes a worker from the list of VMs.
 func (cl *cluster) deregister(name string) {
 	send(cl.t, "DELETE", cl.vmsAddr, vmsmsg.Path+"?name="+name, nil)
 }
 
-// cell counts what was found for one promise under one fault or pair.
-type cell struct{ cases, violations int }
+// caseCount has the number of cases in which a fault was injected, and of the
+// violations of one kind in them.
+type caseCount struct{ cases, violations int }
 
-// matrix gathers the cells of all cases that ran.
+// matrix has the counts of all cases that ran, by kind of violation and fault.
 type matrix struct {
 	mu    sync.Mutex
-	cells map[string]map[string]cell
+	cells map[string]map[string]caseCount
 }
 
-var results = &matrix{cells: map[string]map[string]cell{}}
+var results = &matrix{cells: map[string]map[string]caseCount{}}
 
-// promises is the order of the rows.
+// violationKinds has the kinds in the order of the rows.
 var violationKinds = []string{
 	overcommit, overlappingRuns, duplicateRun, falseNotRun, falseRan, wrongReply, revertedCell, noOutcome, startOnLeaving,
 }
@@ -125,35 +127,36 @@
 	defer mx.mu.Unlock()
 	for _, kind := range violationKinds {
 		if mx.cells[kind] == nil {
-			mx.cells[kind] = map[string]cell{}
+			mx.cells[kind] = map[string]caseCount{}
 		}
 		for _, name := range names {
-			ce := mx.cells[kind][name]
-			ce.cases++
-			ce.violations += len(vi[kind])
-			mx.cells[kind][name] = ce
+			cc := mx.cells[kind][name]
+			cc.cases++
+			cc.violations += len(vi[kind])
+			mx.cells[kind][name] = cc
 		}
 	}
 }
 
-// print writes the matrix of what ran: cases, and violations after a slash.
+// print writes the matrix. Each cell has the number of cases and, after a slash, of
+// violations.
 func (mx *matrix) print() {
 	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(tw, "promise\t"+strings.Join(faultNames, "\t"))
 	for _, kind := range violationKinds {
 		line := []string{kind}
 		for _, name := range faultNames {
-			ce := mx.cells[kind][name]
-			line = append(line, fmt.Sprintf("%d/%d", ce.cases, ce.violations))
+			cc := mx.cells[kind][name]
+			line = append(line, fmt.Sprintf("%d/%d", cc.cases, cc.violations))
 		}
 		_, _ = fmt.Fprintln(tw, strings.Join(line, "\t"))
 	}
 	_ = tw.Flush()
 }
 
-// TestFaults brings each fault about alone and, under TACKBEAM_PAIRS, each pair,
-// on real processes under load, and checks every promise. At the end it prints
-// how many cases ran for each promise and fault, and how many violations.
+// TestFaults injects each fault alone and, if TACKBEAM_PAIRS is set, each pair of faults
+// into a cluster under load, and checks for violations of every kind. At the end it
+// prints the numbers of cases and violations for each kind and fault.
 func TestFaults(t *testing.T) {
 	cases := [][]string{}
 	for i, a := range faultNames {
@@ -177,15 +180,16 @@
 	results.print()
 }
 
-// underFaults runs one case: load, the faults a moment apart, their end, and
-// the time to recover.
+// runWithFaults runs one case: it starts the load, injects the faults 200 ms apart,
+// clears them, and gives the cluster time to recover.
 func runWithFaults(t *testing.T, names []string) violations {
 	op := options{nodes: []string{"n1", "n2", "n3"}, workers: 8, relays: true, lookup: 100 * time.Millisecond}
 	cl := newCluster(t, op)
 	cl.addWorkers(op, 101, 8)
 	cl.waitWorkers(16)
 	cl.configureWorkloads()
-	// More lookups than the slots of n1 and n2, so that many are forwarded to n3.
+	// There are more lookups than the workers of n1 and n2 have slots, so that many are
+	// forwarded to n3.
 	ld := startLoad(cl, 110, 4, func() *client.Client { return cl.api("n1", "n2") })
 	watch := startWatch(cl, "n1", "n2")
 	time.Sleep(500 * time.Millisecond)
@@ -206,17 +210,19 @@
 	watch.end(vi)
 	for _, rc := range cl.records() {
 		if rc.Worker == "w0008" && rc.Event == standinworker.EventBegin && rc.At.After(leftAt.Add(leaveTimeout)) {
-			vi.add(startOnLeaving, "%s began %v after", rc.Task, rc.At.Sub(leftAt))
+			vi.add(startOnLeaving, "%s started %v after the worker was marked as leaving", rc.Task, rc.At.Sub(leftAt))
 		}
 	}
-	ld.log(t)
+	ld.logSummary(t)
 	return vi
 }
 
-// leaveTime is within what a leaving endpoint gets no new work any more.
+// leaveTimeout is the time after which a leaving endpoint must get no new tasks or
+// lookups.
 const leaveTimeout = 3 * time.Second
 
-// leave has the list of VMs say that a worker leaves; the worker is not told.
+// markLeaving marks a worker as leaving in the list of VMs. The worker itself is not
+// notified.
 func (cl *cluster) markLeaving(name string) time.Time {
 	var vms []vmsmsg.VM
 	getJSON(cl.t, cl.vmsAddr, vmsmsg.Path, &vms)
@@ -229,7 +235,8 @@
 	return time.Now()
 }
 
-// watcher follows the versions of the table on nodes; none may go down.
+// versionWatcher polls the versions of the table's rows on nodes; no version may
+// decrease.
 type versionWatcher struct {
 	stop        chan struct{}
 	wg          sync.WaitGroup
@@ -269,7 +276,7 @@
 		key := string(row.Kind) + "/" + row.Name
 		if row.Version < seen[key] {
 			wa.mu.Lock()
-			wa.regressions = append(wa.regressions, fmt.Sprintf("%s on %s went from %d to %d", key, name, seen[key], row.Version))
+			wa.regressions = append(wa.regressions, fmt.Sprintf("%s on %s went from version %d to %d", key, name, seen[key], row.Version))
 			wa.mu.Unlock()
 		}
 		seen[key] = max(seen[key], row.Version)
--- a/test/outage_test.go
+++ b/test/outage_test.go
@@ -11,8 +11,8 @@
 	"tackbeam.example/tackbeam/internal/standin/standinstore"
 )
 
-// measureOutage takes the store away for half a minute while lookups and jobs
-// come, and counts the store's calls in each second after its return.
+// measureOutage makes the store unavailable for 30 s while clients send lookups and
+// jobs, and counts the store's calls in each second after its recovery.
 func (cl *cluster) measureOutage(tm *times) {
 	const down, after = 30 * time.Second, 15
 	cl.failStore(standinstore.Faults{Down: true})
@@ -42,11 +42,11 @@
 	recoveredAt := time.Now()
 	before := cl.storeCounts()
 	for range after {
-		was := cl.storeCounts()
+		previous := cl.storeCounts()
 		time.Sleep(time.Second)
-		is := cl.storeCounts()
-		tm.OutageWrites = append(tm.OutageWrites, is.Writes-was.Writes)
-		tm.OutageReads = append(tm.OutageReads, is.Reads-was.Reads)
+		current := cl.storeCounts()
+		tm.OutageWrites = append(tm.OutageWrites, current.Writes-previous.Writes)
+		tm.OutageReads = append(tm.OutageReads, current.Reads-previous.Reads)
 	}
 	wg.Wait()
 	tm.OutageRefused = cl.storeCounts().Refused - before.Refused
@@ -54,7 +54,8 @@
 	tm.OutageFailedLookups = failed.Load()
 }
 
-// submitUntilKept submits a job, again and again under its key, until it is accepted.
+// submitUntilAccepted submits a job repeatedly, with the same idempotency key, until
+// it is accepted.
 func (cl *cluster) submitUntilAccepted(n int) {
 	cl.eventually("job is accepted", func() bool {
 		_, err := client.Send[api.Job](cl.api(), client.Request{
--- a/test/page_test.go
+++ b/test/page_test.go
@@ -14,8 +14,8 @@
 
 const capacityPage = "../docs/CAPACITY.md"
 
-// TestCapacityPage compares the tables of docs/CAPACITY.md with the measured
-// data. Under TACKBEAM_CAPACITY it writes them.
+// TestCapacityPage checks that the tables of docs/CAPACITY.md match the measurements in
+// docs/capacity. If TACKBEAM_CAPACITY is set, it updates the tables instead.
 func TestCapacityPage(t *testing.T) {
 	raw, err := os.ReadFile(capacityPage)
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// replaceBlock puts text between the marks of a block of the page.
+// replaceBlock replaces the text between the begin and end markers of a block.
 func replaceBlock(t *testing.T, page, name, text string) string {
 	t.Helper()
 	begin, end := "<!-- "+name+" -->\n", "<!-- end of "+name+" -->"
@@ -76,7 +76,7 @@
 	}
 }
 
-// markdown begins a table.
+// markdown starts a Markdown table with a header row.
 func markdown(head string, columns int) *strings.Builder {
 	var out strings.Builder
 	fmt.Fprintf(&out, "| %s |\n|%s\n", head, strings.Repeat(" --- |", columns))
@@ -96,8 +96,8 @@
 	out := markdown("nodes | workers | direct p50, p99 ms | through tackbeam p50, p99 ms | added p50, p99 ms | CPU of all nodes a lookup, us", 6)
 	for _, sm := range list {
 		fmt.Fprintf(out, "| %d | %d | %.2f, %.2f | %.2f, %.2f | %.2f, %.2f | %.0f |\n", sm.Nodes, sm.Workers,
-			sm.DirectP50, sm.DirectP99, sm.ThroughP50, sm.ThroughP99,
-			sm.ThroughP50-sm.DirectP50, sm.ThroughP99-sm.DirectP99, sm.LookupCPU)
+			sm.DirectP50, sm.DirectP99, sm.RoutedP50, sm.RoutedP99,
+			sm.RoutedP50-sm.DirectP50, sm.RoutedP99-sm.DirectP99, sm.LookupCPU)
 	}
 	return out.String()
 }
@@ -106,7 +106,7 @@
 	out := markdown("jobs/s | jobs | failed | accepted p50, p99 ms | placed p50, p99 ms | store writes/s | refused by the store | CPU a node, % of a core | MiB a node | to nodes B/s a node", 10)
 	for _, sm := range list {
 		fmt.Fprintf(out, "| %d | %d | %d | %.0f, %.0f | %.0f, %.0f | %.0f | %d | %.1f | %.1f | %.0f |\n", sm.Rate, sm.Jobs,
-			sm.Failed, sm.AcceptP50, sm.AcceptP99, sm.WaitP50, sm.WaitP99, sm.Writes, sm.Refused, sm.CPU, sm.Memory, sm.PeerSent)
+			sm.Failed, sm.AcceptP50, sm.AcceptP99, sm.PlacedP50, sm.PlacedP99, sm.Writes, sm.Refused, sm.CPU, sm.Memory, sm.PeerSent)
 	}
 	return out.String()
 }
@@ -151,14 +151,15 @@
 	return out.String()
 }
 
-// quantity is one quantity of a sample.
+// quantity is a column of a sample, with its name in the table.
 type quantity struct {
 	name  string
 	value func(sample) float64
 }
 
-// slopeTable fits each quantity against the workers a node owns, over the samples
-// of seven nodes, and against the number of nodes, over those of fifty workers.
+// slopeTable fits each quantity linearly to the number of workers that a node owns, over
+// the samples with seven nodes, and to the number of nodes, over those with fifty
+// workers.
 func slopeTable(list []sample) string {
 	quantities := []quantity{
 		{"CPU, % of a core", func(sm sample) float64 { return sm.CPU }},
@@ -179,7 +180,7 @@
 	return out.String()
 }
 
-// fit returns slope, intercept and largest residual of a quantity.
+// fit returns the slope, intercept and largest residual of a linear regression.
 func fit(list []sample, value func(sample) float64, at func(sample) (float64, bool)) string {
 	var xs, ys []float64
 	for _, sm := range list {
@@ -188,9 +189,9 @@
 		}
 	}
 	intercept, slope := stat.LinearRegression(xs, ys, nil, false)
-	worst := 0.0
+	maxResidual := 0.0
 	for i := range xs {
-		worst = math.Max(worst, math.Abs(ys[i]-intercept-slope*xs[i]))
+		maxResidual = math.Max(maxResidual, math.Abs(ys[i]-intercept-slope*xs[i]))
 	}
-	return fmt.Sprintf("%.3g | %.3g | %.2g", slope, intercept, worst)
+	return fmt.Sprintf("%.3g | %.3g | %.2g", slope, intercept, maxResidual)
 }
--- a/test/race_test.go
+++ b/test/race_test.go
@@ -11,13 +11,15 @@
 	"tackbeam.example/tackbeam/internal/table"
 )
 
-// race is two operators who set the same cell by turns at two nodes. Each edit
-// names the value it expects, so the accepted edits must form one chain.
+// editRace is two operators that concurrently set the same cell of the table at two
+// nodes. Each edit has the value that it expects to replace, so the accepted edits must
+// form a single chain.
 type editRace struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 	mu   sync.Mutex
-	// accepted maps the value that an accepted edit expected to the one it set.
+	// accepted maps the value that an accepted edit replaced to the new value, or to
+	// "?" if the edit may have been accepted.
 	accepted map[string]string
 	forks    []string
 }
@@ -65,7 +67,7 @@
 	rc.accepted[expect] = value
 }
 
-// doubt notes an edit that may have been kept.
+// addIndeterminate records an edit that may have been accepted.
 func (rc *editRace) addIndeterminate(expect, _ string) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// maxPacket is the largest UDP packet that a relay passes on.
+// maxPacket is the size of the largest UDP packet that a relay forwards.
 const maxPacket = 64 << 10
 
-// relay stands between one node and the others, so that a test can cut links
-// between real processes. Others reach the node at the relay's address.
+// relay is a UDP proxy in front of a node, with which a test can block the traffic
+// between real processes. The node advertises the address of its relay.
 type relay struct {
 	socket *net.UDPConn
 	target *net.UDPAddr
@@ -33,7 +33,7 @@
 
 func (re *relay) addr() string { return re.socket.LocalAddr().String() }
 
-// serve passes packets on to the node at the address.
+// serve starts to forward packets to the node at the address.
 func (re *relay) serve(t *testing.T, target string) {
 	t.Helper()
 	addr, err := net.ResolveUDPAddr("udp", target)
@@ -44,7 +44,8 @@
 	go re.forwardInbound()
 }
 
-// setCut drops the packets from and to the addresses that cut reports.
+// setBlocked sets which peers are blocked: packets from and to an address for which
+// the function returns true are dropped. A nil function blocks none.
 func (re *relay) setBlocked(blocked func(from string) bool) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
@@ -57,7 +58,7 @@
 	return re.blocked != nil && re.blocked(from)
 }
 
-// inward carries packets to the node, over a socket for each sender.
+// forwardInbound forwards packets to the node, with a socket for each sender.
 func (re *relay) forwardInbound() {
 	buf := make([]byte, maxPacket)
 	for {
@@ -69,7 +70,7 @@
 			continue
 		}
 		if flow := re.flow(from); flow != nil {
-			_, _ = flow.Write(buf[:n]) // a lost packet is what networks have
+			_, _ = flow.Write(buf[:n]) // networks lose packets, too
 		}
 	}
 }
@@ -89,7 +90,7 @@
 	return flow
 }
 
-// outward carries the node's packets back to one sender.
+// forwardOutbound forwards the node's packets to one sender.
 func (re *relay) forwardOutbound(flow *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, maxPacket)
 	for {
@@ -104,7 +105,7 @@
 			if closed {
 				return
 			}
-			continue // the node's socket may be gone for a while
+			continue // the node may be restarting, so that its socket is closed
 		}
 		if !re.isBlocked(to.String()) {
 			_, _ = re.socket.WriteToUDP(buf[:n], to)
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -11,7 +11,7 @@
 	"tackbeam.example/tackbeam/internal/client"
 )
 
-// startSample is what a rate of submissions costs, and how long jobs wait.
+// startSample is the cost of a rate of submissions, and how long jobs wait.
 type startSample struct {
 	Rate      int     `json:"jobs_a_second"`
 	Nodes     int     `json:"nodes"`
@@ -19,8 +19,8 @@
 	Failed    int     `json:"failed"`
 	AcceptP50 float64 `json:"accept_p50_ms"`
 	AcceptP99 float64 `json:"accept_p99_ms"`
-	WaitP50   float64 `json:"placed_p50_ms"`
-	WaitP99   float64 `json:"placed_p99_ms"`
+	PlacedP50 float64 `json:"placed_p50_ms"`
+	PlacedP99 float64 `json:"placed_p99_ms"`
 	Writes    float64 `json:"store_writes_a_second"`
 	Refused   int64   `json:"store_refused"`
 	CPU       float64 `json:"cpu_percent_of_core_a_node"`
@@ -32,7 +32,7 @@
 // docs/capacity/starts.json.
 func TestStarts(t *testing.T) {
 	if os.Getenv("TACKBEAM_CAPACITY") == "" {
-		t.Skip("a measurement, not a check; run make capacity")
+		t.Skip("measurement only; run make capacity")
 	}
 	var samples []startSample
 	for _, rate := range []int{10, 70, 140, 280} {
@@ -44,13 +44,13 @@
 	writeData(t, "starts.json", samples)
 }
 
-// starts gathers what became of the jobs.
+// startResults collects the latencies and failures of the jobs.
 type startResults struct {
-	mu     sync.Mutex
-	accept []time.Duration
-	placed []time.Duration
-	failed int
-	sample string
+	mu          sync.Mutex
+	accept      []time.Duration
+	placed      []time.Duration
+	failed      int
+	errorSample string
 }
 
 func measureStarts(t *testing.T, rate int, span time.Duration) startSample {
@@ -75,22 +75,22 @@
 		}()
 	}
 	after, callsAfter := cl.control(), cl.storeCounts()
-	took := time.Since(startedAt).Seconds()
+	elapsed := time.Since(startedAt).Seconds()
 	wg.Wait()
 	sm := startSample{Rate: rate, Nodes: nodes, Jobs: total, Failed: st.failed}
 	for name, ct := range after {
-		sm.CPU += 100 * (ct.CPU - before[name].CPU).Seconds() / took / nodes
+		sm.CPU += 100 * (ct.CPU - before[name].CPU).Seconds() / elapsed / nodes
 		sm.Memory += float64(ct.Resident) / (1 << 20) / nodes
-		sm.PeerSent += float64(ct.PeerSent-before[name].PeerSent) / took / nodes
+		sm.PeerSent += float64(ct.PeerSent-before[name].PeerSent) / elapsed / nodes
 	}
-	sm.Writes = float64(callsAfter.Writes-calls.Writes) / took
+	sm.Writes = float64(callsAfter.Writes-calls.Writes) / elapsed
 	sm.Refused = callsAfter.Refused - calls.Refused
 	if st.failed > 0 {
-		t.Logf("%d failed, for example %s", st.failed, st.sample)
+		t.Logf("%d failed, for example %s", st.failed, st.errorSample)
 	}
 	if len(st.accept) > 0 {
 		sm.AcceptP50, sm.AcceptP99 = percentiles(st.accept)
-		sm.WaitP50, sm.WaitP99 = percentiles(st.placed)
+		sm.PlacedP50, sm.PlacedP99 = percentiles(st.placed)
 	}
 	return sm
 }
@@ -111,7 +111,7 @@
 	defer st.mu.Unlock()
 	if err != nil || vw.Answer != "ran" {
 		st.failed++
-		st.sample = fmt.Sprint(err, " ", vw.Answer, " ", vw.Reason)
+		st.errorSample = fmt.Sprint(err, " ", vw.Answer, " ", vw.Reason)
 		return
 	}
 	st.accept = append(st.accept, accepted)
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -10,7 +10,7 @@
 	"tackbeam.example/tackbeam/internal/client"
 )
 
-// tenantSample is what a number of workspaces costs, a node and second on average.
+// workspaceSample is the cost of a number of workspaces, as the mean per node and second.
 type workspaceSample struct {
 	Workspaces int     `json:"workspaces"`
 	Nodes      int     `json:"nodes"`
@@ -21,23 +21,23 @@
 	EditP99    float64 `json:"edit_in_force_everywhere_p99_ms"`
 }
 
-// TestTenants measures what rows of the table and histograms cost, each workspace
-// having sent lookups and a job through every node, and writes
+// TestTenants measures the cost of the table's rows and the histograms of workspaces,
+// each of which has sent a lookup through every node and a job, and writes
 // docs/capacity/tenants.json.
 func TestTenants(t *testing.T) {
 	if os.Getenv("TACKBEAM_CAPACITY") == "" {
-		t.Skip("a measurement, not a check; run make capacity")
+		t.Skip("measurement only; run make capacity")
 	}
 	cl := newCluster(t, options{
 		nodes: []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}, workers: 50, lease: 20 * time.Second, defaultSettings: true,
 	})
 	cl.configureWorkloads()
 	var samples []workspaceSample
-	made := 0
+	existing := 0
 	for _, count := range []int{10, 100, 380} {
 		sm := workspaceSample{Workspaces: count, Nodes: len(cl.nodes)}
-		sm.EditP50, sm.EditP99 = percentiles(cl.addWorkspaces(made, count))
-		made = count
+		sm.EditP50, sm.EditP99 = percentiles(cl.addWorkspaces(existing, count))
+		existing = count
 		cl.useWorkspaces(count)
 		time.Sleep(2 * time.Second)
 		before := cl.control()
@@ -55,7 +55,8 @@
 	writeData(t, "tenants.json", samples)
 }
 
-// addTenants adds rows of workspaces and returns how long each took to be in force.
+// addWorkspaces adds rows of workspaces and returns how long each took to become active
+// on all nodes.
 func (cl *cluster) addWorkspaces(from, to int) []time.Duration {
 	var all []time.Duration
 	for n := from; n < to; n++ {
@@ -67,12 +68,12 @@
 			cl.t.Fatal(err)
 		}
 		all = append(all, time.Since(startedAt))
-		time.Sleep(100 * time.Millisecond) // within the table's part of the store's rate
+		time.Sleep(100 * time.Millisecond) // stays within the table's share of the store's rate limit
 	}
 	return all
 }
 
-// useTenants has every workspace send lookups through each node, and a job.
+// useWorkspaces sends a lookup through each node, and a job, for every workspace.
 func (cl *cluster) useWorkspaces(count int) {
 	for n := range count {
 		workspace := fmt.Sprint("tenant-", n)
--- a/test/times_test.go
+++ b/test/times_test.go
@@ -13,7 +13,7 @@
 	"tackbeam.example/tackbeam/internal/table"
 )
 
-// times is how long the system takes to follow a change, with default settings.
+// times is how long the system takes to react to changes, with default settings.
 type times struct {
 	Nodes          int      `json:"nodes"`
 	Workers        int      `json:"workers"`
@@ -26,7 +26,7 @@
 	FailedLookups  int64    `json:"lookups_lost_to_other_nodes_callers"`
 	JoinCalls      [2]int64 `json:"store_reads_and_writes_of_a_replacement"`
 	DrainTime      float64  `json:"workers_of_a_drained_node_moved_s"`
-	// Outage is the store's calls in each second after it was down.
+	// OutageWrites and OutageReads are the store's calls in each second after an outage.
 	OutageWrites        []int64 `json:"store_writes_each_second_after_an_outage"`
 	OutageReads         []int64 `json:"store_reads_each_second_after_an_outage"`
 	OutageRefused       int64   `json:"store_calls_refused_after_an_outage"`
@@ -35,10 +35,10 @@
 	OutageFailedLookups int64   `json:"lookups_lost_during_the_outage"`
 }
 
-// TestTimes measures the times and writes docs/capacity/times.json.
+// TestTimes measures the times and writes them to docs/capacity/times.json.
 func TestTimes(t *testing.T) {
 	if os.Getenv("TACKBEAM_CAPACITY") == "" {
-		t.Skip("a measurement, not a check; run make capacity")
+		t.Skip("measurement only; run make capacity")
 	}
 	names := []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}
 	cl := newCluster(t, options{nodes: names, workers: 50, lease: 20 * time.Second, defaultSettings: true})
@@ -52,8 +52,8 @@
 	t.Logf("%+v", tm)
 }
 
-// measureEdits sets a cell again and again and waits each time until all nodes
-// have confirmed.
+// measureEdits sets a cell count times, each time until all nodes have confirmed the
+// edit, and returns the latencies.
 func (cl *cluster) measureEdits(count int) (p50, p99 float64) {
 	var all []time.Duration
 	for n := range count {
@@ -65,12 +65,12 @@
 			cl.t.Fatalf("edit %d: %v, not confirmed by %v", n, err, result.Unconfirmed)
 		}
 		all = append(all, time.Since(startedAt))
-		time.Sleep(200 * time.Millisecond) // within the table's part of the store's rate
+		time.Sleep(200 * time.Millisecond) // stays within the table's share of the store's rate limit
 	}
 	return percentiles(all)
 }
 
-// measureReplacement drains a node that a new one has joined for.
+// measureReplacement starts a new node and then drains the one that it replaces.
 func (cl *cluster) measureReplacement(tm *times) {
 	before := cl.storeCounts()
 	cl.startNode("spare-1")
@@ -81,12 +81,13 @@
 	delete(cl.nodes, "n6")
 	cl.waitOwned(50, "n6")
 	tm.DrainTime = time.Since(startedAt).Seconds()
-	<-old.done
+	<-old.exited
 	after := cl.storeCounts()
 	tm.JoinCalls = [2]int64{after.Reads - before.Reads, after.Writes - before.Writes}
 }
 
-// waitOwned waits until so many workers are ready with owners other than one.
+// waitOwned waits until exactly count workers are ready and have another owner than
+// the given one.
 func (cl *cluster) waitOwned(count int, except string) {
 	cl.eventually("workers moved", func() bool {
 		list, err := client.JSON[api.Workers](cl.api("n1"), client.Request{Method: "GET", Path: api.PathWorkers})
@@ -100,7 +101,7 @@
 	})
 }
 
-// measureKill kills a node under load on the others.
+// measureKill kills a node while the others are under load.
 func (cl *cluster) measureKill(tm *times) {
 	stop := make(chan struct{})
 	var answered, failed atomic.Int64
@@ -140,8 +141,8 @@
 	startedAt := time.Now()
 	cl.waitOwned(50, "n7")
 	tm.WorkerTakeover = time.Since(startedAt).Seconds()
-	for n := range workspaces { // every workspace has a home that takes jobs
-		cl.eventually("a home takes jobs", func() bool {
+	for n := range workspaces { // every workspace has a home that accepts jobs
+		cl.eventually("the home of a workspace accepts jobs", func() bool {
 			_, err := client.Send[api.Job](cl.api("n1"), client.Request{Method: "POST", Path: api.PathJobs},
 				api.JobRequest{Workload: "push", Workspace: workspaceOf(n)})
 			return err == nil
--- a/test/wave_test.go
+++ b/test/wave_test.go
@@ -12,7 +12,7 @@
 // waveSize is the number of jobs that one wave submits and cancels.
 const waveSize = 120
 
-// wave is many jobs that are cancelled as soon as they are accepted.
+// cancelWave is a burst of jobs that are cancelled as soon as they are accepted.
 type cancelWave struct {
 	wg       sync.WaitGroup
 	mu       sync.Mutex
@@ -35,8 +35,8 @@
 	return wa
 }
 
-// submitAndCancel returns the final answer that the system gives to a job which
-// is cancelled at once.
+// submitAndCancel submits a job, cancels it at once and returns the outcome, or "" if
+// there was none within waitTimeout.
 func submitAndCancel(cl *client.Client, mark string, n int) string {
 	id := ""
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
--- a/test/whole_test.go
+++ b/test/whole_test.go
@@ -12,7 +12,8 @@
 	"tackbeam.example/tackbeam/internal/client"
 )
 
-// TestWholePath runs three nodes, a store and fifty workers under a real load.
+// TestWholePath runs three nodes, a store and fifty workers under load without faults.
+// No request may fail, and a replay of each node's trace must make the same decisions.
 func TestWholePath(t *testing.T) {
 	is := is.New(t)
 	cl := newCluster(t, options{nodes: []string{"n1", "n2", "n3"}, workers: 50})
@@ -21,16 +22,16 @@
 	time.Sleep(3 * time.Second)
 	ld.end().assertNone(t)
 	calls := cl.storeCounts()
-	is.Equal(len(ld.errors), 0)      // nothing failed
-	is.True(ld.lookups.Load() > 100) // the load was real
+	is.Equal(len(ld.errors), 0)      // no request failed
+	is.True(ld.lookups.Load() > 100) // the load was not trivial
 	is.True(ld.jobs.Load() > 20)
 	for name, pr := range cl.nodes {
 		pr.signal(syscall.SIGTERM)
-		<-pr.done
+		<-pr.exited
 		trace := filepath.Join(cl.dir, name+".trace")
 		out, err := exec.Command(filepath.Join(binaries, "tackbeam"), "replay", trace).CombinedOutput()
 		t.Logf("%s", out)
-		is.NoErr(err) // every decision comes out as it did
+		is.NoErr(err) // the replay makes the same decisions
 	}
 	t.Logf("%d lookups, %d jobs, store %+v", ld.lookups.Load(), ld.jobs.Load(), calls)
 }
