--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -49,7 +49,7 @@
 	sizes := [][2]int{{1, 50}, {2, 50}, {4, 50}, {7, 50}, {7, 200}, {7, 500}, {7, 970}, {11, 50}}
 	for _, size := range sizes {
 		t.Run(fmt.Sprintf("%d nodes %d workers", size[0], size[1]), func(t *testing.T) {
-			samples = append(samples, measure(t, size[0], size[1]))
+			samples = append(samples, measureCluster(t, size[0], size[1]))
 			t.Logf("%+v", samples[len(samples)-1])
 		})
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func measure(t *testing.T, nodes, workers int) sample {
+func measureCluster(t *testing.T, nodes, workers int) sample {
 	const idle = 20 * time.Second
 	var names []string
 	for i := range nodes {
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -234,7 +234,7 @@
 	return strings.Fields(cl.nextLine(pr))[2]
 }
 
-// startNode starts a node and waits until it is listening.
+// startNode starts a node and waits until it has printed its addresses.
 func (cl *cluster) startNode(name string) *process {
 	cl.t.Helper()
 	pr := cl.launchNode(name)
@@ -283,7 +283,7 @@
 	return cl.start(name, "tackbeamd", "--config", path)
 }
 
-// waitNode waits until a node is listening, and adds it to the cluster.
+// waitNode waits until a node has printed its addresses, and adds it to the cluster.
 func (cl *cluster) waitNode(pr *process) {
 	cl.t.Helper()
 	words := strings.Fields(cl.nextLine(pr))
--- a/test/page_test.go
+++ b/test/page_test.go
@@ -59,7 +59,7 @@
 	var halls []hallSample
 	readData(t, "halls.json", &halls)
 	return map[string]string{
-		"rest": restTable(samples), "lookups": lookupTable(samples), "starts": startTable(rates),
+		"rest": idleTable(samples), "lookups": lookupTable(samples), "starts": startTable(rates),
 		"slopes": slopeTable(samples), "tenants": workspaceTable(tenants), "times": timeTable(tm),
 		"halls": hallTable(halls),
 	}
@@ -76,15 +76,15 @@
 	}
 }
 
-// markdown starts a Markdown table with a header row.
-func markdown(head string, columns int) *strings.Builder {
+// newTable starts a Markdown table with a header row.
+func newTable(head string, columns int) *strings.Builder {
 	var out strings.Builder
 	fmt.Fprintf(&out, "| %s |\n|%s\n", head, strings.Repeat(" --- |", columns))
 	return &out
 }
 
-func restTable(list []sample) string {
-	out := markdown("nodes | workers | CPU, % of a core | resident MiB | to nodes B/s | to workers B/s | from workers B/s | store reads/s, all | store writes/s, all", 9)
+func idleTable(list []sample) string {
+	out := newTable("nodes | workers | CPU, % of a core | resident MiB | to nodes B/s | to workers B/s | from workers B/s | store reads/s, all | store writes/s, all", 9)
 	for _, sm := range list {
 		fmt.Fprintf(out, "| %d | %d | %.2f | %.1f | %.0f | %.0f | %.0f | %.2f | %.1f |\n", sm.Nodes, sm.Workers,
 			sm.CPU, sm.Memory, sm.PeerSent, sm.WorkerSent, sm.WorkerRead, sm.Reads, sm.Writes)
@@ -93,7 +93,7 @@
 }
 
 func lookupTable(list []sample) string {
-	out := markdown("nodes | workers | direct p50, p99 ms | through tackbeam p50, p99 ms | added p50, p99 ms | CPU of all nodes a lookup, us", 6)
+	out := newTable("nodes | workers | direct p50, p99 ms | through tackbeam p50, p99 ms | added p50, p99 ms | CPU of all nodes a lookup, us", 6)
 	for _, sm := range list {
 		fmt.Fprintf(out, "| %d | %d | %.2f, %.2f | %.2f, %.2f | %.2f, %.2f | %.0f |\n", sm.Nodes, sm.Workers,
 			sm.DirectP50, sm.DirectP99, sm.RoutedP50, sm.RoutedP99,
@@ -103,7 +103,7 @@
 }
 
 func startTable(list []startSample) string {
-	out := markdown("jobs/s | jobs | failed | accepted p50, p99 ms | placed p50, p99 ms | store writes/s | refused by the store | CPU a node, % of a core | MiB a node | to nodes B/s a node", 10)
+	out := newTable("jobs/s | jobs | failed | accepted p50, p99 ms | placed p50, p99 ms | store writes/s | refused by the store | CPU a node, % of a core | MiB a node | to nodes B/s a node", 10)
 	for _, sm := range list {
 		fmt.Fprintf(out, "| %d | %d | %d | %.0f, %.0f | %.0f, %.0f | %.0f | %d | %.1f | %.1f | %.0f |\n", sm.Rate, sm.Jobs,
 			sm.Failed, sm.AcceptP50, sm.AcceptP99, sm.PlacedP50, sm.PlacedP99, sm.Writes, sm.Refused, sm.CPU, sm.Memory, sm.PeerSent)
@@ -112,7 +112,7 @@
 }
 
 func workspaceTable(list []workspaceSample) string {
-	out := markdown("workspaces | nodes | CPU, % of a core | resident MiB | to nodes B/s | new row in force everywhere p50, p99 ms", 6)
+	out := newTable("workspaces | nodes | CPU, % of a core | resident MiB | to nodes B/s | new row in force everywhere p50, p99 ms", 6)
 	for _, sm := range list {
 		fmt.Fprintf(out, "| %d | %d | %.2f | %.1f | %.0f | %.1f, %.1f |\n", sm.Workspaces, sm.Nodes, sm.CPU, sm.Memory,
 			sm.PeerSent, sm.EditP50, sm.EditP99)
@@ -121,7 +121,7 @@
 }
 
 func hallTable(list []hallSample) string {
-	out := markdown("what | nodes | workers | lost | settled s | store reads, writes more than at rest | CPU a node, % of a core | to nodes B/s a node", 8)
+	out := newTable("what | nodes | workers | lost | settled s | store reads, writes more than at rest | CPU a node, % of a core | to nodes B/s a node", 8)
 	for _, sm := range list {
 		fmt.Fprintf(out, "| %s | %d | %d | %d | %.2f | %d, %d | %.2f | %.0f |\n", sm.What, sm.Nodes,
 			sm.Workers, sm.WorkersLost, sm.RecoveryTime, sm.Reads, sm.Writes, sm.CPU, sm.PeerSent)
@@ -130,7 +130,7 @@
 }
 
 func timeTable(tm times) string {
-	out := markdown("what | measured", 2)
+	out := newTable("what | measured", 2)
 	row := func(what, format string, args ...any) {
 		fmt.Fprintf(out, "| %s | %s |\n", what, fmt.Sprintf(format, args...))
 	}
@@ -169,7 +169,7 @@
 		{"from workers B/s", func(sm sample) float64 { return sm.WorkerRead }},
 		{"store writes/s, all", func(sm sample) float64 { return sm.Writes }},
 	}
-	out := markdown("quantity | for each owned worker | at none | largest residual | for each node | at none | largest residual", 7)
+	out := newTable("quantity | for each owned worker | at none | largest residual | for each node | at none | largest residual", 7)
 	for _, qu := range quantities {
 		owned := fit(list, qu.value, func(sm sample) (float64, bool) {
 			return float64(sm.Workers) / float64(sm.Nodes), sm.Nodes == 7
