--- a/test/load_test.go
+++ b/test/load_test.go
@@ -13,39 +13,40 @@
 	"tackbeam.example/tackbeam/internal/standin/standinworker"
 )
 
-// load is a client load of lookups, pushes and gangs that checks every answer
-// and remembers what it was told.
+// load sends lookups, batch jobs and gangs, checks every response and records the
+// reported outcomes.
 type load struct {
-	cl      *cluster
-	targets func() *client.Client
-	stop    chan struct{}
-	wg      sync.WaitGroup
-
-	mu      sync.Mutex
-	claims  []claim
-	wrong   []string
-	errors  map[fault.Kind]int
-	samples []string
-	lookups atomic.Int64
-	lost    atomic.Int64
-	jobs    atomic.Int64
+	cl         *cluster
+	pickClient func() *client.Client
+	stop       chan struct{}
+	wg         sync.WaitGroup
+
+	mu            sync.Mutex
+	outcomes      []outcome
+	wrongReplies  []string
+	errors        map[fault.Kind]int
+	errorSamples  []string
+	lookups       atomic.Int64
+	failedLookups atomic.Int64
+	jobs          atomic.Int64
 }
 
-// startLoad begins a load; targets names the nodes that the balancer sends to.
-func startLoad(cl *cluster, lookups, jobs int, targets func() *client.Client) *load {
-	ld := &load{cl: cl, targets: targets, stop: make(chan struct{}), errors: map[fault.Kind]int{}}
+// startLoad starts a load. pickClient returns the client for the next request, as a
+// load balancer picks a node.
+func startLoad(cl *cluster, lookups, jobs int, pickClient func() *client.Client) *load {
+	ld := &load{cl: cl, pickClient: pickClient, stop: make(chan struct{}), errors: map[fault.Kind]int{}}
 	for i := range lookups {
-		ld.run(func(n int) { ld.lookup(fmt.Sprintf("lookup %d of client %d", n, i), workspaceOf(n)) }, 5*time.Millisecond)
+		ld.repeat(func(n int) { ld.lookup(fmt.Sprintf("lookup %d of client %d", n, i), workspaceOf(n)) }, 5*time.Millisecond)
 	}
 	for i := range jobs {
-		ld.run(func(n int) { ld.job(fmt.Sprintf("push-%d-%d", i, n), "push", workspaceOf(n), 1) }, 20*time.Millisecond)
-		ld.run(func(n int) { ld.job(fmt.Sprintf("gang-%d-%d", i, n), "rebuild", workspaceOf(n), 6) }, 60*time.Millisecond)
-		ld.run(func(n int) { ld.job(fmt.Sprintf("again-%d-%d", i, n), "refresh", workspaceOf(n), 1) }, 40*time.Millisecond)
+		ld.repeat(func(n int) { ld.job(fmt.Sprintf("push-%d-%d", i, n), "push", workspaceOf(n), 1) }, 20*time.Millisecond)
+		ld.repeat(func(n int) { ld.job(fmt.Sprintf("gang-%d-%d", i, n), "rebuild", workspaceOf(n), 6) }, 60*time.Millisecond)
+		ld.repeat(func(n int) { ld.job(fmt.Sprintf("again-%d-%d", i, n), "refresh", workspaceOf(n), 1) }, 40*time.Millisecond)
 	}
 	return ld
 }
 
-func (ld *load) run(act func(n int), pause time.Duration) {
+func (ld *load) repeat(action func(n int), pause time.Duration) {
 	ld.wg.Add(1)
 	go func() {
 		defer ld.wg.Done()
@@ -54,96 +55,97 @@
 			case <-ld.stop:
 				return
 			case <-time.After(pause):
-				act(n)
+				action(n)
 			}
 		}
 	}()
 }
 
-// log prints what the load met.
-func (ld *load) log(t *testing.T) {
+// logSummary logs the numbers of requests and errors, with samples of the errors.
+func (ld *load) logSummary(t *testing.T) {
 	t.Helper()
-	t.Logf("%d lookups, %d lost; %d jobs; errors %v, for example %q",
-		ld.lookups.Load(), ld.lost.Load(), ld.jobs.Load(), ld.errors, ld.samples)
+	t.Logf("%d lookups, %d failed; %d jobs; errors %v, for example %q",
+		ld.lookups.Load(), ld.failedLookups.Load(), ld.jobs.Load(), ld.errors, ld.errorSamples)
 }
 
-// end stops the load, waits for what is under way, and checks everything.
+// end stops the load, waits for requests in progress, and checks all records and
+// outcomes.
 func (ld *load) end() violations {
 	close(ld.stop)
 	ld.wg.Wait()
-	ld.settle()
-	vi := check(ld.cl.records(), ld.claims)
-	for _, text := range ld.wrong {
+	ld.waitIdle()
+	vi := check(ld.cl.records(), ld.outcomes)
+	for _, text := range ld.wrongReplies {
 		vi.add(wrongReply, "%s", text)
 	}
 	return vi
 }
 
-func (ld *load) note(cm claim) {
+func (ld *load) addOutcome(oc outcome) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	ld.claims = append(ld.claims, cm)
+	ld.outcomes = append(ld.outcomes, oc)
 }
 
-func (ld *load) fail(err error) {
+func (ld *load) addError(err error) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.errors[fault.From(err).Kind]++
-	if len(ld.samples) < 10 {
-		ld.samples = append(ld.samples, err.Error())
+	if len(ld.errorSamples) < 10 {
+		ld.errorSamples = append(ld.errorSamples, err.Error())
 	}
 }
 
-// lookup sends one lookup and checks that the answer is whole and its own.
+// lookup sends a lookup and checks that the response is complete and belongs to it.
 func (ld *load) lookup(body, workspace string) {
-	rsp, err := ld.targets().Do(client.Request{
+	rsp, err := ld.pickClient().Do(client.Request{
 		Method: "POST", Path: "/v1/lookups/lookup", Body: []byte(body),
 		Headers: map[string]string{api.HeaderWorkspace: workspace},
 	})
 	ld.lookups.Add(1)
 	if err != nil {
-		ld.lost.Add(1)
-		ld.fail(err)
+		ld.failedLookups.Add(1)
+		ld.addError(err)
 		if !fault.From(err).MayHaveRun {
-			ld.note(claim{mark: body, ran: "not-run", repeatable: true})
+			ld.addOutcome(outcome{mark: body, result: "not-run", repeatable: true})
 		}
 		return
 	}
 	if string(rsp.Body) != string(standinworker.ExpectedAnswer([]byte(body))) {
 		ld.mu.Lock()
-		ld.wrong = append(ld.wrong, fmt.Sprintf("asked %q, got %q", body, rsp.Body))
+		ld.wrongReplies = append(ld.wrongReplies, fmt.Sprintf("sent %q, got %q", body, rsp.Body))
 		ld.mu.Unlock()
 	}
-	ld.note(claim{mark: body, ran: "ran", repeatable: true})
+	ld.addOutcome(outcome{mark: body, result: "ran", repeatable: true})
 }
 
-// job submits a job under a key, until it is accepted or refused for good, and
-// notes the final answer.
+// job submits a job with an idempotency key, repeats the request until the response
+// has the outcome, and records it. After waitTimeout it records that there was none.
 func (ld *load) job(mark, workload, workspace string, tasks int) {
 	ld.jobs.Add(1)
 	req := api.JobRequest{
 		Workload: workload, Workspace: workspace, Tasks: tasks,
 		Payload: map[string]any{"run": 0.05, "mark": mark},
 	}
-	for end := time.Now().Add(patience); time.Now().Before(end); {
-		vw, err := client.Send[api.Job](ld.targets(), client.Request{
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
+		vw, err := client.Send[api.Job](ld.pickClient(), client.Request{
 			Method: "POST", Path: api.PathJobs, Query: map[string]string{"wait": "5"}, Wait: 5 * time.Second,
 			Headers: map[string]string{api.HeaderIdempotencyKey: mark},
 		}, req)
 		if err == nil && vw.Answer != "" {
-			ld.note(claim{mark: mark, ran: vw.Answer, repeatable: workload == "refresh"})
+			ld.addOutcome(outcome{mark: mark, result: vw.Answer, repeatable: workload == "refresh"})
 			return
 		}
 		if err != nil {
-			ld.fail(err)
+			ld.addError(err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	ld.note(claim{mark: mark})
+	ld.addOutcome(outcome{mark: mark})
 }
 
-// settle waits until no worker runs anything any more.
-func (ld *load) settle() {
+// waitIdle waits until no worker runs a task or lookup.
+func (ld *load) waitIdle() {
 	ld.cl.eventually("all work has ended", func() bool {
 		running := 0
 		for _, rc := range ld.cl.records() {
@@ -158,7 +160,8 @@
 	})
 }
 
-// balancer stands for the platform's balancer: it sends to the nodes in service.
+// balancer stands in for the platform's load balancer. It sends requests to the nodes
+// in service.
 type balancer struct {
 	cl    *cluster
 	mu    sync.Mutex
@@ -185,7 +188,8 @@
 	delete(ba.addrs, name)
 }
 
-// client returns a client of the nodes in service, in random order.
+// client returns a client of the nodes in service. Their order is random, as that of
+// map iteration.
 func (ba *balancer) client() *client.Client {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
@@ -193,5 +197,5 @@
 	for _, addr := range ba.addrs {
 		addrs = append(addrs, addr)
 	}
-	return ba.cl.clients.of(addrs)
+	return ba.cl.clients.get(addrs)
 }
--- a/test/race_test.go
+++ b/test/race_test.go
@@ -11,19 +11,21 @@
 	"tackbeam.example/tackbeam/internal/table"
 )
 
-// race is two operators who set the same cell by turns at two nodes. Each edit
-// names the value it expects, so the accepted edits must form one chain.
-type race struct {
+// editRace is two operators that concurrently set the same cell of the table at two
+// nodes. Each edit has the value that it expects to replace, so the accepted edits must
+// form a single chain.
+type editRace struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 	mu   sync.Mutex
-	// accepted maps the value that an accepted edit expected to the one it set.
+	// accepted maps the value that an accepted edit replaced to the new value, or to
+	// "?" if the edit may have been accepted.
 	accepted map[string]string
 	forks    []string
 }
 
 func (cl *cluster) startRace() {
-	rc := &race{stop: make(chan struct{}), accepted: map[string]string{}}
+	rc := &editRace{stop: make(chan struct{}), accepted: map[string]string{}}
 	cl.race = rc
 	for i, name := range []string{"n1", "n2"} {
 		api := cl.api(name)
@@ -42,7 +44,7 @@
 	}
 }
 
-func (rc *race) edit(cl *client.Client, value string) {
+func (rc *editRace) edit(cl *client.Client, value string) {
 	row, err := client.JSON[table.Row](cl, client.Request{Method: "GET", Path: "/v1/table/workspace/brno"})
 	if err != nil {
 		return
@@ -53,7 +55,7 @@
 	}, api.CellRequest{Value: value, Expect: &expect})
 	if err != nil {
 		if fault.From(err).MayHaveRun {
-			rc.doubt(expect, value)
+			rc.addIndeterminate(expect, value)
 		}
 		return
 	}
@@ -65,8 +67,8 @@
 	rc.accepted[expect] = value
 }
 
-// doubt notes an edit that may have been kept.
-func (rc *race) doubt(expect, _ string) {
+// addIndeterminate records an edit that may have been accepted.
+func (rc *editRace) addIndeterminate(expect, _ string) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if _, ok := rc.accepted[expect]; !ok {
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -10,8 +10,8 @@
 	"tackbeam.example/tackbeam/internal/client"
 )
 
-// tenantSample is what a number of workspaces costs, a node and second on average.
-type tenantSample struct {
+// workspaceSample is the cost of a number of workspaces, as the mean per node and second.
+type workspaceSample struct {
 	Workspaces int     `json:"workspaces"`
 	Nodes      int     `json:"nodes"`
 	CPU        float64 `json:"cpu_percent_of_core"`
@@ -21,24 +21,24 @@
 	EditP99    float64 `json:"edit_in_force_everywhere_p99_ms"`
 }
 
-// TestTenants measures what rows of the table and histograms cost, each workspace
-// having sent lookups and a job through every node, and writes
+// TestTenants measures the cost of the table's rows and the histograms of workspaces,
+// each of which has sent a lookup through every node and a job, and writes
 // docs/capacity/tenants.json.
 func TestTenants(t *testing.T) {
 	if os.Getenv("TACKBEAM_CAPACITY") == "" {
-		t.Skip("a measurement, not a check; run make capacity")
+		t.Skip("measurement only; run make capacity")
 	}
 	cl := newCluster(t, options{
-		nodes: []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}, workers: 50, lease: 20 * time.Second, ordinary: true,
+		nodes: []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}, workers: 50, lease: 20 * time.Second, defaultSettings: true,
 	})
-	cl.ordinaryTable()
-	var samples []tenantSample
-	made := 0
+	cl.configureWorkloads()
+	var samples []workspaceSample
+	existing := 0
 	for _, count := range []int{10, 100, 380} {
-		sm := tenantSample{Workspaces: count, Nodes: len(cl.nodes)}
-		sm.EditP50, sm.EditP99 = percentiles(cl.addTenants(made, count))
-		made = count
-		cl.useTenants(count)
+		sm := workspaceSample{Workspaces: count, Nodes: len(cl.nodes)}
+		sm.EditP50, sm.EditP99 = percentiles(cl.addWorkspaces(existing, count))
+		existing = count
+		cl.useWorkspaces(count)
 		time.Sleep(2 * time.Second)
 		before := cl.control()
 		time.Sleep(10 * time.Second)
@@ -55,25 +55,26 @@
 	writeData(t, "tenants.json", samples)
 }
 
-// addTenants adds rows of workspaces and returns how long each took to be in force.
-func (cl *cluster) addTenants(from, to int) []time.Duration {
+// addWorkspaces adds rows of workspaces and returns how long each took to become active
+// on all nodes.
+func (cl *cluster) addWorkspaces(from, to int) []time.Duration {
 	var all []time.Duration
 	for n := from; n < to; n++ {
-		began := time.Now()
+		startedAt := time.Now()
 		_, err := client.Send[map[string]any](cl.api("n1"), client.Request{
 			Method: "PUT", Path: fmt.Sprintf("/v1/table/workspace/tenant-%d/weight", n),
 		}, api.CellRequest{Value: "1", Wait: true})
 		if err != nil {
 			cl.t.Fatal(err)
 		}
-		all = append(all, time.Since(began))
-		time.Sleep(100 * time.Millisecond) // within the table's part of the store's rate
+		all = append(all, time.Since(startedAt))
+		time.Sleep(100 * time.Millisecond) // stays within the table's share of the store's rate limit
 	}
 	return all
 }
 
-// useTenants has every workspace send lookups through each node, and a job.
-func (cl *cluster) useTenants(count int) {
+// useWorkspaces sends a lookup through each node, and a job, for every workspace.
+func (cl *cluster) useWorkspaces(count int) {
 	for n := range count {
 		workspace := fmt.Sprint("tenant-", n)
 		for name := range cl.nodes {
--- a/test/wave_test.go
+++ b/test/wave_test.go
@@ -12,34 +12,34 @@
 // waveSize is the number of jobs that one wave submits and cancels.
 const waveSize = 120
 
-// wave is many jobs that are cancelled as soon as they are accepted.
-type wave struct {
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	claims []claim
+// cancelWave is a burst of jobs that are cancelled as soon as they are accepted.
+type cancelWave struct {
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	outcomes []outcome
 }
 
-func startWave(cl *cluster) *wave {
-	wa := &wave{}
+func startWave(cl *cluster) *cancelWave {
+	wa := &cancelWave{}
 	for n := range waveSize {
 		wa.wg.Add(1)
 		go func() {
 			defer wa.wg.Done()
-			cm := claim{mark: fmt.Sprint("wave-", n)}
-			cm.ran = submitAndCancel(cl.api("n1", "n2"), cm.mark, n)
+			oc := outcome{mark: fmt.Sprint("wave-", n)}
+			oc.result = submitAndCancel(cl.api("n1", "n2"), oc.mark, n)
 			wa.mu.Lock()
 			defer wa.mu.Unlock()
-			wa.claims = append(wa.claims, cm)
+			wa.outcomes = append(wa.outcomes, oc)
 		}()
 	}
 	return wa
 }
 
-// submitAndCancel returns the final answer that the system gives to a job which
-// is cancelled at once.
+// submitAndCancel submits a job, cancels it at once and returns the outcome, or "" if
+// there was none within waitTimeout.
 func submitAndCancel(cl *client.Client, mark string, n int) string {
 	id := ""
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if id == "" {
 			vw, err := client.Send[api.Job](cl, client.Request{
 				Method: "POST", Path: api.PathJobs, Headers: map[string]string{api.HeaderIdempotencyKey: mark},
@@ -59,7 +59,7 @@
 	return ""
 }
 
-func (wa *wave) end() []claim {
+func (wa *cancelWave) end() []outcome {
 	wa.wg.Wait()
-	return wa.claims
+	return wa.outcomes
 }
