--- a/policy/cell/advicerequest.go
+++ b/policy/cell/advicerequest.go
@@ -21,7 +21,8 @@
 	// requests, as a fraction of the fixed time of a request, so that answers arrive sooner. A smaller fraction
 	// takes more of the advisor's time without a further gain.
 	fastRequestShare = 0.72
-	// advisorIdleAfter is how long ago a request must last have found the advisor busy for that.
+	// advisorIdleAfter is the time without a request that found the advisor busy after which the advisor is
+	// taken to have time for more requests.
 	advisorIdleAfter = 2 * time.Second
 	// minRequestWorkers is how many workers a request names at least, if there are as many, so that one of them
 	// is very likely allowed.
@@ -179,7 +180,8 @@
 }
 
 // minWorkers is how many workers a request for a step names at least, if there are as many: the number that
-// adds half of the fixed time of a request, since the advisor runs out of time before it runs out of verdicts.
+// adds half of the fixed time of a request, since the advisor's time is used up long before all workers have a
+// verdict.
 func minWorkers(st *step) int {
 	qu := st.round.job.spec.Queue
 	if qu.AdviceEach <= 0 {
--- a/policy/cell/cell.go
+++ b/policy/cell/cell.go
@@ -71,7 +71,7 @@
 	// examined counts the workers that planning has examined.
 	examined int
 	// unreachableTimes are the times at which workers recently became unreachable; attributions are the crashes
-	// attributed to tasks, by the worker whose lease expired.
+	// attributed to tasks, by the worker that was lost.
 	unreachableTimes []time.Duration
 	attributions     map[incarnation.ID]attribution
 	// predecessors are earlier incarnations of workers, by worker ID.
--- a/policy/cell/crash.go
+++ b/policy/cell/crash.go
@@ -16,7 +16,7 @@
 	// job fails. Two may be coincidence.
 	maxUnexplained = 3
 	// maxCrashes is the limit for all crashes, explained or not. Users allow two more starts after the third
-	// crash; one of them is reserved for a crash that went unrecorded because its planner died with it.
+	// crash; one of them is left for a crash that went unrecorded because the planner failed at the same time.
 	maxCrashes = 4
 	// harmlessAfter is how long a run of a long-running task must be up before the task is cleared of its
 	// crashes: longer than any crash of a day's load takes to occur.
@@ -26,8 +26,8 @@
 	correlationWindow = 500 * time.Millisecond
 	// minCorrelated is how many other workers must become unreachable in that window.
 	minCorrelated = 2
-	// unreachableRetention is how long these times are kept: the consequences are known once the worker's lease
-	// of 5 s has expired.
+	// unreachableRetention is how long the times at which workers became unreachable are kept: the consequences
+	// are known once the worker's lease of 5 s has expired.
 	unreachableRetention = 30 * time.Second
 )
 
@@ -166,8 +166,8 @@
 // pruneLosses discards unreachable times and attributions that no longer matter.
 func (cl *Cell) pruneLosses(now time.Duration) {
 	cl.unreachableTimes = slices.DeleteFunc(cl.unreachableTimes, func(at time.Duration) bool { return now-at > unreachableRetention })
-	for id, at := range cl.attributions {
-		if now-at.at > cl.opts.Retention {
+	for id, attr := range cl.attributions {
+		if now-attr.at > cl.opts.Retention {
 			delete(cl.attributions, id)
 		}
 	}
--- a/policy/cell/crash_test.go
+++ b/policy/cell/crash_test.go
@@ -27,7 +27,7 @@
 		extraRunTime time.Duration
 		// flood submits jobs so fast that two thirds of the workers are down: only the bound is checked then.
 		flood bool
-		// sameID restarts workers under their IDs after restartDelay.
+		// sameID restarts crashed workers under the same ID after restartDelay.
 		sameID       bool
 		restartDelay time.Duration
 	}{
@@ -124,7 +124,7 @@
 	}
 }
 
-// crashTestbed is a cell of which one task's worker is lost again and again.
+// crashTestbed is a cell with one task, whose worker is lost repeatedly.
 type crashTestbed struct {
 	*is.I
 	t    *testing.T
@@ -262,10 +262,10 @@
 	if phase.Ended() {
 		return
 	}
-	all, blamed := ct.cell.CrashCounts(task)
-	nextAll, nextBlamed := next.CrashCounts(task)
+	all, unexplained := ct.cell.CrashCounts(task)
+	nextAll, nextUnexplained := next.CrashCounts(task)
 	ct.Equal(nextAll, all)
-	ct.Equal(nextBlamed, blamed)
+	ct.Equal(nextUnexplained, unexplained)
 }
 
 // TestSuspectsKeptApart crashes a worker that runs two tasks. They must be restarted on different workers, so that
--- a/policy/cell/gang.go
+++ b/policy/cell/gang.go
@@ -19,7 +19,7 @@
 		return false
 	}
 	if !cl.window.open(st.urgent()) {
-		st.reservePlan = cl.planCount // an urgent gang that requests advice ahead of its start
+		st.reservePlan = cl.planCount // an urgent gang is not skipped while the window is full; it keeps its reservation
 		return false
 	}
 	st.lastTried = now
@@ -79,7 +79,8 @@
 	return st.fill(cands)
 }
 
-// fill takes the workers with most capacity until all tasks of the gang have a place.
+// fill takes workers until all tasks of the gang have a place: first those not to be avoided, among them those
+// near the step's data, and among these the ones with most slots.
 func (st *step) fill(cands []candidate) ([]candidate, bool) {
 	remaining := len(st.tasks)
 	if totalSlots(cands) < remaining {
--- a/policy/cell/messages.go
+++ b/policy/cell/messages.go
@@ -43,7 +43,7 @@
 	Checkpoint string    `cbor:"3,keyasint,omitempty"`
 	// Percent is the progress of the task.
 	Percent int `cbor:"4,keyasint,omitempty"`
-	// TailLatencyMS is, for a task that serves users, their tail latency over the last half second.
+	// TailLatencyMS is the tail latency of a task that serves users, over the last half second.
 	TailLatencyMS int `cbor:"5,keyasint,omitempty"`
 }
 
@@ -149,7 +149,7 @@
 	LostWorker incarnation.ID `cbor:"13,keyasint,omitempty"`
 }
 
-// Output is what a cell wants done.
+// Output holds the orders to workers, the requests and the records that a cell has produced.
 type Output struct {
 	Starts []Start
 	Stops  []Stop
--- a/policy/cell/placement.go
+++ b/policy/cell/placement.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// afterLoss handles a run that is gone without an end that counts.
+// afterLoss stops the other members of a gang after a run of one is gone without having finished its task, so
+// that the gang can restart.
 func (cl *Cell) afterLoss(pl *placement) {
 	st := pl.task.step
 	if st.def.Gang && !pl.task.done {
--- a/policy/cell/plan.go
+++ b/policy/cell/plan.go
@@ -9,7 +9,7 @@
 )
 
 // Tick does periodic work: it opens due rounds, stops hung runs, moves tasks off draining workers, and discards
-// old state. wall is the time of day since 1970.
+// old state. wall is the wall-clock time since 1970.
 func (cl *Cell) Tick(now, wall time.Duration) {
 	cl.openDue(now, wall)
 	cl.stopHungRuns(now)
@@ -45,7 +45,8 @@
 	cl.releaseStaleReservations()
 }
 
-// skipped reports whether the plan leaves a step alone because no more starts can be sent soon.
+// skipped reports whether the plan leaves a step alone because no more starts can be sent soon. Urgent steps are
+// planned nevertheless, so that they request advice ahead, until enough urgent tasks have it.
 func (cl *Cell) skipped(st *step) bool {
 	if cl.window.open(st.urgent()) {
 		return false
@@ -54,8 +55,9 @@
 	return !st.urgent() || !cl.window.allowsRequests(cl.urgentPending)
 }
 
-// releaseStaleReservations releases the reservations of steps that did not renew them in this plan: either none
-// of their tasks wait any more, or they were skipped.
+// releaseStaleReservations releases the reservations of steps that did not renew them in this plan: none of their
+// tasks wait any more, or they may not start now, as when their workspace is at its limit. Skipped steps keep
+// theirs.
 func (cl *Cell) releaseStaleReservations() {
 	for _, wk := range cl.workers {
 		if wk.reservedFor != nil && wk.reservedFor.reservePlan != cl.planCount {
--- a/policy/cell/pool.go
+++ b/policy/cell/pool.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// candidates yields those of the workers that may run the step and hold at least one of its tasks, as counted
-// by the function given.
+// candidates yields those of the workers that have the step's label and at least one slot for its tasks, as
+// counted by the function slots.
 func (cl *Cell) candidates(st *step, workers iter.Seq[*worker], slots func(st *step, wk *worker) int) iter.Seq[candidate] {
 	return func(yield func(candidate) bool) {
 		for wk := range workers {
--- a/policy/cell/reservation.go
+++ b/policy/cell/reservation.go
@@ -137,7 +137,8 @@
 
 // allowsBackfill reports whether a step may use capacity that is reserved on a worker for another step: only if
 // its tasks are expected to end before the promised start of the reserving step. The promise is never
-// postponed, or tasks of 2 s would use the capacity forever, each a little longer.
+// postponed, or tasks of 2 s would use the capacity forever, each a little longer. An urgent step that finds no
+// other capacity may use it in any case.
 func (cl *Cell) allowsBackfill(wk *worker, st *step) bool {
 	return cl.ignoreReserved || cl.now+cl.expectedRunTime(st) <= wk.reservedFor.promisedAt
 }
@@ -170,8 +171,8 @@
 	return wk.reservedFor == nil || wk.reservedFor == st || st.late && wk.reservedFor.planIndex > st.planIndex
 }
 
-// openingsOn leaves out capacity that the step could not use: more than its limit of tasks per worker, and that
-// of long-running tasks, which do not end.
+// openingsOn returns the openings on one worker, sorted by time. It leaves out capacity that the step could not
+// use: more than its limit of tasks per worker, and that of long-running tasks, which do not end.
 func (cl *Cell) openingsOn(now time.Duration, st *step, wk *worker) []opening {
 	type ending struct {
 		at        time.Duration
--- a/policy/cell/restart.go
+++ b/policy/cell/restart.go
@@ -10,8 +10,8 @@
 // A worker may restart under its ID. A start sent to its earlier incarnation may have been carried out in the
 // next one, or may be yet: orders name the worker by its ID, and what was fenced in one incarnation is not
 // fenced in another. A run that the earlier incarnation has not reported is therefore kept until a report of
-// the next one either lists it or omits it. That report is requested with a token that rejects all earlier
-// orders.
+// the next one either lists it or omits it. That report is requested with a fencing token that makes the worker
+// reject all earlier orders.
 
 // maxOrderDelay is how long such a run is kept if the next incarnation does not answer: as long as an order may
 // be in transit and then run.
--- a/policy/cell/round.go
+++ b/policy/cell/round.go
@@ -45,7 +45,7 @@
 	// reselectAt is when a selection may be tried again after one that found too little capacity.
 	reselectAt time.Duration
 	// planIndex is the step's position in the current plan, late whether it is late there; reservePlan is the
-	// last plan in which it reserved.
+	// last plan in which it made or kept a reservation.
 	planIndex, reservePlan int
 	late                   bool
 	// crashSeen is set once a worker has crashed under one of its tasks.
@@ -79,7 +79,8 @@
 	return work.Task{Job: tk.step.round.job.spec.ID, Round: tk.step.round.num, Step: tk.step.num, Index: tk.index}
 }
 
-// round returns a round that any planner has opened, or nil if the job has no such round.
+// round returns a round that this planner or an earlier one has opened, or nil if the job has no such round. It
+// opens the rounds up to it that this planner has not opened yet.
 func (cl *Cell) round(now time.Duration, jb *job, num int) *round {
 	for !jb.phase.Ended() && jb.openedRounds <= num && jb.openedRounds < jb.spec.Rounds() {
 		cl.openRound(now, jb)
@@ -129,7 +130,7 @@
 	return true
 }
 
-// openDue opens the rounds whose time of day has come.
+// openDue opens the rounds that are due by the wall clock.
 func (cl *Cell) openDue(now, wall time.Duration) {
 	for _, jb := range cl.jobs {
 		rep := jb.spec.Repeat
--- a/policy/cell/slack.go
+++ b/policy/cell/slack.go
@@ -7,8 +7,8 @@
 	// minSlack is the time to spare above which a step waits while gangs lack capacity. With 4 s, deferrable
 	// jobs were late on cells of 350 workers, since estimates are off by as much.
 	minSlack = 9 * time.Second
-	// crowdedShare is the share of a service's capacity in use at which steps do so: below it, there is
-	// capacity for both.
+	// crowdedShare is the share of a service's capacity in use at which steps with slack wait: below it, there
+	// is capacity for them and the gangs.
 	crowdedShare = 0.6
 )
 
--- a/policy/cell/testbed_test.go
+++ b/policy/cell/testbed_test.go
@@ -15,7 +15,7 @@
 )
 
 // testbed is a cell with simulated workers, a journal, and faults drawn from a seed.
-// It checks the scheduling invariants at each start.
+// At each start it checks the invariants listed in checkStart.
 type testbed struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -145,7 +145,7 @@
 		if rec.Closed {
 			bd.cell.InheritRuns(bd.now, id, rec.Held)
 		} else {
-			wk.downUntil = 0 // the runtime waits for a worker that may hold any task
+			wk.downUntil = 0 // recovery waits for a worker that may hold any task
 			if bd.maxReportDelay > 0 && bd.rng.IntN(2) == 0 {
 				wk.downUntil = bd.now + time.Duration(bd.rng.Int64N(int64(bd.maxReportDelay)))
 			}
@@ -273,10 +273,10 @@
 		bd.workers[id].endDueRuns(bd)
 	}
 	for at := 0; at < len(bd.scheduled); at++ {
-		if tm := bd.scheduled[at]; tm.at <= bd.now {
+		if sc := bd.scheduled[at]; sc.at <= bd.now {
 			bd.scheduled = slices.Delete(bd.scheduled, at, at+1)
 			at--
-			tm.call()
+			sc.call()
 		}
 	}
 	delayed := bd.delayed
@@ -365,7 +365,7 @@
 	bd.cell.Started(bd.now, sr)
 }
 
-// executeStart starts a run on its worker, as the worker does, and checks the invariants.
+// executeStart carries out a start as the worker does, including its refusals, and checks the invariants.
 func (bd *testbed) executeStart(sr cell.Start, term int) cell.Refusal {
 	wk := bd.workers[sr.Worker]
 	if bd.isDown(wk) || term < wk.token {
@@ -394,11 +394,11 @@
 	for _, rn := range wk.stopping {
 		used = used.Add(rn.need)
 	}
-	room := wk.Capacity
+	capacity := wk.Capacity
 	if bd.now-wk.resizedAt < maxOrderDelay {
-		room = room.Max(wk.prevCapacity)
+		capacity = capacity.Max(wk.prevCapacity)
 	}
-	if !used.Add(step.Need).Fits(room) {
+	if !used.Add(step.Need).Fits(capacity) {
 		bd.t.Fatalf("start of %s exceeds the capacity of worker %s", sr.Task, wk.ID)
 	}
 	bd.checkLimit(sr, jb, step)
@@ -581,7 +581,7 @@
 	}})
 }
 
-// phases counts the jobs by phase.
+// countPhases counts the jobs by phase.
 func (bd *testbed) countPhases() map[cell.Phase]int {
 	counts := map[cell.Phase]int{}
 	for _, jb := range bd.jobs {
--- a/policy/cell/throttle.go
+++ b/policy/cell/throttle.go
@@ -52,7 +52,8 @@
 }
 
 // nextPace returns the pace that follows on a percentage: half of it while a neighbour is near its target
-// latency, a little more once all neighbours are well below theirs.
+// latency, 0 if the neighbour has reached it or half would be less than minPace, and a little more once all
+// neighbours are well below theirs.
 func nextPace(percent int, ratio float64) int {
 	switch {
 	case ratio >= 1:
--- a/policy/cell/worker.go
+++ b/policy/cell/worker.go
@@ -45,7 +45,8 @@
 	poolIndex int
 }
 
-// endNote is the end of a run, with the record that covers its consequences.
+// endNote is the end of a run, by its number on the worker, and the number of records that must be committed for
+// the journal to have its consequences.
 type endNote struct{ number, record int }
 
 // Durations of quarantine.
