--- a/policy/cell/plan.go
+++ b/policy/cell/plan.go
@@ -56,8 +56,8 @@
 }
 
 // releaseStaleReservations releases the reservations of steps that did not renew them in this plan: none of their
-// tasks wait any more, or they may not start now, as when their workspace is at its limit. Skipped steps keep
-// theirs.
+// tasks wait any more, or they may not start now, as when their workspace is at its limit or they are deferred in
+// favour of gangs. Skipped steps keep theirs.
 func (cl *Cell) releaseStaleReservations() {
 	for _, wk := range cl.workers {
 		if wk.reservedFor != nil && wk.reservedFor.reservePlan != cl.planCount {
@@ -169,8 +169,8 @@
 	}
 }
 
-// minCandidates is how many workers with capacity to look for, so that a task finds one that it has not failed
-// on: it has failed on a few at most.
+// minCandidates is how many workers with capacity to look for at least, so that a task finds one that it has not
+// failed on: it has failed on a few at most.
 const minCandidates = 8
 
 // chooseWorkers returns workers that may start tasks of the step now, best first, and enough of them for the
@@ -203,8 +203,8 @@
 	return tks
 }
 
-// firstFit returns the index of the first candidate with capacity for the task, preferably one that the task has not
-// failed on, or -1.
+// firstFit returns the index of the first candidate with capacity for the task, preferably one that the task has
+// neither failed nor hung on, or -1.
 func firstFit(tk *task, cands []candidate) int {
 	if len(tk.crashes) > 0 {
 		return fitIsolated(tk, cands)
--- a/policy/cell/starvation_test.go
+++ b/policy/cell/starvation_test.go
@@ -93,7 +93,7 @@
 }
 
 // TestLateTasksBehindGangs has late single tasks wait beside gangs that can be on time but lack capacity. If late steps
-// counted as having a minute of slack, they would be skipped for that long.
+// counted as having a minute of slack, they would be deferred for that long.
 func TestLateTasksBehindGangs(t *testing.T) {
 	for name, age := range map[string]time.Duration{"late by 40 s": 50 * time.Second, "late by 55 s": 65 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -223,8 +223,8 @@
 	is.True(ok)
 }
 
-// TestSkippedStepReleasesReservation has a late step reserve a worker and then be skipped. If it keeps the
-// reservation, the worker stays idle, and neither the step nor the gang that needs the worker begins within 9 s.
+// TestSkippedStepReleasesReservation has a late step reserve a worker before a gang needs it. If the step is then
+// deferred in favour of the gang but keeps its reservation, the worker stays idle, and neither begins within 9 s.
 func TestSkippedStepReleasesReservation(t *testing.T) {
 	is := is.New(t)
 	fl := newFixedLengthTestbed(4, func(tk work.Task) time.Duration {
