--- a/internal/feed/answer.go
+++ b/internal/feed/answer.go
@@ -34,7 +34,7 @@
 	// 10 Mbit/s. With 5,000 routes, 36 nodes without a copy took 5 s to get them from three such readers, though
 	// the store could send each of them the full configuration in 1.1 s.
 	maxLinkBacklog = 1500 * time.Millisecond
-	// routeBytes is the size of a route in a response; 55 to 72 bytes were measured.
+	// routeBytes is the size of a large route in a response. Routes take 55 to 72 bytes.
 	routeBytes = 72
 )
 
--- a/internal/feed/catchup.go
+++ b/internal/feed/catchup.go
@@ -7,8 +7,8 @@
 
 // Conditions under which a node that is not a reader reads the full configuration itself.
 const (
-	// fullReadDelay is how long a node leaves this to readers that answer but do not have the change yet either:
-	// they take 0.2 s, or 1.1 s on a link of 10 Mbit/s. fullReadDelayPerNode covers the additional time that the
+	// fullReadDelay is how long a node waits for readers that answer but do not have the change yet either: they
+	// take 0.2 s, or 1.1 s on a link of 10 Mbit/s. fullReadDelayPerNode covers the additional time that the
 	// readers need to read from one store, 0.7 ms per node at 1.4 MB. When 1,000 nodes gave up at the same time
 	// after 1.2 s, a change took 4.2 s instead of 1.9 s.
 	fullReadDelay        = 1200 * time.Millisecond
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -7,12 +7,13 @@
 //
 //	notice + max((n*W + k*S)/store, S/reader) + decode + (n/k)*D/reader + D/node + retry
 //
-// where k = max(3, n/16) is the number of readers, or less if fewer links are about as fast as the fastest; W is
-// the part that arrives of an answer that the node rejects as too large; store, reader and node are the bandwidths
-// of their links. A retry costs 0.5 s if a connection was reset (notice and request again), 0.45 s for each reader
-// that does not answer, and 1.1 s if the node's own connection to the store does not answer. If two readers do not
-// answer, or already have answers for 1.5 s of their links to send, a node reads the full configuration itself,
-// which takes S/node more. TestChangeWithinBound checks this bound.
+// where notice is the time until a node learns of the change from its watch, and decode the time to decode the
+// configuration; k = max(3, n/16) is the number of readers, or less if fewer links are about as fast as the
+// fastest; W is the part that arrives of an answer that the node rejects as too large; store, reader and node are
+// the bandwidths of their links. A retry costs 0.5 s if a connection was reset (notice and request again), 0.45 s
+// for each reader that does not answer, and 1.1 s if the node's own connection to the store does not answer. If
+// two readers do not answer, or already have answers for 1.5 s of their links to send, a node reads the full
+// configuration itself, which takes S/node more. TestChangeWithinBound checks this bound.
 package feed
 
 import (
@@ -53,9 +54,9 @@
 const (
 	// watchWait is how long a watch may stay without an answer. The copy's age counts from the sending of the last
 	// answered call, so it grows to twice this time plus two answers of 0.25 s from a slow store. With watches of
-	// 1 s a fifth of the answers with status 404 were 503 instead in normal operation.
+	// 1 s, a fifth of the requests for unknown routes were answered 503 instead of 404 in normal operation.
 	watchWait = 600 * time.Millisecond
-	// expectedLatency is the part of that sum allowed for an answer. Watches of a slower store wait less, down to
+	// expectedLatency is the part of that age allowed for each answer. Watches of a slower store wait less, down to
 	// minWatchWait: with answers of 0.4 s a fifth of the jobs were refused because the copy was up to 2 s old,
 	// while 1.8 s are allowed.
 	expectedLatency = 250 * time.Millisecond
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -32,8 +32,8 @@
 	hedge = 80 * time.Millisecond
 	// refusedRetryTime is how long a batch that the store refuses is retried.
 	refusedRetryTime = 800 * time.Millisecond
-	// settleTimeout limits the time to find out whether a batch was written.
-	settleTimeout = 10 * time.Second
+	// commitTimeout limits the time to find out whether a batch was written.
+	commitTimeout = 10 * time.Second
 	// maxBytes keeps batches far below the store's maximum value size of 1 MB.
 	maxBytes = 256 << 10
 	// maxOpenWrites is the maximum number of batches without a known outcome.
@@ -215,7 +215,7 @@
 	}
 	txn := kv.Txn{Conditions: []kv.Condition{{Key: key}}, Puts: []kv.Put{{Key: key, Value: raw}}}
 	began := in.clock.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	revision, _, err := in.store.CommitWithRetry(ctx, kv.CommitOptions{Clock: in.clock, HedgeDelay: hedge, RefusedTimeout: refusedRetryTime}, txn)
 	age := in.clock.Since(began)
@@ -224,7 +224,7 @@
 		in.log.Info("Batch written.", "key", key, "ids", bt.ids(),
 			"revision", revision, "took", age.String())
 		if err == nil && in.opts.OnWritten != nil {
-			go in.opts.OnWritten(joblog.WrittenBatch{Key: key, Revision: revision, Batch: bt.Batch}) // limits its own duration
+			go in.opts.OnWritten(joblog.WrittenBatch{Key: key, Revision: revision, Batch: bt.Batch}) // ends by its own timeout
 		}
 		return nil
 	case errors.Is(err, kv.ErrRefused):
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -26,8 +26,8 @@
 	// each time instead.
 	Pause     time.Duration
 	PauseFunc func() time.Duration
-	// OnChange is called with the keys that changed since the last call, in the order of their changes, followed by
-	// the removed ones, with Gone set. The argument full is set if all keys were read.
+	// OnChange is called with the keys that changed since the last call, in the order of their changes. Removed keys
+	// have Deleted set. The argument full is set if all keys were read; the removed ones then come last.
 	OnChange func(items []kv.Item, full bool)
 }
 
--- a/internal/planner/gc.go
+++ b/internal/planner/gc.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// remove removes keys. Each key is written only once, so a repeated attempt does no harm. Settle ends with the term: a
-// call that may change something otherwise runs until its deadline, or for 10 s, and would delay the node's next term.
+// remove removes keys. Each key is written only once, so a repeated attempt does no harm. The write ends with the term:
+// a call that may change something otherwise runs until its deadline, or for 10 s, and would delay the node's next term.
 func (ld *leader) remove(ctx context.Context, keys []string) error {
 	call, cancel := context.WithTimeout(ctx, gcTimeout)
 	defer cancel()
--- a/internal/planner/leader.go
+++ b/internal/planner/leader.go
@@ -37,8 +37,8 @@
 	// workerWatchPause is the pause between two watches of the list of workers, which must be current within the time
 	// that a leaving worker may still be given tasks (2 s).
 	workerWatchPause = 250 * time.Millisecond
-	// journalWait is how long a watch of the journal may stay unanswered: answers show the age of the copy, which is
-	// checked. listWait is the same for the list of workers, whose age limits the starts.
+	// journalWait is how long a watch of the journal may stay unanswered. Only an answer shows that the copy is current,
+	// and maxJournalAge limits the copy's age. listWait is the same for the list of workers, see maxListAge.
 	journalWait = time.Second
 	listWait    = time.Second
 	// defaultContact is used if the site's settings lack the contact time (Bounds.Contact).
--- a/internal/planner/lossrate.go
+++ b/internal/planner/lossrate.go
@@ -13,8 +13,8 @@
 	// normalLossRate is the share below which holds have their normal length again. The difference avoids frequent
 	// changes.
 	normalLossRate = highLossRate / 2
-	// lossRateWeight makes the share that of about the last hundred calls, which 50 workers have in less than half a
-	// second.
+	// lossRateWeight makes the share cover about the last hundred calls. Starts and holds of 50 workers are as many in
+	// less than half a second.
 	lossRateWeight = 1.0 / 100
 	// lossyHoldWait is the wait of a hold while the share is high. A lost hold hides the worker's ends for that long
 	// instead of 1.7 s with the normal wait; urgent jobs have 0.5 s to spare.
--- a/internal/planner/session.go
+++ b/internal/planner/session.go
@@ -17,7 +17,8 @@
 	// holdWait is how long a worker may wait for an end before it answers. Reports must be recent enough to detect
 	// tasks that make no progress.
 	holdWait = time.Second
-	// latencyHoldWait is the same for workers whose tasks have a latency target, which is over half a second.
+	// latencyHoldWait is the same for workers whose tasks have a latency target. Their reports contain the tail latency
+	// over the last half second.
 	latencyHoldWait = 400 * time.Millisecond
 	// holdSlack is the time beyond its wait that a hold may take.
 	holdSlack = 700 * time.Millisecond
@@ -249,8 +250,8 @@
 	ld.schedulePlan()
 }
 
-// incarnationOver ends the session of an incarnation that is over, if no other one of the worker is known. The caller
-// holds the lock.
+// incarnationOver ends the session of an incarnation that is over without a report of the next one. The caller holds the
+// lock.
 func (se *session) incarnationOver(now time.Duration) {
 	se.close(now, func() { se.leader.cell.Replaced(now, se.incarnation) })
 }
--- a/internal/planner/waits.go
+++ b/internal/planner/waits.go
@@ -28,8 +28,8 @@
 	ld.updateLimitGauges()
 }
 
-// updateLimitGauges counts the workspaces that use at least nine tenths of a limit, and those over a limit, which was
-// then lowered below their usage. The caller holds the lock.
+// updateLimitGauges counts the workspaces that use at least nine tenths of a limit, and those over a limit. A workspace
+// is over a limit only if the limit was lowered below its usage. The caller holds the lock.
 func (ld *leader) updateLimitGauges() {
 	const nearly = 0.9
 	near, over := 0, 0
--- a/internal/term/rates.go
+++ b/internal/term/rates.go
@@ -69,8 +69,8 @@
 	return !now.Before(er.extendAt)
 }
 
-// renewInterval returns the time between two renewals. A planner renews as often as with a short lease. The caller
-// holds the lock.
+// renewInterval returns the time between two renewals. A planner with a long lease renews as often as with a short
+// one, because LeaseHeld only counts on opts.TTL since the last confirmed renewal. The caller holds the lock.
 func (er *Elector) renewInterval() time.Duration {
 	if er.current != nil {
 		return min(er.ttl, er.opts.TTL) / renewalsPerTTL
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -26,8 +26,8 @@
 	Node     string
 	PeerAddr string
 	Hall     string
-	// Processors is the node's share of a CPU core. Nodes with much less CPU than others do not stand for election
-	// as long as a stronger node can take over.
+	// Processors is the number of cores that the node may use, 0 if unknown. Nodes with much less CPU than others do
+	// not stand for election as long as a stronger node can take over.
 	Processors float64
 	// Link is the bandwidth of the node's link in Mbit/s.
 	Link float64
@@ -46,7 +46,7 @@
 type Term struct {
 	// Token is the fencing token.
 	Token uint64
-	// Number counts the planners of the cell, from 1.
+	// Number counts the terms of the cell, from 1.
 	Number int
 	// LeaseHeld reports whether the term is current and its lease surely has not expired.
 	LeaseHeld func() bool
