--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -86,7 +86,7 @@
 	PeerAddr string `cbor:"2,keyasint"`
 	// Number counts the terms of the cell, from 1.
 	Number int `cbor:"3,keyasint"`
-	// Nonce distinguishes the incarnations of one node.
+	// Nonce distinguishes the leases of one node, also across restarts.
 	Nonce string `cbor:"4,keyasint"`
 }
 
