--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -6,7 +6,7 @@
 // Limits of the backlog.
 //
 // They apply when the planner cannot keep up with new jobs, for example when a small node plans because
-// the strong ones are down: without limits, jobs then wait for a minute or more.
+// the larger ones are down: without limits, jobs then wait for a minute or more.
 const (
 	// maxUrgentBacklog is the longest backlog of urgent work, as the time to start it, at which an urgent job
 	// is accepted: its callers wait for a response within a second or two.
--- a/policy/ledger/ledger.go
+++ b/policy/ledger/ledger.go
@@ -28,7 +28,7 @@
 	leaving     bool
 	quarantined bool
 	latency     time.Duration
-	// bucket and at are the worker's position in the index, shares its buckets by free share in each dimension.
+	// bucket and at are the worker's position in the index, shares is the bucket of its free share in each dimension.
 	bucket, at int
 	shares     [3]int
 }
@@ -269,8 +269,9 @@
 	return "", false
 }
 
-// LeastLoaded returns, of a few candidates with a free slot, the one with the fewest lookups, and among equals the
-// one with the lowest recent latency.
+// LeastLoaded returns, of the given number of candidates that have a free slot and enough free resources, the one
+// with the fewest slots in use, and among equals the one with the lowest recent latency. The candidates are taken
+// round-robin.
 func (lg *Ledger) LeastLoaded(sz size.Size, candidates int) (string, bool) {
 	var best *entry
 	found := 0
@@ -347,8 +348,8 @@
 	FreeSlots       int       `json:"free_slots" cbor:"6,keyasint"`
 }
 
-// Summary sums up the workers that accept new work. LargestFree is the component-wise maximum of the free
-// resources of one worker, LargestCapacity that of the capacity of one, whether it accepts work or not.
+// Summary sums up the workers that accept new work. LargestFree is the component-wise maximum of their free
+// resources, LargestCapacity that of the capacities of all workers, whether they accept new work or not.
 func (lg *Ledger) Summary() Summary {
 	var sm Summary
 	for _, en := range lg.workers {
--- a/policy/owner/backfill.go
+++ b/policy/owner/backfill.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// mayBackfill reports whether a hold's tasks may use a worker that is reserved for other holds: only if they are
-// expected to end before a task of these could start there. If the run time of the tasks, or of what runs on the
-// worker, is unknown, they may not.
+// mayBackfill reports whether a hold's tasks may use a worker that is reserved for holds that precede it: only if they
+// are expected to end before a task of those could start. If the run time of the tasks, or of what runs on the workers
+// reserved for those holds, is unknown, they may not. A hold that reserves itself never backfills.
 func (mc *Machine) mayBackfill(now time.Duration, hd *hold, worker string) bool {
 	if !mc.limits.Backfill || hd.Run == 0 || hd.Reserve {
 		return false
--- a/policy/owner/event.go
+++ b/policy/owner/event.go
@@ -75,7 +75,7 @@
 	// earlier.
 	Priority    int   `json:"priority,omitempty"`
 	SubmittedAt int64 `json:"age,omitempty"`
-	// Reserve reserves capacity that is free, or is freed later, for this hold ahead of younger ones.
+	// Reserve reserves capacity that is free, or is freed later, for this hold ahead of those that it precedes.
 	Reserve bool `json:"reserve,omitempty"`
 	// Urgent holds also preempt repeatable running tasks of lower priority.
 	Urgent bool `json:"urgent,omitempty"`
--- a/policy/owner/hold.go
+++ b/policy/owner/hold.go
@@ -28,8 +28,8 @@
 	) < 0
 }
 
-// hold takes places for as many of the tasks as fit. A hold that reserves takes over the places of younger ones, and
-// an urgent one preempts running tasks as well.
+// hold takes places for as many of the tasks as fit. A hold that reserves takes over the places of incomplete
+// reservations that it precedes, and an urgent one preempts running tasks as well.
 func (mc *Machine) hold(now time.Duration, req *Hold) []Action {
 	hd, ok := mc.holds[req.ID]
 	if !ok {
@@ -75,7 +75,8 @@
 	return slices.ContainsFunc(hd.places, func(pl Place) bool { return pl.Task == task })
 }
 
-// place takes a place for one task, from younger reservations if necessary.
+// place takes a place for one task. If none is free, a hold that reserves takes over places of reservations that it
+// precedes.
 func (mc *Machine) place(now time.Duration, hd *hold, task string) bool {
 	for {
 		worker, ok := mc.ledger.BestFit(hd.Size, func(name string) bool {
@@ -102,8 +103,8 @@
 	return ok && hd.Size.Add(reserved).Fits(free)
 }
 
-// takeOver releases the places of the youngest incomplete reservation that hd precedes. It resolves the deadlock of
-// two gangs that each hold a part of the workers that both need: the older one proceeds.
+// takeOver releases the places of the last incomplete reservation, in the order of before, that hd precedes. It
+// resolves the deadlock of two gangs that each hold a part of the workers that both need: the preceding one proceeds.
 func (mc *Machine) takeOver(hd *hold) bool {
 	var youngest *hold
 	for _, other := range mc.holds {
@@ -123,8 +124,8 @@
 	return true
 }
 
-// commit commits the places of the named tasks. If one of them no longer exists, because an older hold took it over
-// or its worker was lost, nothing is committed.
+// commit commits the places of the named tasks. If one of them no longer exists, because a preceding hold took it
+// over or its worker was lost, nothing is committed.
 func (mc *Machine) commit(now time.Duration, cm *Commit) []Action {
 	hd, ok := mc.holds[cm.ID]
 	delete(mc.holds, cm.ID)
--- a/policy/owner/owner.go
+++ b/policy/owner/owner.go
@@ -39,9 +39,12 @@
 	// running are the committed tasks, with what is needed to preempt them.
 	running map[string]*running
 	health  map[string]*health
+	// started counts the tasks added to running, to order them.
 	started int
+	// service is the moving average of the latencies of lookups.
 	service time.Duration
-	active  int
+	// active is the number of lookups that are assigned to workers.
+	active int
 }
 
 // queue holds the waiting lookups of one workspace in the order of arrival.
@@ -303,7 +306,7 @@
 	mc.service += (latency - mc.service) / weight
 }
 
-// removeWaiting removes a lookup whose caller has disconnected from its queue.
+// removeWaiting removes from its queue a lookup whose caller no longer waits.
 func (mc *Machine) removeWaiting(id string) {
 	for name, qu := range mc.queues {
 		at := slices.IndexFunc(qu.items, func(lk Lookup) bool { return lk.ID == id })
--- a/policy/owner/preempt.go
+++ b/policy/owner/preempt.go
@@ -108,7 +108,8 @@
 	}
 }
 
-// cheapest returns the smallest set of tasks on one worker whose end frees enough for one task of the hold.
+// cheapest returns tasks on one worker whose end frees enough for one task of the hold. Of the sets that pick chooses
+// on each worker, it is the smallest.
 func (mc *Machine) cheapest(hd *hold) []*running {
 	byWorker := map[string][]*running{}
 	for _, rn := range mc.running {
--- a/policy/owner/reserve.go
+++ b/policy/owner/reserve.go
@@ -11,7 +11,7 @@
 // defaultRemaining is the assumed remaining time of a task whose run time is unknown.
 const defaultRemaining = time.Minute
 
-// opening is a worker on which one task of a hold will fit, and when.
+// opening is a worker on which one task of a hold is expected to fit, and when.
 type opening struct {
 	worker string
 	ready  time.Duration
@@ -32,7 +32,7 @@
 	}
 }
 
-// openings lists where tasks of a hold will fit, the soonest first.
+// openings lists where tasks of a hold are expected to fit, the soonest first.
 func (mc *Machine) openings(now time.Duration, hd *hold) []opening {
 	running := mc.byWorker()
 	var list []opening
--- a/policy/ranking/ranking.go
+++ b/policy/ranking/ranking.go
@@ -37,8 +37,8 @@
 }
 
 // Order lists the owners to ask: those that can take the most tasks first, and among equals the local one,
-// then the one with the smallest free share, so that large free resources are not split. One more task is
-// asked for than seems to fit, since resources may have been freed.
+// then the one with the smallest free share, so that large free resources are not split. Each is asked for
+// one more task than seems to fit, since resources may have been freed, or, with Reserve, for all tasks.
 func Order(owners []Owner, req Request) []Query {
 	var queries []Query
 	for _, ow := range owners {
