--- a/internal/clustermap/clustermap.go
+++ b/internal/clustermap/clustermap.go
@@ -85,7 +85,7 @@
 	return cp
 }
 
-// Active returns the sorted names of the nodes that take work.
+// Active returns the sorted names of the nodes that are not leaving.
 func (mp *Map) Active() []string {
 	var names []string
 	for name, nd := range mp.Nodes {
@@ -183,7 +183,8 @@
 	return cp, true
 }
 
-// JournalNames returns the journals that a node still writes or needs.
+// JournalNames returns the names of the journals that members write, and of those whose records are not all confirmed
+// to have been taken over.
 func (mp *Map) JournalNames() map[string]bool {
 	logs := map[string]bool{}
 	for _, nd := range mp.Nodes {
--- a/internal/home/end.go
+++ b/internal/home/end.go
@@ -28,8 +28,8 @@
 	hm.end(en, job.NotRun, "", reason)
 }
 
-// end writes a job's end to the journal. Only once it is written is the end reported and may the workers forget the
-// tasks. The caller holds the lock.
+// end writes a job's end to the journal. Only after that is the end reported, and are the workers allowed to forget
+// the tasks. The caller holds the lock.
 func (hm *Home) end(en *entry, an job.Answer, result, reason string) {
 	if en.ending || en.rec.State == job.Done {
 		return
--- a/internal/home/forget.go
+++ b/internal/home/forget.go
@@ -14,7 +14,7 @@
 // progress when the job ended does not count.
 const retentionSteps = 24
 
-// mapAge is the current age of the cluster map and the time since which this node has seen it.
+// mapAge is the current age of the cluster map and the time at which this node first saw it.
 type mapAge struct {
 	value uint64
 	since time.Time
@@ -23,7 +23,7 @@
 }
 
 // advanceAge advances the map's age once this node has measured one step of time since the last advance. It does not
-// use the time of day: a wrong clock would remove an idempotency key too early, and the job could run twice.
+// use the wall clock: if that were wrong, an idempotency key could be removed too early, and the job could run twice.
 func (hm *Home) advanceAge() {
 	step := hm.opts.JobRetention / retentionSteps
 	now := hm.Clock.Now()
--- a/internal/home/run.go
+++ b/internal/home/run.go
@@ -28,12 +28,12 @@
 		if fresh {
 			hm.applyStatuses(en, rec.Attempt, hm.commit(rec))
 		}
-		hm.endStep(en)
+		hm.endOperation(en)
 		hm.runLoop(en)
 	}()
 }
 
-func (hm *Home) endStep(en *entry) {
+func (hm *Home) endOperation(en *entry) {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	en.busy--
@@ -43,8 +43,8 @@
 func (hm *Home) runLoop(en *entry) {
 	pause := minQueryPause
 	for {
-		step, places, number := hm.next(en)
-		switch step {
+		action, places, number := hm.next(en)
+		switch action {
 		case attempt.Query:
 			hm.applyStatuses(en, number, hm.order(nodemsg.VerbFence, places))
 		case attempt.Start:
@@ -64,7 +64,7 @@
 		default:
 			return
 		}
-		hm.endStep(en)
+		hm.endOperation(en)
 		if _, more := hm.wait(en, pause); !more {
 			return
 		}
@@ -103,28 +103,28 @@
 		verb = nodemsg.VerbCheckpoint
 	}
 	hm.applyStatuses(en, number, hm.order(verb, places))
-	hm.endStep(en)
+	hm.endOperation(en)
 }
 
 // next determines the next action of a job's attempt and executes the actions that end it. For the others it returns
-// the places concerned, and the job counts as busy until endStep.
+// the places concerned, and the job counts as busy until endOperation.
 func (hm *Home) next(en *entry) (attempt.Action, []nodemsg.Place, int) {
 	hm.mu.Lock()
 	defer hm.mu.Unlock()
 	if en.frozen || en.rec.State != job.Placed {
 		return attempt.Ran, nil, 0
 	}
-	step := attempt.Next(en.statuses, en.rec.Rules())
-	switch step {
+	action := attempt.Next(en.statuses, en.rec.Rules())
+	switch action {
 	case attempt.Query:
 		en.busy++
-		return step, en.placesIn(attempt.Unknown), en.rec.Attempt
+		return action, en.placesIn(attempt.Unknown), en.rec.Attempt
 	case attempt.Start:
 		en.busy++
-		return step, en.placesIn(attempt.Prepared), en.rec.Attempt
+		return action, en.placesIn(attempt.Prepared), en.rec.Attempt
 	case attempt.Stop:
 		en.busy++
-		return step, append(en.placesIn(attempt.Prepared), en.placesIn(attempt.Running)...), en.rec.Attempt
+		return action, append(en.placesIn(attempt.Prepared), en.placesIn(attempt.Running)...), en.rec.Attempt
 	case attempt.Retry:
 		hm.retry(en)
 	case attempt.NotRun:
@@ -134,7 +134,7 @@
 	case attempt.Indeterminate:
 		hm.end(en, job.Unknown, "", "a worker was lost while the job ran")
 	}
-	return step, nil, en.rec.Attempt
+	return action, nil, en.rec.Attempt
 }
 
 // placesIn returns the places of the tasks with a status.
@@ -201,7 +201,8 @@
 	}
 }
 
-// commonSavedWork returns the work that every task which has to run again has saved.
+// commonSavedWork returns the least work saved by any task that has to run again: the next attempt resumes all tasks
+// from there.
 func (en *entry) commonSavedWork() time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for i, st := range en.statuses {
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -116,8 +116,8 @@
 	return at
 }
 
-// Stale reports whether this node may lack an accepted edit: it reaches neither the store nor a node that does,
-// and another node might reach the store.
+// Stale reports whether this node may lack an accepted edit: it does not reach the store, and another node, which
+// might reach the store, is unreachable.
 func (mb *Member) Stale() bool {
 	if !mb.store.Down() {
 		return false
@@ -137,7 +137,7 @@
 }
 
 // exchangeHeartbeats calls the nodes whose names sort after this node's; they answer with their own heartbeat. A
-// node that sorts before it is called only if it has not called.
+// node that sorts before it is called only if it has not called for one and a half intervals.
 func (mb *Member) exchangeHeartbeats(ctx context.Context) {
 	const halfIntervals = 3
 	own := mb.ownHeartbeat()
--- a/internal/nodemsg/nodemsg.go
+++ b/internal/nodemsg/nodemsg.go
@@ -153,7 +153,7 @@
 	Jobs []JobView `cbor:"1,keyasint"`
 }
 
-// Hold requests an owner to hold resources for tasks of one size. Expires is counted from the time when the owner
+// Hold asks an owner to hold resources for tasks of one size. Expires is counted from the time when the owner
 // receives the request.
 type Hold struct {
 	ID      string        `cbor:"1,keyasint"`
@@ -275,7 +275,7 @@
 	Workers []WorkerView `cbor:"1,keyasint"`
 }
 
-// Drain requests a node to drain itself, or one of its workers.
+// Drain asks a node to drain itself, or one of its workers.
 type Drain struct {
 	Worker string `cbor:"1,keyasint,omitempty"`
 }
--- a/internal/owner/lookup.go
+++ b/internal/owner/lookup.go
@@ -31,7 +31,7 @@
 type result struct {
 	body   []byte
 	worker string
-	// err is nil for an answer. Its field MayHaveRun is set if the lookup may still run.
+	// err is nil for an answer. Its field MayHaveRun is set if the lookup may have run or may still run.
 	err *fault.Error
 	// ended is set if the attempt has surely ended, so that another may follow.
 	ended bool
@@ -232,8 +232,8 @@
 	ow.finish(an.ID, rs, latency)
 }
 
-// endMissingLookups ends the lookups sent to a worker that are not running according to its inventory. The caller holds
-// the lock.
+// endMissingLookups ends the lookups sent to a worker that are not running according to its inventory. Without an
+// inventory, running is nil: all lookups end, and none is retried, since it may still run. The caller holds the lock.
 func (ow *Owner) endMissingLookups(name string, running map[string]bool) {
 	for id, lk := range ow.lookups {
 		if lk.worker != name || running[lk.name()] {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -76,7 +76,7 @@
 	vms       map[string]vmsmsg.VM
 	lookups   map[uint64]*lookup
 	tasks     map[string]*task
-	budgets   map[string]float64
+	budgets   map[string]float64 // retry budgets by workspace
 	// removed contains the lease ends of workers that were removed while unreachable.
 	removed                map[string]removedWorker
 	pastSent, pastReceived int64
@@ -154,10 +154,10 @@
 func (ow *Owner) Stop(context.Context) error {
 	ow.cancel()
 	ow.mu.Lock()
-	keepers := ow.conns
+	conns := ow.conns
 	ow.conns = map[string]*workerConn{}
 	ow.mu.Unlock()
-	for _, wc := range keepers {
+	for _, wc := range conns {
 		wc.cancel()
 	}
 	ow.wg.Wait()
--- a/internal/owner/task.go
+++ b/internal/owner/task.go
@@ -24,7 +24,7 @@
 	reportedAt time.Time
 }
 
-// Hold reserves resources for as many of the tasks as fit, until the hold expires.
+// Hold takes resources for as many of the tasks as fit, until the hold expires.
 func (ow *Owner) Hold(hd nodemsg.Hold) nodemsg.HoldReply {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -158,8 +158,8 @@
 	delete(rt.remoteLookups[name], id)
 }
 
-// cancelLookups ends the wait for a node that has become unreachable. Its lookups may have run; their callers get that
-// error immediately.
+// cancelLookups ends the wait for a node that has become unreachable. Its lookups may have run; their callers
+// immediately get an error that says so.
 func (rt *Router) cancelLookups(name string) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -169,7 +169,7 @@
 }
 
 // choose returns this node while it has a free slot; otherwise the less loaded of two other owners, preferring those in
-// the same hall; otherwise any owner with workers.
+// the same hall; if none has a free slot, the less loaded of any two owners.
 func (rt *Router) choose(tried map[string]bool) (target, bool) {
 	own := rt.member.Node()
 	load, waiting := rt.local.Load()
