--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -115,7 +115,8 @@
 	kick          wake.Signal
 	changed       chan struct{}
 	pendingAccept *journal.Pending
-	toAck         []nodemsg.Place
+	// toAck contains the places of earlier attempts, whose tasks are acknowledged together with the job's end.
+	toAck []nodemsg.Place
 	// reserved contains the places reserved so far, if the job reserves resources.
 	reserved []nodemsg.Place
 	// reserving is set while the job's holds are kept between tries.
--- a/internal/nodemsg/nodemsg.go
+++ b/internal/nodemsg/nodemsg.go
@@ -220,8 +220,8 @@
 	Tasks []Place `cbor:"2,keyasint"`
 }
 
-// TaskStatus is the status of a task. If the worker did not answer, Known is false, and State is empty or what is known
-// from elsewhere.
+// TaskStatus is the status of a task. If the worker did not answer, or only another owner knows the status, Known is
+// false and State is empty.
 type TaskStatus struct {
 	Task    string          `cbor:"1,keyasint"`
 	Known   bool            `cbor:"2,keyasint"`
--- a/policy/attempt/attempt.go
+++ b/policy/attempt/attempt.go
@@ -30,7 +30,7 @@
 
 // Rules are the inputs of the decision other than the statuses.
 type Rules struct {
-	// Gang is set for gangs: if one task is lost, the others are stopped.
+	// Gang is set for gangs: if one task fails, is stopped or is lost, the others are stopped.
 	Gang bool
 	// Repeatable allows another attempt after one that started.
 	Repeatable bool
--- a/policy/owner/hold.go
+++ b/policy/owner/hold.go
@@ -13,6 +13,7 @@
 	Hold
 	places  []Place
 	missing int
+	// victims are the tasks whose end is to free resources for this hold.
 	victims []string
 	// targets is the capacity reserved for the tasks without a place, by worker.
 	targets map[string]size.Size
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -14,12 +14,17 @@
 // Queue holds the settings of the route through which a job was submitted. They are stored with the job, so
 // that the job can run on after its route is removed.
 type Queue struct {
-	Name     string        `cbor:"1,keyasint"`
-	Service  string        `cbor:"2,keyasint"`
-	Priority int           `cbor:"3,keyasint"`
-	Attempts int           `cbor:"4,keyasint"`
-	Stretch  float64       `cbor:"5,keyasint"`
-	Target   time.Duration `cbor:"6,keyasint"`
+	Name    string `cbor:"1,keyasint"`
+	Service string `cbor:"2,keyasint"`
+	// Priority 0 is urgent.
+	Priority int `cbor:"3,keyasint"`
+	// Attempts is the number of failures after which a task, or a gang, is not run again.
+	Attempts int `cbor:"4,keyasint"`
+	// Stretch and Target set when a round should have ended: Stretch times the expected run time of its critical
+	// path, plus Target, after the job arrived or a recurring round was due. A long-running step has no end; its
+	// missing tasks should start within Target.
+	Stretch float64       `cbor:"5,keyasint"`
+	Target  time.Duration `cbor:"6,keyasint"`
 	// Advised queues run a step only on workers that the advisor permits.
 	Advised bool `cbor:"7,keyasint,omitempty"`
 	// AdviceBase and AdviceEach are the expected duration of an advice request: a fixed part, and a part per
