--- a/internal/nodemsg/nodemsg.go
+++ b/internal/nodemsg/nodemsg.go
@@ -153,7 +153,7 @@
 	Jobs []JobView `cbor:"1,keyasint"`
 }
 
-// Hold requests an owner to hold resources for tasks of one size. Expires is counted from the time when the owner
+// Hold asks an owner to hold resources for tasks of one size. Expires is counted from the time when the owner
 // receives the request.
 type Hold struct {
 	ID      string        `cbor:"1,keyasint"`
@@ -220,8 +220,8 @@
 	Tasks []Place `cbor:"2,keyasint"`
 }
 
-// TaskStatus is the status of a task. If the worker did not answer, Known is false, and State is empty or what is known
-// from elsewhere.
+// TaskStatus is the status of a task. If the worker did not answer, or only another owner knows the status, Known is
+// false and State is empty.
 type TaskStatus struct {
 	Task    string          `cbor:"1,keyasint"`
 	Known   bool            `cbor:"2,keyasint"`
@@ -275,7 +275,7 @@
 	Workers []WorkerView `cbor:"1,keyasint"`
 }
 
-// Drain requests a node to drain itself, or one of its workers.
+// Drain asks a node to drain itself, or one of its workers.
 type Drain struct {
 	Worker string `cbor:"1,keyasint,omitempty"`
 }
