--- a/internal/planner/leader.go
+++ b/internal/planner/leader.go
@@ -4,13 +4,13 @@
 	"cmp"
 	"context"
 	"sync"
-	"tackbeam.example/policy/incarnation"
 	"time"
 
 	"github.com/go-logr/logr"
 	"github.com/jonboulle/clockwork"
 
 	"tackbeam.example/policy/cell"
+	"tackbeam.example/policy/incarnation"
 
 	"tackbeam.example/tackbeam/internal/bootclock"
 	"tackbeam.example/tackbeam/internal/joblog"
