--- a/internal/httpcall/closed_test.go
+++ b/internal/httpcall/closed_test.go
@@ -13,7 +13,7 @@
 	"tackbeam.example/tackbeam/internal/httpcall"
 )
 
-// TestClosedConnections guards against failed calls after the server restarts at the same address, when all idle
+// TestEndedConnection guards against failed calls after the server restarts at the same address, when all idle
 // connections to it are closed. Each failed call removed only its own connection, so that callers were refused for a
 // while after each change of the planner. Idempotent calls must be sent again at once on a new connection; others must
 // return the error.
--- a/internal/httpcall/unresponsive_test.go
+++ b/internal/httpcall/unresponsive_test.go
@@ -57,22 +57,22 @@
 	return &remote{t: t, path: path, calls: httpcall.New(maxConns), server: server}
 }
 
-func (fr *remote) call(path string, rq httpcall.Request, callTimeout time.Duration) error {
-	ctx, cancel := context.WithTimeout(fr.t.Context(), callTimeout)
+func (re *remote) call(path string, rq httpcall.Request, callTimeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(re.t.Context(), callTimeout)
 	defer cancel()
-	rq.Method, rq.Address, rq.Path = fasthttp.MethodGet, fr.path.Address(), path
-	_, err := fr.calls.Do(ctx, rq)
+	rq.Method, rq.Address, rq.Path = fasthttp.MethodGet, re.path.Address(), path
+	_, err := re.calls.Do(ctx, rq)
 	return err
 }
 
 // openConns makes concurrent calls that use one connection each.
-func (fr *remote) openConns(count int) {
-	fr.t.Helper()
+func (re *remote) openConns(count int) {
+	re.t.Helper()
 	var group sync.WaitGroup
 	for range count {
 		group.Go(func() {
-			if err := fr.call("/slow", httpcall.Request{}, time.Second); err != nil {
-				fr.t.Error(err)
+			if err := re.call("/slow", httpcall.Request{}, time.Second); err != nil {
+				re.t.Error(err)
 			}
 		})
 	}
@@ -98,21 +98,21 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			fr := newRemote(t, 32)
-			fr.openConns(tc.idle + tc.busy)
+			re := newRemote(t, 32)
+			re.openConns(tc.idle + tc.busy)
 			var group sync.WaitGroup
 			for range tc.busy {
 				group.Go(func() {
-					if fr.call("/slow", httpcall.Request{}, callTimeout) == nil {
+					if re.call("/slow", httpcall.Request{}, callTimeout) == nil {
 						t.Error("a call on an unresponsive path was answered")
 					}
 				})
 			}
 			time.Sleep(work / 2)
-			fr.path.Blackhole()
+			re.path.Blackhole()
 			startedAt := time.Now()
 			failed := 0
-			for fr.call("/", httpcall.Request{LongPoll: tc.longPoll}, callTimeout) != nil {
+			for re.call("/", httpcall.Request{LongPoll: tc.longPoll}, callTimeout) != nil {
 				failed++
 			}
 			took := time.Since(startedAt)
@@ -131,11 +131,11 @@
 func TestUnresponsiveConcurrent(t *testing.T) {
 	const overdue = 300 * time.Millisecond
 	const step = 50 * time.Millisecond
-	const longPatience = 1200 * time.Millisecond
+	const longTimeout = 1200 * time.Millisecond
 	is := is.New(t)
-	fr := newRemote(t, 64)
-	fr.openConns(24)
-	fr.path.Blackhole()
+	re := newRemote(t, 64)
+	re.openConns(24)
+	re.path.Blackhole()
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	var failed time.Duration
@@ -143,7 +143,7 @@
 	for range 16 {
 		sent := time.Since(startedAt)
 		group.Go(func() {
-			if fr.call("/", httpcall.Request{}, longPatience) != nil {
+			if re.call("/", httpcall.Request{}, longTimeout) != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				failed = max(failed, sent)
@@ -160,33 +160,33 @@
 // because opening new ones is expensive.
 func TestResponsiveConnections(t *testing.T) {
 	is := is.New(t)
-	fr := newRemote(t, 32)
-	fr.openConns(2)
+	re := newRemote(t, 32)
+	re.openConns(2)
 	var group sync.WaitGroup
 	group.Go(func() {
-		if fr.call("/slow", httpcall.Request{}, work/2) == nil { // does not wait for the response
+		if re.call("/slow", httpcall.Request{}, work/2) == nil { // does not wait for the response
 			t.Error("call succeeded before the response was due")
 		}
 	})
 	time.Sleep(work / 4)
-	is.NoErr(fr.call("/", httpcall.Request{}, callTimeout)) // on the other connection
+	is.NoErr(re.call("/", httpcall.Request{}, callTimeout)) // on the other connection
 	group.Wait()
-	is.NoErr(fr.call("/", httpcall.Request{}, callTimeout))
-	is.Equal(fr.path.Opened(), 2)
+	is.NoErr(re.call("/", httpcall.Request{}, callTimeout))
+	is.Equal(re.path.Opened(), 2)
 }
 
 // TestDeadlineWhileConnecting checks that calls that wait for a connection end at their deadline with ErrNotSent.
 func TestDeadlineWhileConnecting(t *testing.T) {
 	is := is.New(t)
-	fr := newRemote(t, 1)
+	re := newRemote(t, 1)
 	var group sync.WaitGroup
 	group.Go(func() {
-		if err := fr.call("/slow", httpcall.Request{}, time.Second); err != nil {
+		if err := re.call("/slow", httpcall.Request{}, time.Second); err != nil {
 			t.Error(err)
 		}
 	})
 	time.Sleep(work / 4)
-	err := fr.call("/", httpcall.Request{}, work/4)
+	err := re.call("/", httpcall.Request{}, work/4)
 	group.Wait()
 	is.True(errors.Is(err, httpcall.ErrNotSent))
 }
@@ -200,36 +200,36 @@
 	const (
 		overdue      = 300 * time.Millisecond
 		maxConns     = 8
-		longPatience = 1200 * time.Millisecond
+		longTimeout = 1200 * time.Millisecond
 	)
 	is := is.New(t)
-	fr := newRemote(t, maxConns)
-	fr.openConns(maxConns)
-	fr.path.Blackhole()
+	re := newRemote(t, maxConns)
+	re.openConns(maxConns)
+	re.path.Blackhole()
 	var group sync.WaitGroup
 	for range maxConns {
 		group.Go(func() {
-			if fr.call("/", httpcall.Request{}, longPatience) == nil {
+			if re.call("/", httpcall.Request{}, longTimeout) == nil {
 				t.Error("a call on an unresponsive path was answered")
 			}
 		})
 	}
 	time.Sleep(work)
 	startedAt := time.Now()
-	is.NoErr(fr.call("/", httpcall.Request{}, longPatience)) // waits for a connection
+	is.NoErr(re.call("/", httpcall.Request{}, longTimeout)) // waits for a connection
 	took := time.Since(startedAt)
 	t.Logf("answered after %v", took)
 	is.True(took <= overdue+margin)
 	group.Wait()
 
 	// The client has given up the unresponsive connections, but they are still open on the server.
-	before, peak := int(fr.server.GetOpenConnectionsCount())-1, 0
+	before, peak := int(re.server.GetOpenConnectionsCount())-1, 0
 	for range 6 {
 		for range maxConns {
-			group.Go(func() { _ = fr.call("/slow", httpcall.Request{ServerWait: -overdue}, longPatience) }) // overdue at once
+			group.Go(func() { _ = re.call("/slow", httpcall.Request{ServerWait: -overdue}, longTimeout) }) // overdue at once
 		}
 		time.Sleep(work / 10)
-		peak = max(peak, int(fr.server.GetOpenConnectionsCount())-before)
+		peak = max(peak, int(re.server.GetOpenConnectionsCount())-before)
 	}
 	group.Wait()
 	t.Logf("at most %d connections for %d calls", peak, 6*maxConns)
--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -29,16 +29,18 @@
 }
 
 // Update records how long the planner needs to start the waiting urgent work, and all waiting work.
-func (c *Controller) Update(now, urgent, all time.Duration) { c.urgent, c.all, c.at = urgent, all, now }
+func (ct *Controller) Update(now, urgent, all time.Duration) {
+	ct.urgent, ct.all, ct.at = urgent, all, now
+}
 
 // Refuse reports whether a new job is refused, and after how long its caller should retry: when the excess
 // over the limit has been started. A node without a recent report of the planner accepts the job.
-func (c *Controller) Refuse(now time.Duration, urgent bool) (retryAfter time.Duration, refuse bool) {
-	wait, limit := c.all, maxBacklog
+func (ct *Controller) Refuse(now time.Duration, urgent bool) (retryAfter time.Duration, refuse bool) {
+	wait, limit := ct.all, maxBacklog
 	if urgent {
-		wait, limit = c.urgent, maxUrgentBacklog
+		wait, limit = ct.urgent, maxUrgentBacklog
 	}
-	if wait <= limit || now-c.at > maxAge {
+	if wait <= limit || now-ct.at > maxAge {
 		return 0, false
 	}
 	return max(wait-limit, minRetryAfter), true
