--- a/internal/httpcall/unresponsive_test.go
+++ b/internal/httpcall/unresponsive_test.go
@@ -198,8 +198,8 @@
 // total.
 func TestUnresponsiveMaxConns(t *testing.T) {
 	const (
-		overdue      = 300 * time.Millisecond
-		maxConns     = 8
+		overdue     = 300 * time.Millisecond
+		maxConns    = 8
 		longTimeout = 1200 * time.Millisecond
 	)
 	is := is.New(t)
